--- a/src/jujubeslip/admission/_contact.py
+++ b/src/jujubeslip/admission/_contact.py
@@ -6,7 +6,7 @@
 from jujubeslip.kernel import steady_seconds
 
 
-class EngineContact:
+class EngineReachability:
     """What is known of the way to one start of an engine; guarded by its pool's lock.
 
     An engine that was lost has to announce itself before it is given anything again. A
--- a/src/jujubeslip/admission/_engine_demand.py
+++ b/src/jujubeslip/admission/_engine_demand.py
@@ -8,7 +8,7 @@
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import Applicant, EngineNeed, EngineUse
 from jujubeslip.admission._prompt_demand import PromptDemand
-from jujubeslip.admission._prompt_queue import FIRST_TOKENS_PER_SECOND
+from jujubeslip.admission._prompt_queue import INITIAL_TOKENS_PER_SECOND
 from jujubeslip.admission._request_needs import RequestNeeds
 from jujubeslip.kernel import steady_seconds
 
@@ -18,33 +18,33 @@
 
     def __init__(self, options: MemoryOptions) -> None:
         self._options = options
-        self.read_speed = FIRST_TOKENS_PER_SECOND
+        self.prefill_speed = INITIAL_TOKENS_PER_SECOND
         """Tokens that a reader reads in a second, as prompts have shown it."""
         self._asked = PromptDemand()
         self._granted = PromptDemand()
         self._needs = RequestNeeds()
         self._latest_granted: Applicant | None = None
-        self._latest_to_report: EngineMemory | None = None
+        self._latest_reporting_engine: EngineMemory | None = None
 
     def note_report(self, engine: EngineMemory) -> None:
         """Note an engine that answers and has just reported."""
-        self._latest_to_report = engine
+        self._latest_reporting_engine = engine
 
-    def note_asked(self, applicant: Applicant) -> None:
+    def note_asked(self, grant_request: Applicant) -> None:
         """Note a request that asks for a grant."""
-        if applicant.reads_itself:
+        if grant_request.reads_itself:
             return
-        tokens, now = applicant.prompt_tokens, steady_seconds()
-        is_new = self._asked.note(applicant.request_id, tokens, now)
-        engine = self._latest_to_report
+        tokens, now = grant_request.prompt_tokens, steady_seconds()
+        is_new = self._asked.note(grant_request.request_id, tokens, now)
+        engine = self._latest_reporting_engine
         if is_new and engine is not None and engine.usable:
-            self._needs.note(self._need_of(applicant, engine))
+            self._needs.note(self._need_of(grant_request, engine))
 
-    def note_granted(self, applicant: Applicant, now: float) -> None:
+    def note_granted(self, grant_request: Applicant, now: float) -> None:
         """Note a request that was given a grant at this instant of the steady clock."""
-        self._latest_granted = applicant
-        granted_id = f"{applicant.request_id}/{applicant.attempt}"
-        self._granted.note(granted_id, applicant.prompt_tokens, now)
+        self._latest_granted = grant_request
+        granted_id = f"{grant_request.request_id}/{grant_request.attempt}"
+        self._granted.note(granted_id, grant_request.prompt_tokens, now)
 
     @property
     def busy_readers(self) -> float:
@@ -54,14 +54,14 @@
         took would count the time that they waited at a reader, and make the load of a
         burst look twice as high.
         """
-        return self._asked.tokens_per_second(steady_seconds()) / self.read_speed
+        return self._asked.tokens_per_second(steady_seconds()) / self.prefill_speed
 
     def use_of(self, engines: Iterable[EngineMemory]) -> EngineUse:
         """Return how many of these engines the requests granted lately keep busy.
 
         An engine is as busy as its memory is expected to get full.
         """
-        usual_need = self._needs.usual
+        usual_need = self._needs.mean
         if self._latest_granted is None:
             return EngineUse(0.0, 0.0, usual_need)
         tokens = self._granted.tokens_per_second(steady_seconds())
@@ -70,20 +70,22 @@
             for engine in engines
             if engine.usable
         )
-        return EngineUse(tokens / self.read_speed, answering, usual_need)
+        return EngineUse(tokens / self.prefill_speed, answering, usual_need)
 
-    def _need_of(self, applicant: Applicant, engine: EngineMemory) -> EngineNeed:
+    def _need_of(self, grant_request: Applicant, engine: EngineMemory) -> EngineNeed:
         """Return what a request is expected to take of engines like this one."""
-        events = applicant.lengths.mean
-        grown_by = events * applicant.event_tokens
-        memory_share = (applicant.prompt_tokens + grown_by / 2) / self._limit(engine)
+        events = grant_request.lengths.mean
+        grown_by = events * grant_request.event_tokens
+        memory_share = (grant_request.prompt_tokens + grown_by / 2) / self._limit(
+            engine
+        )
         return EngineNeed(
-            applicant.prompt_tokens / self.read_speed,
-            memory_share * events / max(1.0, engine.pace),
+            grant_request.prompt_tokens / self.prefill_speed,
+            memory_share * events / max(1.0, engine.event_rate),
         )
 
-    def _busy_share(self, engine: EngineMemory, asking: Applicant) -> float:
-        peak = engine.profile(asking).peak(self._options.caution)
+    def _busy_share(self, engine: EngineMemory, new_request: Applicant) -> float:
+        peak = engine.profile(new_request).peak(self._options.caution)
         return peak / self._limit(engine)
 
     def _limit(self, engine: EngineMemory) -> float:
--- a/src/jujubeslip/admission/_engine_follower.py
+++ b/src/jujubeslip/admission/_engine_follower.py
@@ -23,14 +23,14 @@
 logger = logging.getLogger(__name__)
 
 # Between two reports, in seconds: an engine's own view is half a second old at best.
-REPORT_SECONDS = 0.25
+POLL_SECONDS = 0.25
 # How long an engine may take to report, in seconds; it needs a millisecond or two.
-ANSWER_SECONDS = 0.4
+REPORT_TIMEOUT_SECONDS = 0.4
 # What an endpoint answers to a question that names another one, or another start.
 MISDIRECTED_STATUS = 421
 
 
-class EngineFollower:
+class EngineReportPoller:
     """Keeps one engine's state up to date; says when it can't be reached any more.
 
     An engine that has ended looks like the emptiest of all, since its answers have
@@ -56,7 +56,7 @@
         self._on_lost = on_lost
         self._connections = ConnectionPool()
         self._stopped = threading.Event()
-        self._answers = True
+        self._is_reporting = True
         self._is_lost = False
 
     def stop(self) -> None:
@@ -66,46 +66,46 @@
     def run(self) -> None:
         """Ask until told to stop, or until the process stops."""
         while not self._stopped.is_set() and not self._process.stopped.is_set():
-            self._look()
-            self._stopped.wait(REPORT_SECONDS)
+            self._poll()
+            self._stopped.wait(POLL_SECONDS)
         self._connections.close_all()
 
-    def _look(self) -> None:
-        if self._ask():
+    def _poll(self) -> None:
+        if self._request_report():
             self._is_lost = False
-        elif not self._is_lost and not self._ask():
+        elif not self._is_lost and not self._request_report():
             self._is_lost = True
             self._on_lost(self._engine)
 
-    def _ask(self) -> bool:
+    def _request_report(self) -> bool:
         """Ask for a report; say whether this start of the engine was reached."""
         try:
-            status, body = self._answer()
+            status, body = self._call()
         except EndpointOnHoldError as error:
             # It runs, and wants no questions for a while.
-            self._note(False, str(error))
+            self._log_change(False, str(error))
             return True
         except EndpointError as error:
-            self._note(False, str(error))
+            self._log_change(False, str(error))
             return False
         if status != 200:
-            self._note(False, f"the answer {status} is no report")
+            self._log_change(False, f"the answer {status} is no report")
             return True
         read = self._interface.read_report(body)
         if isinstance(read, Failure):
-            self._note(False, read.failure())
+            self._log_change(False, read.failure())
             return True
         report = read.unwrap()
         # At the address of a start that is gone, the next one answers by the same id:
         # its report would be taken for that of answers which have ended.
         if not self._engine.may_be(report.started_at_ms):
-            self._note(False, "another start answers at its address")
+            self._log_change(False, "another start answers at its address")
             return False
-        self._note(True, "")
+        self._log_change(True, "")
         self._on_report(self._engine, report)
         return True
 
-    def _answer(self) -> tuple[int, bytes]:
+    def _call(self) -> tuple[int, bytes]:
         """Return status and body of the engine's answer, or raise EndpointError."""
         engine = self._engine
         status, body = ask_endpoint(
@@ -114,18 +114,18 @@
             self._notices,
             engine,
             self._interface.ask_report(engine.endpoint_id),
-            Deadline.after(ANSWER_SECONDS),
+            Deadline.after(REPORT_TIMEOUT_SECONDS),
         )
         if status == MISDIRECTED_STATUS:
             raise EndpointReplacedError("another endpoint")
         return status, body
 
-    def _note(self, answers: bool, error: str) -> None:
-        if answers is self._answers:
+    def _log_change(self, is_reporting: bool, error: str) -> None:
+        if is_reporting is self._is_reporting:
             return
-        self._answers = answers
+        self._is_reporting = is_reporting
         extra = {"endpoint_id": self._engine.endpoint_id, "error": error}
-        if answers:
+        if is_reporting:
             logger.info("engine reports again", extra=extra)
         else:
-            logger.warning("engine gives no report", extra=extra)
+            logger.warning("engine report failed", extra=extra)
--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_engines.py
@@ -1,4 +1,4 @@
-"""The engines of one service: what they are given, and which one suits a request."""
+"""The engines of one service: their grants, and the best engine for a request."""
 
 from __future__ import annotations
 
@@ -12,154 +12,162 @@
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._memory_forecast import MemoryOptions, MemoryProfile
 from jujubeslip.admission._models import (
-    Admitted,
     Applicant,
     EngineUse,
     Grant,
-    Lack,
+    GrantedRequest,
+    MissingResource,
 )
-from jujubeslip.admission._prompt_queue import PromptQueue
-from jujubeslip.admission._readers_now import ReadersNow
-from jujubeslip.admission._room_changes import RoomChanges
-from jujubeslip.admission._room_search import RoomSearch
+from jujubeslip.admission._prompt_queue import PrefillQueue
+from jujubeslip.admission._readers_now import PrefillCandidates
+from jujubeslip.admission._room_changes import CapacityChanges
+from jujubeslip.admission._room_search import CapacitySearch
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import EngineReport
 
-T = TypeVar("T", EngineMemory, PromptQueue)
-MayRead = Callable[[EngineMemory, Applicant], bool]
+T = TypeVar("T", EngineMemory, PrefillQueue)
+MayPrefill = Callable[[EngineMemory, Applicant], bool]
 
 # How much fuller an engine in the entry host's own availability zone may be than one
 # in another zone, as a share of its memory. When a zone is cut off, the answers that
-# cross its border are lost. With this and the bound on prompts that an engine reads
-# beside its answers, 49 to 61 of 100 streams were in time meanwhile, 39 to 54 without.
-OTHER_ZONE_FILL = 0.25
-# How fast an engine that answers reads prompts, as a share of the speed of one that
-# only does that, as engines are specified.
-OWN_SPEED_SHARE = 0.5
-# How long a full engine takes for an event, in seconds, as measured: a pause lasts for
-# that, too.
+# cross its border are lost. During such a cut, 49 to 61 of 100 streams were in time
+# with this cost and with the bound on prompts that a decode engine prefills beside its
+# answers, and 39 to 54 without both.
+OTHER_ZONE_COST = 0.25
+# Prefill speed of a decode engine, as a share of the speed of a prefill engine, as
+# engines are specified.
+DECODE_ENGINE_SPEED_SHARE = 0.5
+# Measured time that a full engine takes for one event, in seconds. A pause in decoding
+# is longer than the prefill that causes it by this time.
 EVENT_SECONDS = 0.08
 
 
 class _GrantKey(NamedTuple):
-    """One of the grants that a request was given."""
+    """Identifies a grant by its request and attempt."""
 
     request_id: str
     attempt: int
 
 
 class ServiceEngines:
-    """The engines that answer and those that read prompts; guarded by the pool's lock.
+    """The decode and prefill engines of a service; guarded by the pool's lock.
 
-    Finds the best grant for one request. Which request is next is the pool's matter.
+    Finds the best grant for one request. The pool decides which request is next.
     """
 
     def __init__(self, options: MemoryOptions) -> None:
         self._options = options
         self._engine_by_start: dict[str, EngineMemory] = {}
-        self._reader_by_start: dict[str, PromptQueue] = {}
-        self._room_changes = RoomChanges()
+        self._prefill_queue_by_start: dict[str, PrefillQueue] = {}
+        self._capacity_changes = CapacityChanges()
         self._grant_by_key: dict[_GrantKey, Grant] = {}
         self._demand = EngineDemand(options)
 
-    def keep_only(
-        self, answering: Collection[Endpoint], reading: Collection[Endpoint]
+    def retain_only(
+        self,
+        decode_engines: Collection[Endpoint],
+        prefill_engines: Collection[Endpoint],
     ) -> None:
-        """Give grants at the first ones, and prompts to the second ones, only.
+        """Replace the decode engines that get grants and the engines that prefill.
 
-        What was given at a start that is gone goes with it.
+        The grants at a removed start are dropped with it.
         """
-        _keep_only(self._engine_by_start, answering, EngineMemory)
-        _keep_only(self._reader_by_start, reading, PromptQueue)
-        self._room_changes.keep_only(self._engine_by_start)
-        self._forget_grants()
+        _retain_only(self._engine_by_start, decode_engines, EngineMemory)
+        _retain_only(self._prefill_queue_by_start, prefill_engines, PrefillQueue)
+        self._capacity_changes.retain_only(self._engine_by_start)
+        self._remove_stale_grants()
 
-    def _forget_grants(self) -> None:
-        """Forget grants at starts that are gone or no longer know of them."""
+    def _remove_stale_grants(self) -> None:
+        """Remove grants at starts that are removed or no longer hold the request."""
         for key, grant in list(self._grant_by_key.items()):
             engine = self._engine_by_start.get(grant.endpoint.start_id)
             if engine is None or engine.find(key.request_id, key.attempt) is None:
                 del self._grant_by_key[key]
 
     def take_report(self, start_id: str, report: EngineReport) -> None:
-        """Take over what a start of an engine says of itself."""
+        """Store the report of an engine's start."""
         engine = self._engine_by_start.get(start_id)
         if engine is not None:
             engine.take_report(report)
             self._demand.note_report(engine)
-            self._room_changes.note(start_id)
-        reader = self._reader_by_start.get(start_id)
-        if reader is not None:
-            reader.take_report(report)
-            self._demand.read_speed = reader.speed
+            self._capacity_changes.note(start_id)
+        prefill_queue = self._prefill_queue_by_start.get(start_id)
+        if prefill_queue is not None:
+            prefill_queue.take_report(report)
+            self._demand.prefill_speed = prefill_queue.speed
 
     def reported_within(self, start_id: str, seconds: float) -> bool:
-        """Say whether a start has reported lately and can be reached."""
-        reader = self._reader_by_start.get(start_id)
-        if reader is not None:
-            return reader.report_age < seconds and not reader.contact.is_lost
+        """Say whether a start has reported within this time and is reachable."""
+        prefill_queue = self._prefill_queue_by_start.get(start_id)
+        if prefill_queue is not None:
+            return (
+                prefill_queue.report_age < seconds
+                and not prefill_queue.reachability.is_lost
+            )
         engine = self._engine_by_start.get(start_id)
-        if engine is None or engine.contact.is_lost:
+        if engine is None or engine.reachability.is_lost:
             return False
         return engine.report_age < seconds
 
     def answer_count(self, start_id: str) -> int:
-        """Return how many answers an engine makes now, 0 if it isn't known."""
+        """Return how many answers an engine is decoding, 0 if it is unknown."""
         engine = self._engine_by_start.get(start_id)
         return engine.answer_count if engine is not None else 0
 
     @property
     def busy_readers(self) -> float:
-        """Return how many readers the prompts of the last seconds would keep busy."""
+        """Return how many prefill engines the recently requested prompts keep busy."""
         return self._demand.busy_readers
 
     @property
     def use(self) -> EngineUse:
-        """Return how many engines the requests granted lately keep busy."""
+        """Return how many engines the recently granted requests keep busy."""
         return self._demand.use_of(self._engine_by_start.values())
 
-    def note_asked(self, applicant: Applicant) -> None:
+    def note_asked(self, grant_request: Applicant) -> None:
         """Note a request that asks for a grant."""
-        self._demand.note_asked(applicant)
+        self._demand.note_asked(grant_request)
 
     def note_lost(self, start_id: str) -> None:
-        """Give a start of an engine that can't be reached nothing until it is back."""
+        """Give no requests to an unreachable start of an engine until it is back."""
         engine = self._engine_by_start.get(start_id)
         if engine is not None:
-            engine.contact.note_lost()
-        reader = self._reader_by_start.get(start_id)
-        if reader is not None:
-            reader.contact.note_lost()
+            engine.reachability.note_lost()
+        prefill_queue = self._prefill_queue_by_start.get(start_id)
+        if prefill_queue is not None:
+            prefill_queue.reachability.note_lost()
 
     @property
     def usable(self) -> bool:
-        """Say whether any engine is known well enough to be given requests."""
+        """Say whether the state of any engine is recent enough to grant requests."""
         return any(engine.usable for engine in self._engine_by_start.values())
 
-    def admit(self, applicant: Applicant, grant: Grant) -> None:
+    def admit(self, grant_request: Applicant, grant: Grant) -> None:
         """Note that a request was given a grant."""
         now = steady_seconds()
-        self._demand.note_granted(applicant, now)
-        admitted = Admitted(applicant, grant, now)
-        self._engine_by_start[grant.endpoint.start_id].admit(admitted)
+        self._demand.note_granted(grant_request, now)
+        granted_request = GrantedRequest(grant_request, grant, now)
+        self._engine_by_start[grant.endpoint.start_id].admit(granted_request)
         if grant.reader is not None:
-            self._reader_by_start[grant.reader.start_id].give(applicant)
-        self._grant_by_key[_GrantKey(applicant.request_id, applicant.attempt)] = grant
+            self._prefill_queue_by_start[grant.reader.start_id].add(grant_request)
+        self._grant_by_key[
+            _GrantKey(grant_request.request_id, grant_request.attempt)
+        ] = grant
 
-    def given_before(self, applicant: Applicant) -> Grant | None:
-        """Return the grant of a request that asks again after a lost answer."""
+    def existing_grant(self, grant_request: Applicant) -> Grant | None:
+        """Return the grant of a request whose host asks again after a lost reply."""
         grant = self._grant_by_key.get(
-            _GrantKey(applicant.request_id, applicant.attempt)
+            _GrantKey(grant_request.request_id, grant_request.attempt)
         )
         if grant is None:
             return None
         engine = self._engine_by_start.get(grant.endpoint.start_id)
-        held = engine and engine.find(applicant.request_id, applicant.attempt)
+        held = engine and engine.find(grant_request.request_id, grant_request.attempt)
         return grant if held else None
 
     def note_read(self, request_id: str, attempt: int) -> None:
-        """Note that a request's prompt was read, or won't be where it was to be."""
+        """Note that a prompt was prefilled, or won't be at the engine of its grant."""
         grant = self._grant_by_key.get(_GrantKey(request_id, attempt))
         if grant is None:
             return
@@ -168,9 +176,9 @@
             engine.note_read(request_id, attempt)
         if grant.reader is None:
             return
-        reader = self._reader_by_start.get(grant.reader.start_id)
-        if reader is not None:
-            reader.note_read(request_id, attempt)
+        prefill_queue = self._prefill_queue_by_start.get(grant.reader.start_id)
+        if prefill_queue is not None:
+            prefill_queue.note_read(request_id, attempt)
 
     def end(self, request_id: str, attempt: int) -> None:
         """Note that a request has ended, or will not be sent."""
@@ -181,133 +189,165 @@
         engine = self._engine_by_start.get(grant.endpoint.start_id)
         if engine is not None:
             engine.end(request_id, attempt)
-            self._room_changes.note(grant.endpoint.start_id)
+            self._capacity_changes.note(grant.endpoint.start_id)
 
-    def readers_now(self) -> ReadersNow:
-        """Return the readers that may be given prompts, until the next grant."""
-        return ReadersNow(tuple(self._reader_by_start.values()))
+    def prefill_candidates(self) -> PrefillCandidates:
+        """Return the prefill engines' queues as they are until the next grant."""
+        return PrefillCandidates(tuple(self._prefill_queue_by_start.values()))
 
     def find_grant(
-        self, search: RoomSearch, readers: ReadersNow, reads_beside: bool = False
+        self,
+        search: CapacitySearch,
+        prefill_candidates: PrefillCandidates,
+        may_use_decode_engine: bool = False,
     ) -> Grant | None:
         """Return the best grant, None if all engines are full.
 
-        An engine that reads a prompt by itself stops all its answers meanwhile. That
-        is done only while no engine reads for others, or with `reads_beside`, while
-        those that do have enough to read.
+        A decode engine that prefills a prompt stops decoding all its answers meanwhile.
+        It gets a prompt only while there is no prefill engine, or if
+        `may_use_decode_engine` is set, while all prefill engines are busy.
         """
-        search.lacks = Lack.MEMORY
-        if search.tried_at == self._room_changes.latest:
+        search.last_missing = MissingResource.MEMORY
+        if search.tried_at == self._capacity_changes.latest:
             return None
-        applicant = search.applicant
-        reader, may_read = None, self._may_read
-        if not applicant.reads_itself and readers.any_but(search.avoided):
-            reader, may_read = readers.next_but(search.avoided), self._may_read_beside
-            if reader is None and not reads_beside:
-                search.lacks = Lack.READER
+        grant_request = search.grant_request
+        prefill_queue, may_prefill = None, self._may_prefill
+        if not grant_request.reads_itself and prefill_candidates.any_except(
+            search.avoided
+        ):
+            prefill_queue, may_prefill = (
+                prefill_candidates.next_except(search.avoided),
+                self._may_prefill_after_pause,
+            )
+            if prefill_queue is None and not may_use_decode_engine:
+                search.last_missing = MissingResource.READER
                 return None
-        found = self._cheapest(search, None if reader else may_read)
-        if found is None or reader is None:
+        found = self._cheapest_grant(search, None if prefill_queue else may_prefill)
+        if found is None or prefill_queue is None:
             return found
         return replace(
             found,
-            reader=reader.endpoint,
-            read_seconds=reader.seconds_for(applicant.prompt_tokens),
+            reader=prefill_queue.endpoint,
+            read_seconds=prefill_queue.seconds_for(grant_request.prompt_tokens),
         )
 
-    def _cheapest(
-        self, search: RoomSearch, may_read: MayRead | None = None
+    def _cheapest_grant(
+        self, search: CapacitySearch, may_prefill: MayPrefill | None = None
     ) -> Grant | None:
-        """Return the grant at the engine that costs least.
+        """Return the grant at the engine with the lowest cost.
 
-        Engines are looked at from the lowest bound of their cost on, until no further
-        one can cost less than the best that was found. `may_read` says which of them
-        may read the prompt, None where another engine does.
+        Engines are tried by the lower bound of their cost, until no remaining one can
+        cost less than the best that was found. `may_prefill` says which decode engines
+        may prefill the prompt; None if a prefill engine does.
         """
         best: Grant | None = None
         best_cost = math.inf
-        bounds = sorted(self._bounds(search, may_read))
-        if not bounds and may_read is not None and any(self._bounds(search, None)):
-            search.lacks = Lack.MAY_READ
-        for bound in bounds:
-            if bound.cost >= best_cost:
+        candidates = sorted(self._candidates(search, may_prefill))
+        if (
+            not candidates
+            and may_prefill is not None
+            and any(self._candidates(search, None))
+        ):
+            search.last_missing = MissingResource.MAY_READ
+        for candidate in candidates:
+            if candidate.cost >= best_cost:
                 break
-            grant = self._grant_at(bound, search)
+            grant = self._grant_at(candidate, search)
             if grant is None:
                 continue
-            cost = bound.zone_cost + grant.fill
+            cost = candidate.zone_cost + grant.fill
             if cost < best_cost:
                 best, best_cost = grant, cost
-        # One that may not read now may do so before anything ends there.
-        if best is None and may_read is None:
-            search.note_no_room(self._room_changes.latest)
+        # An engine that may not prefill now may do so before any of its answers ends,
+        # so the search is marked as failed only if a prefill engine was found.
+        if best is None and may_prefill is None:
+            search.note_no_capacity(self._capacity_changes.latest)
         return best
 
-    def _bounds(self, search: RoomSearch, may_read: MayRead | None) -> Iterator[_Bound]:
-        """Yield the engines that may have room, with the least that each can cost.
+    def _candidates(
+        self, search: CapacitySearch, may_prefill: MayPrefill | None
+    ) -> Iterator[_Candidate]:
+        """Yield the engines that may have capacity, each with its lowest possible cost.
 
-        Left out are those that had none when the request was last tried, and those
-        that are full with its prompt: a peak is no less than what is in use now.
+        Engines are left out if they had no capacity when the request was last tried,
+        or if its prompt alone fills them: the peak is never below the current use.
         """
-        applicant = search.applicant
+        grant_request = search.grant_request
         for engine in self._changed_since(search):
-            if may_read is not None and not may_read(engine, applicant):
+            if may_prefill is not None and not may_prefill(engine, grant_request):
                 continue
-            profile = engine.profile(applicant)
+            profile = engine.profile(grant_request)
             capacity = max(1, engine.capacity_tokens)
-            fill = (profile.used_now + applicant.prompt_tokens) / capacity
-            if fill > 1 - self._options.margin or profile.answers >= applicant.slots:
+            fill = (profile.used_now + grant_request.prompt_tokens) / capacity
+            if (
+                fill > 1 - self._options.margin
+                or profile.answers >= grant_request.slots
+            ):
                 continue
-            is_near = engine.endpoint.availability_zone == applicant.availability_zone
-            zone_cost = 0.0 if is_near else OTHER_ZONE_FILL
-            yield _Bound(fill + zone_cost, random.random(), zone_cost, engine, profile)
-
-    def _changed_since(self, search: RoomSearch) -> Iterator[EngineMemory]:
-        for start_id in self._room_changes.since(search.tried_at):
+            in_same_zone = (
+                engine.endpoint.availability_zone == grant_request.availability_zone
+            )
+            zone_cost = 0.0 if in_same_zone else OTHER_ZONE_COST
+            yield _Candidate(
+                fill + zone_cost, random.random(), zone_cost, engine, profile
+            )
+
+    def _changed_since(self, search: CapacitySearch) -> Iterator[EngineMemory]:
+        for start_id in self._capacity_changes.since(search.tried_at):
             engine = self._engine_by_start.get(start_id)
             if engine is None or start_id in search.avoided:
                 continue
             if engine.usable:
                 yield engine
 
-    def _may_read_beside(self, engine: EngineMemory, applicant: Applicant) -> bool:
-        """Say whether it may do so while other engines read, which others wait for."""
-        return engine.has_rested and self._may_read(engine, applicant)
+    def _may_prefill_after_pause(
+        self, engine: EngineMemory, grant_request: Applicant
+    ) -> bool:
+        """Say whether the engine may prefill the prompt while prefill engines are busy.
 
-    def _may_read(self, engine: EngineMemory, applicant: Applicant) -> bool:
-        """Say whether the engine may read the prompt beside its other answers.
+        Two prefills in a row would be one long pause for its answers, so it must have
+        decoded for a while since its last prefill.
+        """
+        return engine.has_decoded_since_prefill and self._may_prefill(
+            engine, grant_request
+        )
 
-        One prompt at a time, and none that takes too long: its answers, a dozen of
-        them, would pause for longer than they may, and all be late.
+    def _may_prefill(self, engine: EngineMemory, grant_request: Applicant) -> bool:
+        """Say whether the decode engine may prefill the prompt beside its answers.
+
+        It prefills one prompt at a time and none that takes too long. Otherwise its
+        dozen answers would exceed their maximum gap, and all of them would be late.
         """
-        if engine.reads_prompt:
+        if engine.is_prefilling:
             return False
-        seconds = applicant.prompt_tokens / (self._demand.read_speed * OWN_SPEED_SHARE)
-        longest = max(0.0, applicant.maximum_gap - EVENT_SECONDS)
-        return seconds <= longest or not engine.profile(applicant).answers
+        seconds = grant_request.prompt_tokens / (
+            self._demand.prefill_speed * DECODE_ENGINE_SPEED_SHARE
+        )
+        longest = max(0.0, grant_request.maximum_gap - EVENT_SECONDS)
+        return seconds <= longest or not engine.profile(grant_request).answers
 
-    def _grant_at(self, bound: _Bound, search: RoomSearch) -> Grant | None:
-        engine, profile = bound.engine, bound.profile
+    def _grant_at(self, candidate: _Candidate, search: CapacitySearch) -> Grant | None:
+        engine, profile = candidate.engine, candidate.profile
         capacity = max(1, engine.capacity_tokens)
         limit = (1 - self._options.margin) * capacity
-        own = search.own_profile(profile.longest)
-        peak = profile.peak_with(own, self._options.caution, limit)
+        own_profile = search.own_profile(profile.longest)
+        peak = profile.peak_with(own_profile, self._options.caution, limit)
         if peak is None:
             return None
         return Grant(engine.endpoint, peak / capacity, int(engine.report_age * 1000))
 
 
-class _Bound(NamedTuple):
-    """An engine, ordered by the least that it can cost, equal ones by lot."""
+class _Candidate(NamedTuple):
+    """An engine, ordered by its lowest possible cost; ties are broken at random."""
 
     cost: float
-    lot: float
+    tie_breaker: float
     zone_cost: float
     engine: EngineMemory
     profile: MemoryProfile
 
 
-def _keep_only(
+def _retain_only(
     by_start: dict[str, T],
     wanted: Collection[Endpoint],
     create: Callable[[Endpoint], T],
@@ -319,4 +359,4 @@
         if known is None:
             by_start[endpoint.start_id] = create(endpoint)
         else:
-            known.contact.endpoint = endpoint
+            known.reachability.endpoint = endpoint
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -1,4 +1,4 @@
-"""The home of all admissions, on the control host that leads."""
+"""The home of all admissions, on the leading control host."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Protocol
 
-from jujubeslip.admission._engine_follower import EngineFollower
+from jujubeslip.admission._engine_follower import EngineReportPoller
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._meters import AdmissionMeters
 from jujubeslip.admission._models import (
     DEFAULT_WAITING,
     EngineUse,
     WaitingOptions,
-    read_applicant,
+    grant_request_of,
 )
 from jujubeslip.admission._pool import Decision, EnginePool
 from jujubeslip.discovery import Endpoint, EndpointBook
@@ -36,36 +36,36 @@
 
 logger = logging.getLogger(__name__)
 
-# How often the home looks which engines there are, in seconds.
-LOOK_SECONDS = 0.25
-# How often waiting requests are looked at without news of their engines, in seconds: a
-# reader that was busy has time for a further prompt by then.
-DECIDE_SECONDS = 0.05
-# An engine whose last report is older than this may have crashed, in seconds: two of
+# Interval at which the home updates the set of engines that it polls, in seconds.
+SCAN_SECONDS = 0.25
+# Interval at which waiting requests are decided again without new reports, in seconds:
+# by then a busy prefill engine may have time for a further prompt.
+RETRY_SECONDS = 0.05
+# An engine may have crashed if its last report is older than this, in seconds: two of
 # its reports are missing.
 REPORTS_NOW_SECONDS = 0.55
-# Engines are asked for reports while requests came within this time, in seconds.
+# Engines are polled for reports only if a request came within this time, in seconds.
 ACTIVE_SECONDS = 5.0
-# How long a call may wait at most, in seconds, whatever its host asks for: each one
-# holds a task.
+# Upper bound for the wait of a call, in seconds, whatever its host asks for: each
+# waiting call occupies a task.
 MAXIMUM_WAIT_SECONDS = 2.0
 
 
 class AccountCharges(Protocol):
-    """What keeps the limits of client accounts."""
+    """Charges requests against the limits of client accounts."""
 
     def charge_once(self, request_id: str, spending: AccountSpending) -> float:
-        """Charge a request; return when it may come back, 0 where it may run."""
+        """Charge a request; return after how many seconds to retry, 0 if it may run."""
 
     def give_back(self, request_id: str) -> None:
-        """Take back the charge of a request that will not run."""
+        """Refund the charge of a request that will not run."""
 
 
 class AdmissionHome:
     """Gives grants at all services' engines while this host leads.
 
-    Two hosts that both think they lead give too many grants at worst: an engine that
-    is full refuses, and its report shows what the other one gave.
+    If two hosts both believe that they lead, they give too many grants at worst: a full
+    engine refuses requests, and its report shows those that the other host granted.
     """
 
     def __init__(
@@ -92,31 +92,31 @@
         self._leads = leads
         self._configured_services = configured_services
         self._pool_by_service: dict[str, EnginePool] = {}
-        self._follower_by_start: dict[str, EngineFollower] = {}
+        self._poller_by_start: dict[str, EngineReportPoller] = {}
         self._asked_at = float("-inf")
         self._meters = AdmissionMeters()
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Follow the engines until the process stops."""
-        self._process.repeat(LOOK_SECONDS, self.look)
-        self._process.repeat(DECIDE_SECONDS, self._decide)
+        """Poll the engines until the process stops."""
+        self._process.repeat(SCAN_SECONDS, self.look)
+        self._process.repeat(RETRY_SECONDS, self._retry_waiting)
 
     def admit(self, request: AdmissionRequest) -> AdmissionReply:
-        """Answer once the request has a grant or will get none, or to ask again."""
+        """Reply once the request is granted or refused, or when it must ask again."""
         wait = Deadline.from_remaining_ms(request.wait_ms)
         until = wait.earlier_of(Deadline.after(MAXIMUM_WAIT_SECONDS))
         self._asked_at = steady_seconds()
         pool = self._pool(request.service_name)
         if not pool.usable:
             self.look()
-            raise _no_engine_known()
+            raise _engines_unknown()
         over_limit = self._charge(request)
         if over_limit > 0:
             wait_ms = math.ceil(over_limit * 1000)
             return AdmissionReply(AdmissionStatus.OVER_LIMIT, "", wait_ms, "", 0)
-        applicant = read_applicant(request)
-        decision = pool.ask(applicant, request.avoided_start_ids or (), until)
+        grant_request = grant_request_of(request)
+        decision = pool.ask(grant_request, request.avoided_start_ids or (), until)
         if decision.refused and self._charges is not None:
             self._charges.give_back(request.request_id)
         self._meters.note(request.service_name, decision)
@@ -124,60 +124,64 @@
         return _reply(decision)
 
     def _charge(self, request: AdmissionRequest) -> float:
-        """Charge the request's account; return when it may come back, 0 for now.
+        """Charge the account; return after how many seconds to retry, 0 if it may run.
 
-        Before it waits for an engine: one beyond its limit takes nobody's turn.
+        The charge precedes the wait for an engine, so that a request beyond its
+        account's limit does not take a place in the queue.
         """
         if self._charges is None or not request.account_name:
             return 0.0
         spending = AccountSpending(request.account_name, request.account_cost or 0.0)
         return self._charges.charge_once(request.request_id, spending)
 
-    def take(self, told: Sequence[AdmissionNews]) -> None:
-        """Note how far requests with grants have come."""
+    def take(self, updates: Sequence[AdmissionNews]) -> None:
+        """Apply updates on the progress of requests with grants."""
         pools = self._pools()
-        for news in told:
+        for update in updates:
             for pool in pools:
-                if news.step == AdmissionStep.ENDED:
-                    was_waiting = pool.end(news.request_id, news.attempt)
+                if update.step == AdmissionStep.ENDED:
+                    was_waiting = pool.end(update.request_id, update.attempt)
                     if was_waiting and self._charges is not None:
-                        self._charges.give_back(news.request_id)
+                        self._charges.give_back(update.request_id)
                 else:
-                    pool.note_read(news.request_id, news.attempt)
+                    pool.note_read(update.request_id, update.attempt)
 
     def busy_readers(self, service_name: str) -> float:
-        """Return how many readers the prompts that a service got would keep busy."""
+        """Return how many prefill engines a service's recent prompts keep busy."""
         return self._pool(service_name).busy_readers
 
     def engine_use(self, service_name: str) -> EngineUse:
-        """Return how many engines a service's granted requests keep busy."""
+        """Return how many engines a service's recently granted requests keep busy."""
         return self._pool(service_name).use
 
     def answer_count(self, engine: Endpoint) -> int:
-        """Return how many answers an engine makes now, 0 if it isn't known."""
+        """Return how many answers an engine is decoding, 0 if it is unknown."""
         return self._pool(engine.service_name).answer_count(engine.start_id)
 
     def reports_now(self, engine: Endpoint) -> bool:
-        """Say whether an engine answers questions for its state at this moment."""
+        """Say whether an engine has recently replied to a poll for its report."""
         pool = self._pool(engine.service_name)
         return pool.reported_within(engine.start_id, REPORTS_NOW_SECONDS)
 
     def look(self) -> None:
-        """Follow the engines that there are now, if this host is asked."""
+        """Update the set of polled engines; poll none unless this host is in use."""
         active = steady_seconds() - self._asked_at < ACTIVE_SECONDS
-        services = self._services() if active and self._leads() else set()
-        followed: list[Endpoint] = []
+        services = (
+            self._configured_engine_services() if active and self._leads() else set()
+        )
+        polled: list[Endpoint] = []
         for service_name in services | self._pool_by_service.keys():
-            answering, reading = self._engines(service_name, services)
-            # Before they are followed: the first report would be for an unknown engine.
-            self._pool(service_name).set_engines(answering, reading)
-            followed += [*answering, *reading]
+            decode_engines, prefill_engines = self._engines(service_name, services)
+            # The pool has to know the engines before they are polled, or their first
+            # report would be discarded.
+            self._pool(service_name).set_engines(decode_engines, prefill_engines)
+            polled += [*decode_engines, *prefill_engines]
         with self._lock:
-            added = self._follow(followed)
-        for follower in added:
-            self._process.start_task(follower.run)
+            added = self._update_pollers(polled)
+        for poller in added:
+            self._process.start_task(poller.run)
 
-    def _decide(self) -> None:
+    def _retry_waiting(self) -> None:
         for pool in self._pools():
             pool.look_again()
 
@@ -185,18 +189,18 @@
         with self._lock:
             return list(self._pool_by_service.values())
 
-    def _services(self) -> set[str]:
-        """Return the services of engines that a configuration names as such.
+    def _configured_engine_services(self) -> set[str]:
+        """Return the services with announced engines that a configuration names.
 
-        Any program may announce an engine, of any service and at any address: one that
-        no configuration names must not be asked for reports.
+        Any program may announce an engine of any service at any address, so an engine
+        of a service that no configuration names must not be polled.
         """
         return self._book.engine_services().intersection(self._configured_services())
 
     def _engines(
         self, service_name: str, services: Collection[str]
     ) -> tuple[list[Endpoint], list[Endpoint]]:
-        """Return a service's engines that answer and that read prompts."""
+        """Return a service's decode engines and prefill engines."""
         if service_name not in services:
             return [], []
         return (
@@ -205,7 +209,7 @@
         )
 
     def _with_role(self, service_name: str, role: EndpointRole) -> list[Endpoint]:
-        """Return the engines of a role that stay and aren't ordered to another one."""
+        """Return the engines of a role that neither leave nor are ordered to change."""
         return [
             engine
             for engine in self._book.engines(service_name, role)
@@ -213,15 +217,15 @@
             and not self._notices.leaves(engine.start_id)
         ]
 
-    def _follow(self, engines: Sequence[Endpoint]) -> list[EngineFollower]:
-        """Follow these starts and no others; return the followers that are new."""
+    def _update_pollers(self, engines: Sequence[Endpoint]) -> list[EngineReportPoller]:
+        """Poll these starts and no others; return the new pollers."""
         wanted = {engine.start_id for engine in engines}
-        for start_id in self._follower_by_start.keys() - wanted:
-            self._follower_by_start.pop(start_id).stop()
+        for start_id in self._poller_by_start.keys() - wanted:
+            self._poller_by_start.pop(start_id).stop()
         added = []
         for engine in engines:
-            if engine.start_id not in self._follower_by_start:
-                follower = EngineFollower(
+            if engine.start_id not in self._poller_by_start:
+                poller = EngineReportPoller(
                     engine,
                     self._interface,
                     self._process,
@@ -229,8 +233,8 @@
                     self._note_lost,
                     self._notices,
                 )
-                self._follower_by_start[engine.start_id] = follower
-                added.append(follower)
+                self._poller_by_start[engine.start_id] = poller
+                added.append(poller)
         return added
 
     def _take_report(self, engine: Endpoint, report: EngineReport) -> None:
@@ -239,7 +243,7 @@
     def _note_lost(self, engine: Endpoint) -> None:
         self._pool(engine.service_name).note_lost(engine.start_id)
         extra = {"endpoint_id": engine.endpoint_id, "service": engine.service_name}
-        logger.warning("engine is given nothing until it is back", extra=extra)
+        logger.warning("engine lost, no requests granted until it returns", extra=extra)
 
     def _pool(self, service_name: str) -> EnginePool:
         with self._lock:
@@ -260,7 +264,7 @@
             "forecast_ms": int(decision.forecast * 1000),
         }
         if decision.grant is None:
-            extra["lacked"] = decision.lacked
+            extra["lacked"] = decision.missing_resource
             logger.info("no grant at an engine", extra=extra)
             return
         reader = decision.grant.reader
@@ -288,10 +292,10 @@
     return AdmissionReply(status, "", forecast_ms, "", 0)
 
 
-def _no_engine_known() -> PeerRefusal:
+def _engines_unknown() -> PeerRefusal:
     return PeerRefusal(
         "engines_unknown",
-        "This host has no engine's report yet.",
-        "Ask the engines for room, as without a leader.",
+        "This control host has not received a report from any engine yet.",
+        "Reserve capacity directly at the engines, as if there were no leader.",
         0,
     )
--- a/src/jujubeslip/admission/_lengths.py
+++ b/src/jujubeslip/admission/_lengths.py
@@ -13,7 +13,7 @@
 # Estimates are rounded to this many events, so that few distributions are computed.
 ESTIMATE_STEP = 5
 # Distributions that are kept: an entry for each rounded estimate of a few services.
-REMEMBERED_DISTRIBUTIONS = 512
+CACHED_DISTRIBUTIONS = 512
 
 
 @dataclass(frozen=True)
@@ -33,18 +33,20 @@
         """Return the events that it has in the mean."""
         return sum(self.longer_than)
 
-    def still_runs(self, events: int, ahead: int) -> float:
+    def running_probability(self, events: int, ahead: int) -> float:
         """Return how likely an answer of this many events has `ahead` further ones."""
-        return next(iter(self.chances(events, (ahead,))), 0.0)
+        return next(iter(self.running_probabilities(events, (ahead,))), 0.0)
 
-    def chances(self, events: int, instants: Iterable[int]) -> Iterator[float]:
+    def running_probabilities(
+        self, events: int, points: Iterable[int]
+    ) -> Iterator[float]:
         """Yield how likely an answer of this many events still runs at each instant.
 
         The instants are in events ahead and grow. Ends where no answer gets so long.
         """
         longer_than, maximum = self.longer_than, self.maximum
         now = longer_than[min(events, maximum - 1)]
-        for ahead in instants:
+        for ahead in points:
             if events + ahead >= maximum or now <= 0:
                 return
             yield longer_than[events + ahead] / now
@@ -61,7 +63,7 @@
     return _lengths(max(1, maximum_events), rounded)
 
 
-@lru_cache(maxsize=REMEMBERED_DISTRIBUTIONS)
+@lru_cache(maxsize=CACHED_DISTRIBUTIONS)
 def _lengths(maximum_events: int, expected_events: int) -> AnswerLengths:
     weights = [
         _weight(length, expected_events) for length in range(1, maximum_events + 1)
@@ -78,5 +80,5 @@
 def _weight(length: int, expected_events: int) -> float:
     if not expected_events:
         return 1.0
-    off = math.log(expected_events / length) / ESTIMATE_DEVIATION
-    return math.exp(-off * off / 2)
+    deviation = math.log(expected_events / length) / ESTIMATE_DEVIATION
+    return math.exp(-deviation * deviation / 2)
--- a/src/jujubeslip/admission/_memory_forecast.py
+++ b/src/jujubeslip/admission/_memory_forecast.py
@@ -17,7 +17,7 @@
 from jujubeslip.routes import EngineReport
 
 # How many instants of the future are looked at, evenly up to the longest answer.
-INSTANTS = 13
+FORECAST_POINTS = 13
 
 
 @dataclass(frozen=True)
@@ -44,21 +44,21 @@
     """Standard deviations above the mean that have to fit."""
 
 
-class Expected(NamedTuple):
+class ExpectedUse(NamedTuple):
     """The tokens that answers take together at one instant."""
 
     mean: float
     variance: float
-    most: float
+    maximum: float
     """What they take if none of those ends that may still run."""
 
-    def with_caution(self, caution: float) -> float:
+    def with_deviations(self, caution: float) -> float:
         """Return the tokens `caution` deviations above the mean.
 
         No more than all answers take: where nearly all still run, some deviations
         above the mean lie beyond that.
         """
-        return min(self.most, self.mean + caution * math.sqrt(self.variance))
+        return min(self.maximum, self.mean + caution * math.sqrt(self.variance))
 
 
 @dataclass(frozen=True)
@@ -68,16 +68,16 @@
     answers: int
     longest: int
     """Events of the longest answer, over which the instants are spread."""
-    instants: tuple[Expected, ...]
+    points: tuple[ExpectedUse, ...]
 
     @property
     def used_now(self) -> float:
         """Return the tokens in use at the first instant."""
-        return self.instants[0].mean
+        return self.points[0].mean
 
     def peak(self, caution: float) -> float:
         """Return the tokens in use at the peak, `caution` deviations above the mean."""
-        return max(expected.with_caution(caution) for expected in self.instants)
+        return max(expected.with_deviations(caution) for expected in self.points)
 
     def peak_with(
         self, other: MemoryProfile, caution: float, limit: float
@@ -88,12 +88,12 @@
         burst nearly all engines are full.
         """
         peak = 0.0
-        for here, further in zip(self.instants, other.instants, strict=True):
-            mean, variance, most = here
-            more, added_variance, own = further
-            tokens = mean + more + caution * math.sqrt(variance + added_variance)
-            if tokens > most + own:
-                tokens = most + own
+        for point, added_point in zip(self.points, other.points, strict=True):
+            mean, variance, maximum = point
+            added_mean, added_variance, added_maximum = added_point
+            tokens = mean + added_mean + caution * math.sqrt(variance + added_variance)
+            if tokens > maximum + added_maximum:
+                tokens = maximum + added_maximum
             if tokens > limit:
                 return None
             if tokens > peak:
@@ -108,11 +108,11 @@
     is more.
     """
     longest = max([longest, *(answer.lengths.maximum for answer in answers)])
-    step = max(1, longest // (INSTANTS - 1))
-    instants = range(0, longest + 1, step)
-    sums = _Sums.of(len(instants))
+    step = max(1, longest // (FORECAST_POINTS - 1))
+    points = range(0, longest + 1, step)
+    sums = _Sums.of(len(points))
     for answer in answers:
-        _add(answer, instants, sums)
+        _add(answer, points, sums)
     return MemoryProfile(len(answers), longest, sums.expected())
 
 
@@ -150,26 +150,28 @@
 
     means: list[float]
     variances: list[float]
-    most: list[float]
+    maximum: list[float]
 
     @classmethod
-    def of(cls, instants: int) -> _Sums:
+    def of(cls, points: int) -> _Sums:
         """Return the sums of no answers."""
-        return cls([0.0] * instants, [0.0] * instants, [0.0] * instants)
+        return cls([0.0] * points, [0.0] * points, [0.0] * points)
 
-    def expected(self) -> tuple[Expected, ...]:
+    def expected(self) -> tuple[ExpectedUse, ...]:
         """Return what is expected at each instant."""
-        parts = zip(self.means, self.variances, self.most, strict=True)
-        return tuple(Expected(*part) for part in parts)
+        parts = zip(self.means, self.variances, self.maximum, strict=True)
+        return tuple(ExpectedUse(*part) for part in parts)
 
 
-def _add(answer: GrowingAnswer, instants: range, sums: _Sums) -> None:
+def _add(answer: GrowingAnswer, points: range, sums: _Sums) -> None:
     """Add an answer's tokens at instants, in events ahead."""
-    chances = answer.lengths.chances(answer.events, instants)
-    grown = answer.memory_tokens
-    grows_by = answer.event_tokens * instants.step
-    for index, still_runs in enumerate(chances):
-        sums.means[index] += still_runs * grown
-        sums.variances[index] += still_runs * (1 - still_runs) * grown * grown
-        sums.most[index] += grown
-        grown += grows_by
+    running_probabilities = answer.lengths.running_probabilities(answer.events, points)
+    tokens = answer.memory_tokens
+    tokens_per_step = answer.event_tokens * points.step
+    for index, running_probability in enumerate(running_probabilities):
+        sums.means[index] += running_probability * tokens
+        sums.variances[index] += (
+            running_probability * (1 - running_probability) * tokens * tokens
+        )
+        sums.maximum[index] += tokens
+        tokens += tokens_per_step
--- a/src/jujubeslip/admission/_models.py
+++ b/src/jujubeslip/admission/_models.py
@@ -20,7 +20,7 @@
 class WaitingOptions:
     """How requests wait for grants."""
 
-    passed_seconds: float = 0.3
+    bypass_seconds: float = 0.3
     """How long one that waits for memory may be passed by others, in seconds.
 
     Small ones use the room that it can't meanwhile; passed for good, a large one would
@@ -55,7 +55,7 @@
     """What requests are expected to take, None before enough have come."""
 
 
-class Lack(StrEnum):
+class MissingResource(StrEnum):
     """What a request that waits has not found."""
 
     READER = "reader"
@@ -105,16 +105,16 @@
 
 
 @dataclass(frozen=True)
-class Admitted:
+class GrantedRequest:
     """A request that has a grant at an engine."""
 
-    applicant: Applicant
+    grant_request: Applicant
     grant: Grant
     since: float
     """When it got the grant, by the steady clock in seconds."""
 
 
-def read_applicant(request: AdmissionRequest) -> Applicant:
+def grant_request_of(request: AdmissionRequest) -> Applicant:
     """Return the request that an entry host asks for."""
     return Applicant(
         request.request_id,
--- a/src/jujubeslip/admission/_order.py
+++ b/src/jujubeslip/admission/_order.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Turn:
+class QueueEntry:
     """The place of a request among those that wait."""
 
     target: float
@@ -15,7 +15,7 @@
     request_id: str
 
 
-class WaitingOrder:
+class WaitingQueue:
     """Requests still in time first, the earliest target before; late ones follow.
 
     Kept sorted by target: at any instant those in time are the end of the list, and the
@@ -25,35 +25,35 @@
     """
 
     def __init__(self) -> None:
-        self._turns: list[Turn] = []
+        self._entries: list[QueueEntry] = []
 
     def __len__(self) -> int:
-        return len(self._turns)
+        return len(self._entries)
 
-    def add(self, turn: Turn) -> None:
+    def add(self, entry: QueueEntry) -> None:
         """Let a request wait."""
-        insort(self._turns, turn)
+        insort(self._entries, entry)
 
-    def remove(self, turn: Turn) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Let a request that waits wait no more."""
-        index = bisect_left(self._turns, turn)
-        if index == len(self._turns) or self._turns[index] != turn:
-            raise KeyError(f"{turn.request_id} does not wait.")
-        del self._turns[index]
+        index = bisect_left(self._entries, entry)
+        if index == len(self._entries) or self._entries[index] != entry:
+            raise KeyError(f"{entry.request_id} does not wait.")
+        del self._entries[index]
 
-    def count_ahead(self, turn: Turn, now: float) -> int:
+    def count_ahead(self, entry: QueueEntry, now: float) -> int:
         """Return how many go before a request, itself left out if it waits."""
         in_time_from = self._in_time_from(now)
-        before = bisect_left(self._turns, turn)
-        if turn.target >= now:
+        before = bisect_left(self._entries, entry)
+        if entry.target >= now:
             return before - in_time_from
-        return len(self._turns) - in_time_from + before
+        return len(self._entries) - in_time_from + before
 
-    def first_ones(self, now: float, most: int) -> list[Turn]:
+    def head(self, now: float, maximum: int) -> list[QueueEntry]:
         """Return those that go first, in order, this many at most."""
         in_time_from = self._in_time_from(now)
-        found = self._turns[in_time_from : in_time_from + most]
-        return found + self._turns[: min(in_time_from, most - len(found))]
+        found = self._entries[in_time_from : in_time_from + maximum]
+        return found + self._entries[: min(in_time_from, maximum - len(found))]
 
     def _in_time_from(self, now: float) -> int:
-        return bisect_left(self._turns, now, key=lambda turn: turn.target)
+        return bisect_left(self._entries, now, key=lambda entry: entry.target)
--- a/src/jujubeslip/admission/_pool.py
+++ b/src/jujubeslip/admission/_pool.py
@@ -15,11 +15,11 @@
     Applicant,
     EngineUse,
     Grant,
-    Lack,
+    MissingResource,
     WaitingOptions,
 )
-from jujubeslip.admission._order import Turn, WaitingOrder
-from jujubeslip.admission._room_search import RoomSearch
+from jujubeslip.admission._order import QueueEntry, WaitingQueue
+from jujubeslip.admission._room_search import CapacitySearch
 from jujubeslip.admission._vain_waits import waits_in_vain
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline, steady_seconds
@@ -27,76 +27,81 @@
 
 logger = logging.getLogger(__name__)
 
-# A request whose host has not asked again for this long is waited for no more, in
-# seconds: hosts ask several times as often.
-ASKED_SECONDS = 1.0
-# How much later a target has to be for another turn, in seconds.
-LATER_TARGET_SECONDS = 0.05
-# How many requests are tried at one look: beyond them, none is likely to find room.
-TRIED_AT_MOST = 16
-# How much the latest interval between two requests that got a grant counts, and what
-# is assumed before the first one, in seconds.
+# A waiting request is dropped once its host has not asked again for this long, in
+# seconds. Hosts ask several times as often.
+ABANDONED_SECONDS = 1.0
+# A waiting request is moved in the queue only if its target has become later by at
+# least this much, in seconds.
+TARGET_TOLERANCE_SECONDS = 0.05
+# Number of requests that are tried in one pass over the queue. Further ones are
+# unlikely to find free capacity.
+MAXIMUM_TRIED = 16
+# Weight of the latest interval between two grants in the moving average, and the
+# initial value of that average in seconds.
 INTERVAL_WEIGHT = 0.2
-FIRST_INTERVAL_SECONDS = 0.1
+INITIAL_INTERVAL_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class Decision:
-    """What a request gets: a grant, a refusal, or neither where it is to ask again."""
+    """The outcome for a request: a grant, a refusal, or neither (it asks again)."""
 
     grant: Grant | None
     refused: bool
     forecast: float
-    """How long it was expected to wait when it came, in seconds."""
-    lacked: Lack | None = None
-    """What it did not find, where it is refused."""
+    """Expected wait at the time when the request arrived, in seconds."""
+    missing_resource: MissingResource | None = None
+    """What the request lacked, if it is refused."""
 
 
 @dataclass
-class _Waiting:
-    applicant: Applicant
-    search: RoomSearch
+class _WaitingRequest:
+    grant_request: Applicant
+    search: CapacitySearch
     since: float
-    asked_at: float
+    last_asked_at: float
     forecast: float
-    in_vain: bool
-    """Whether it surely gets no grant before its limit."""
+    is_unservable: bool
+    """Whether it certainly gets no grant before its limit."""
     decision: Decision | None = None
     decided: threading.Event = field(default_factory=threading.Event)
-    asking: int = 0
-    """Calls that wait for it at this moment."""
+    open_calls: int = 0
+    """Number of calls that currently wait for this request's decision."""
 
     @property
-    def turn(self) -> Turn:
-        return Turn(self.applicant.target_by.instant, self.applicant.request_id)
+    def entry(self) -> QueueEntry:
+        return QueueEntry(
+            self.grant_request.target_by.instant, self.grant_request.request_id
+        )
 
     @property
     def prompt_tokens(self) -> int:
-        return self.applicant.prompt_tokens
+        return self.grant_request.prompt_tokens
 
     @property
-    def takes_any_engine(self) -> bool:
-        """Say whether it waits for what all others wait for.
+    def accepts_any_engine(self) -> bool:
+        """Say whether the request may run on any engine, like most others.
 
-        One that avoids engines, or asks for one that reads its prompt itself, may wait
-        for seconds while there is room for everybody else.
+        A request that avoids some engines, or needs a decode engine that also prefills
+        its prompt, may wait for seconds while there is capacity for all others.
         """
-        return not self.search.avoided and not self.applicant.reads_itself
+        return not self.search.avoided and not self.grant_request.reads_itself
 
-    def holds_others_up(self, now: float, passed_seconds: float) -> bool:
-        """Say whether nobody may be granted what comes free before this one."""
-        return self.takes_any_engine and now - self.since >= passed_seconds
+    def blocks_others(self, now: float, bypass_seconds: float) -> bool:
+        """Say whether freed capacity may go to no other request before this one."""
+        return self.accepts_any_engine and now - self.since >= bypass_seconds
 
 
 class EnginePool:
-    """Gives grants in order: requests still in time first, the earliest target before.
+    """Gives grants in the order of targets; requests past their target come last.
 
-    All hosts' requests wait in one queue. Each host by itself would ask the engines
-    again and again, and whoever asked at the right moment would go first.
+    The requests of all hosts wait in one queue. If each host polled the engines on its
+    own, the grant would go to whichever host asked at the right moment.
 
-    Whoever brings news of the engines decides for all that wait, and wakes just those
-    that were decided: hundreds of hosts wait in a burst, and engines report hundreds of
-    times a second. What comes free by time alone is found by `look_again`.
+    The thread that delivers an engine's report or the end of a request decides for all
+    waiting requests and wakes only those that it decided: hundreds of hosts wait in a
+    burst, and engines report hundreds of times a second. `look_again` finds capacity
+    that becomes free merely because time passes.
     """
 
     def __init__(
@@ -108,210 +113,223 @@
         self._service_name = service_name
         self._options = waiting
         self._engines = ServiceEngines(options)
-        self._waiting_by_id: dict[str, _Waiting] = {}
-        self._order = WaitingOrder()
-        self._interval = FIRST_INTERVAL_SECONDS
+        self._waiting_by_id: dict[str, _WaitingRequest] = {}
+        self._queue = WaitingQueue()
+        self._interval = INITIAL_INTERVAL_SECONDS
         self._busy_since = steady_seconds()
         self._lock = threading.Lock()
 
     # Engines
 
     def set_engines(
-        self, answering: Collection[Endpoint], reading: Collection[Endpoint]
+        self,
+        decode_engines: Collection[Endpoint],
+        prefill_engines: Collection[Endpoint],
     ) -> None:
-        """Give grants at the first ones, and prompts to the second ones, only.
+        """Replace the decode engines that get grants and the engines that prefill.
 
-        What was given at a start that is gone goes with it: its next one begins with
-        nothing, and late ends of requests at the one before change nothing there.
+        The grants at a removed start are dropped with it. The endpoint's next start
+        begins without grants, and a late end of a request at the previous start does
+        not affect it.
         """
         with self._lock:
-            self._engines.keep_only(answering, reading)
+            self._engines.retain_only(decode_engines, prefill_engines)
 
     def take_report(self, start_id: str, report: EngineReport) -> None:
-        """Take over what a start of an engine says of itself."""
+        """Store the report of an engine's start and decide the waiting requests."""
         with self._lock:
             self._engines.take_report(start_id, report)
-            self._decide_all()
+            self._grant_waiting()
 
     def note_lost(self, start_id: str) -> None:
-        """Give a start of an engine that can't be reached nothing until it is back."""
+        """Give no requests to an unreachable start of an engine until it is back."""
         with self._lock:
             self._engines.note_lost(start_id)
 
     @property
     def usable(self) -> bool:
-        """Say whether any engine is known well enough to be given requests."""
+        """Say whether the state of any engine is recent enough to grant requests."""
         with self._lock:
             return self._engines.usable
 
     def reported_within(self, start_id: str, seconds: float) -> bool:
-        """Say whether a start of an engine has reported lately and can be reached."""
+        """Say whether a start has reported within this time and is reachable."""
         with self._lock:
             return self._engines.reported_within(start_id, seconds)
 
     def answer_count(self, start_id: str) -> int:
-        """Return how many answers an engine makes now, 0 if it isn't known."""
+        """Return how many answers an engine is decoding, 0 if it is unknown."""
         with self._lock:
             return self._engines.answer_count(start_id)
 
     @property
     def busy_readers(self) -> float:
-        """Return how many readers the prompts asked for lately would keep busy."""
+        """Return how many prefill engines the recently requested prompts keep busy."""
         with self._lock:
             return self._engines.busy_readers
 
     @property
     def use(self) -> EngineUse:
-        """Return how many engines the requests granted lately keep busy."""
+        """Return how many engines the recently granted requests keep busy."""
         with self._lock:
             return self._engines.use
 
     # Requests
 
     def ask(
-        self, applicant: Applicant, avoided: Collection[str], until: Deadline
+        self, grant_request: Applicant, avoided: Collection[str], until: Deadline
     ) -> Decision:
-        """Return a grant as soon as there is one, before the given instant."""
+        """Wait for a decision about the request, until the deadline at most."""
         with self._lock:
-            grant = self._engines.given_before(applicant)
+            grant = self._engines.existing_grant(grant_request)
             if grant is not None:
                 return Decision(grant, False, 0.0)
-            self._engines.note_asked(applicant)
-            self._end_earlier_attempt(applicant)
-            waiting = self._waiting_by_id.get(applicant.request_id)
+            self._engines.note_asked(grant_request)
+            self._end_earlier_attempt(grant_request)
+            waiting = self._waiting_by_id.get(grant_request.request_id)
             is_new = waiting is None
             if waiting is None:
-                waiting = self._enter(applicant, avoided)
-            waiting.asking += 1
-            self._move(waiting, applicant)
-            # For one that only asks on, nothing has changed.
-            if waiting.search.avoid(avoided) or is_new:
-                self._decide_all()
+                waiting = self._enqueue(grant_request, avoided)
+            waiting.open_calls += 1
+            self._update_target(waiting, grant_request)
+            # A repeated call with the same avoided engines changes nothing.
+            if waiting.search.set_avoided(avoided) or is_new:
+                self._grant_waiting()
         try:
             return self._wait(waiting, until)
         finally:
             with self._lock:
-                waiting.asking -= 1
-                waiting.asked_at = steady_seconds()
+                waiting.open_calls -= 1
+                waiting.last_asked_at = steady_seconds()
 
     def note_read(self, request_id: str, attempt: int) -> None:
-        """Note that a request's prompt was read, or won't be where it was to be."""
+        """Note that a prompt was prefilled, or won't be at the engine of its grant."""
         with self._lock:
             self._engines.note_read(request_id, attempt)
-            self._decide_all()
+            self._grant_waiting()
 
     def end(self, request_id: str, attempt: int) -> bool:
-        """Note that a request has ended, or will not be sent; say if it waited."""
+        """Note that a request has ended or will not be sent; say if it was waiting."""
         with self._lock:
             waiting = self._waiting_by_id.get(request_id)
-            waited = waiting is not None and waiting.applicant.attempt == attempt
+            waited = waiting is not None and waiting.grant_request.attempt == attempt
             if waiting is not None and waited:
                 self._refuse(waiting)
             self._engines.end(request_id, attempt)
-            self._decide_all()
+            self._grant_waiting()
         return waited
 
     def look_again(self) -> None:
-        """Decide for those that wait: a reader that was busy has time by itself."""
+        """Decide the waiting requests again: a busy prefill engine may be free now."""
         with self._lock:
-            self._decide_all()
+            self._grant_waiting()
 
-    # Those that wait; each method needs the lock.
+    # Waiting requests; the caller of each method holds the lock.
 
-    def _end_earlier_attempt(self, applicant: Applicant) -> None:
-        known = self._waiting_by_id.get(applicant.request_id)
-        if known is not None and known.applicant.attempt != applicant.attempt:
+    def _end_earlier_attempt(self, grant_request: Applicant) -> None:
+        known = self._waiting_by_id.get(grant_request.request_id)
+        if known is not None and known.grant_request.attempt != grant_request.attempt:
             self._refuse(known)
 
-    def _move(self, known: _Waiting, applicant: Applicant) -> None:
-        """Give a request another turn whose host tells a later target than before.
+    def _update_target(self, known: _WaitingRequest, grant_request: Applicant) -> None:
+        """Reorder a request whose host now states a later target than before.
 
-        What is told takes a moment on its way, which is no other target.
+        Small differences come from the network delay of the call and are ignored.
         """
-        later = applicant.target_by.instant - known.applicant.target_by.instant
-        if later < LATER_TARGET_SECONDS:
+        later = grant_request.target_by.instant - known.grant_request.target_by.instant
+        if later < TARGET_TOLERANCE_SECONDS:
             return
-        self._order.remove(known.turn)
-        known.applicant = applicant
-        self._order.add(known.turn)
-
-    def _enter(self, applicant: Applicant, avoided: Collection[str]) -> _Waiting:
-        """Let a request wait."""
+        self._queue.remove(known.entry)
+        known.grant_request = grant_request
+        self._queue.add(known.entry)
+
+    def _enqueue(
+        self, grant_request: Applicant, avoided: Collection[str]
+    ) -> _WaitingRequest:
+        """Add a request to the queue."""
         now = steady_seconds()
         if not self._waiting_by_id:
             self._busy_since = now
-        forecast = self._forecast(applicant, now)
-        in_vain = waits_in_vain(forecast, applicant.limit.remaining())
-        search = RoomSearch(applicant, avoided)
-        waiting = _Waiting(applicant, search, now, now, forecast, in_vain)
-        self._waiting_by_id[applicant.request_id] = waiting
-        self._order.add(waiting.turn)
+        forecast = self._forecast(grant_request, now)
+        is_unservable = waits_in_vain(forecast, grant_request.limit.remaining())
+        search = CapacitySearch(grant_request, avoided)
+        waiting = _WaitingRequest(
+            grant_request, search, now, now, forecast, is_unservable
+        )
+        self._waiting_by_id[grant_request.request_id] = waiting
+        self._queue.add(waiting.entry)
         return waiting
 
-    def _forecast(self, applicant: Applicant, now: float) -> float:
-        turn = Turn(applicant.target_by.instant, applicant.request_id)
-        return (self._order.count_ahead(turn, now) + 1) * self._interval
+    def _forecast(self, grant_request: Applicant, now: float) -> float:
+        entry = QueueEntry(grant_request.target_by.instant, grant_request.request_id)
+        return (self._queue.count_ahead(entry, now) + 1) * self._interval
 
-    def _decide_all(self) -> None:
-        """Give grants to those that go first, as far as there is room."""
+    def _grant_waiting(self) -> None:
+        """Give grants to the requests at the head of the queue while capacity lasts."""
         if not self._waiting_by_id:
             return
         now = steady_seconds()
-        readers = self._engines.readers_now()
+        prefill_candidates = self._engines.prefill_candidates()
         too_large = math.inf
-        for turn in self._order.first_ones(now, TRIED_AT_MOST):
-            waiting = self._waiting_by_id[turn.request_id]
-            if self._is_over(waiting, now) or waiting.prompt_tokens >= too_large:
+        for entry in self._queue.head(now, MAXIMUM_TRIED):
+            waiting = self._waiting_by_id[entry.request_id]
+            if (
+                self._drop_if_abandoned(waiting, now)
+                or waiting.prompt_tokens >= too_large
+            ):
                 continue
-            reads_beside = now - waiting.since >= self._options.reader_seconds
-            grant = self._engines.find_grant(waiting.search, readers, reads_beside)
+            may_use_decode_engine = now - waiting.since >= self._options.reader_seconds
+            grant = self._engines.find_grant(
+                waiting.search, prefill_candidates, may_use_decode_engine
+            )
             if grant is not None:
                 self._admit(waiting, grant, now)
-                readers = self._engines.readers_now()
-            elif waiting.holds_others_up(now, self._options.passed_seconds):
+                prefill_candidates = self._engines.prefill_candidates()
+            elif waiting.blocks_others(now, self._options.bypass_seconds):
                 return
-            elif waiting.takes_any_engine:
+            elif waiting.accepts_any_engine:
                 too_large = waiting.prompt_tokens
 
-    def _is_over(self, waiting: _Waiting, now: float) -> bool:
-        """Drop a request whose host asks no more, which would hold up all others."""
-        if waiting.asking or waiting.asked_at >= now - ASKED_SECONDS:
+    def _drop_if_abandoned(self, waiting: _WaitingRequest, now: float) -> bool:
+        """Drop a request whose host no longer asks; it would block all others."""
+        if waiting.open_calls or waiting.last_asked_at >= now - ABANDONED_SECONDS:
             return False
         self._refuse(waiting)
         extra = {
-            "request_id": waiting.applicant.request_id,
+            "request_id": waiting.grant_request.request_id,
             "service": self._service_name,
         }
-        logger.info("request waits no more for a grant", extra=extra)
+        logger.info("request dropped from the grant queue", extra=extra)
         return True
 
-    def _admit(self, waiting: _Waiting, grant: Grant, now: float) -> None:
-        self._engines.admit(waiting.applicant, grant)
+    def _admit(self, waiting: _WaitingRequest, grant: Grant, now: float) -> None:
+        self._engines.admit(waiting.grant_request, grant)
         self._interval += INTERVAL_WEIGHT * (now - self._busy_since - self._interval)
         self._busy_since = now
         self._decide(waiting, Decision(grant, False, waiting.forecast))
 
-    def _refuse(self, waiting: _Waiting) -> None:
-        lacked = waiting.search.lacks
-        self._decide(waiting, Decision(None, True, waiting.forecast, lacked))
+    def _refuse(self, waiting: _WaitingRequest) -> None:
+        missing_resource = waiting.search.last_missing
+        self._decide(waiting, Decision(None, True, waiting.forecast, missing_resource))
 
-    def _decide(self, waiting: _Waiting, decision: Decision) -> None:
-        """Let all calls for the request end with this decision."""
+    def _decide(self, waiting: _WaitingRequest, decision: Decision) -> None:
+        """End all calls for the request with this decision."""
         waiting.decision = decision
-        del self._waiting_by_id[waiting.applicant.request_id]
-        self._order.remove(waiting.turn)
+        del self._waiting_by_id[waiting.grant_request.request_id]
+        self._queue.remove(waiting.entry)
         waiting.decided.set()
 
-    # The call of one host.
+    # Called without the lock, in the thread of one host's call.
 
-    def _wait(self, waiting: _Waiting, until: Deadline) -> Decision:
-        """Return the decision; none of both where it is not there in time."""
-        limit = waiting.applicant.limit
+    def _wait(self, waiting: _WaitingRequest, until: Deadline) -> Decision:
+        """Return the decision, or an undecided one if none is made in time."""
+        limit = waiting.grant_request.limit
         while True:
             with self._lock:
-                # Told at once that its wait would be in vain, a client comes back when
-                # others have ended; held until its limit, it would be refused as well.
-                is_late = waiting.in_vain or limit.expired
+                # A client whose wait cannot succeed is refused at once, so that it can
+                # retry when other requests have ended. Held until its limit, it would
+                # be refused as well.
+                is_late = waiting.is_unservable or limit.expired
                 if waiting.decision is None and is_late:
                     self._refuse(waiting)
                 if waiting.decision is not None:
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class _AskedPrompt:
+class _RequestedPrompt:
     """A prompt that a request asked a reader for."""
 
     asked_at: float
@@ -25,7 +25,7 @@
     """
 
     def __init__(self) -> None:
-        self._asked_by_request: OrderedDict[str, _AskedPrompt] = OrderedDict()
+        self._requested_by_id: OrderedDict[str, _RequestedPrompt] = OrderedDict()
         self._tokens = 0
 
     def note(self, request_id: str, tokens: int, now: float) -> bool:
@@ -34,9 +34,9 @@
         `now` is the steady clock's.
         """
         self._forget_old(now)
-        if request_id in self._asked_by_request:
+        if request_id in self._requested_by_id:
             return False
-        self._asked_by_request[request_id] = _AskedPrompt(now, tokens)
+        self._requested_by_id[request_id] = _RequestedPrompt(now, tokens)
         self._tokens += tokens
         return True
 
@@ -47,9 +47,9 @@
 
     def _forget_old(self, now: float) -> None:
         oldest = now - DEMAND_SECONDS
-        while self._asked_by_request:
-            request_id, asked = next(iter(self._asked_by_request.items()))
+        while self._requested_by_id:
+            request_id, asked = next(iter(self._requested_by_id.items()))
             if asked.asked_at >= oldest:
                 return
-            del self._asked_by_request[request_id]
+            del self._requested_by_id[request_id]
             self._tokens -= asked.tokens
--- a/src/jujubeslip/admission/_readers_now.py
+++ b/src/jujubeslip/admission/_readers_now.py
@@ -8,43 +8,43 @@
 from functools import cached_property
 from typing import NamedTuple
 
-from jujubeslip.admission._prompt_queue import PromptQueue
+from jujubeslip.admission._prompt_queue import PrefillQueue
 
 
 @dataclass(frozen=True)
-class ReadersNow:
+class PrefillCandidates:
     """The engines that read prompts for others, as they are when first asked for."""
 
-    known: tuple[PromptQueue, ...]
+    queues: tuple[PrefillQueue, ...]
 
     @cached_property
-    def usable(self) -> tuple[PromptQueue, ...]:
+    def usable(self) -> tuple[PrefillQueue, ...]:
         """Return those that can be given prompts, be it later."""
-        return tuple(item for item in self.known if item.usable)
+        return tuple(item for item in self.queues if item.usable)
 
     @cached_property
-    def ready(self) -> tuple[PromptQueue, ...]:
+    def ready(self) -> tuple[PrefillQueue, ...]:
         """Return those that should be given one, that with the least to read first."""
-        turns = [
-            _ReaderTurn(item.seconds_left, random.random(), item)
+        ready = [
+            _ReadyQueue(item.seconds_left, random.random(), item)
             for item in self.usable
-            if item.has_room
+            if item.accepts_more
         ]
-        return tuple(turn.reader for turn in sorted(turns))
+        return tuple(item.queue for item in sorted(ready))
 
-    def next_but(self, avoided: Collection[str]) -> PromptQueue | None:
+    def next_except(self, avoided: Collection[str]) -> PrefillQueue | None:
         """Return the reader whose turn it is, None if all have enough to read."""
-        turns = (item for item in self.ready if item.endpoint.start_id not in avoided)
-        return next(turns, None)
+        ready = (item for item in self.ready if item.endpoint.start_id not in avoided)
+        return next(ready, None)
 
-    def any_but(self, avoided: Collection[str]) -> bool:
+    def any_except(self, avoided: Collection[str]) -> bool:
         """Say whether any reader is there, be it with a prompt to read."""
         return any(item.endpoint.start_id not in avoided for item in self.usable)
 
 
-class _ReaderTurn(NamedTuple):
+class _ReadyQueue(NamedTuple):
     """A reader, ordered by what it has left to read, equal ones by lot."""
 
     seconds_left: float
-    lot: float
-    reader: PromptQueue
+    tie_breaker: float
+    queue: PrefillQueue
--- a/src/jujubeslip/admission/_request_needs.py
+++ b/src/jujubeslip/admission/_request_needs.py
@@ -13,26 +13,26 @@
 from jujubeslip.admission._models import EngineNeed
 
 # Requests whose mean is taken for the usual one: of eight, it is off by a fifth.
-LEAST_REQUESTS = 8
+MINIMUM_REQUESTS = 8
 # Latest requests that count.
-COUNTED_REQUESTS = 50
+MAXIMUM_REQUESTS = 50
 
 
 class RequestNeeds:
     """The needs of the latest requests."""
 
     def __init__(self) -> None:
-        self._latest: deque[EngineNeed] = deque(maxlen=COUNTED_REQUESTS)
+        self._latest: deque[EngineNeed] = deque(maxlen=MAXIMUM_REQUESTS)
 
     def note(self, need: EngineNeed) -> None:
         """Note what a request is expected to take."""
         self._latest.append(need)
 
     @property
-    def usual(self) -> EngineNeed | None:
+    def mean(self) -> EngineNeed | None:
         """Return what a request takes in the mean, None before enough have come."""
         count = len(self._latest)
-        if count < LEAST_REQUESTS:
+        if count < MINIMUM_REQUESTS:
             return None
         return EngineNeed(
             sum(need.reading_seconds for need in self._latest) / count,
--- a/src/jujubeslip/admission/_room_changes.py
+++ b/src/jujubeslip/admission/_room_changes.py
@@ -6,7 +6,7 @@
 from collections.abc import Container, Iterator
 
 
-class RoomChanges:
+class CapacityChanges:
     """The latest instant of each engine at which something ended or was reported.
 
     The load that this answers: hundreds wait while seventy engines report four times a
@@ -33,7 +33,7 @@
                 return
             yield start_id
 
-    def keep_only(self, start_ids: Container[str]) -> None:
+    def retain_only(self, start_ids: Container[str]) -> None:
         """Forget all other engines."""
         for start_id in list(self._number_by_start):
             if start_id not in start_ids:
--- a/src/jujubeslip/admission/_room_search.py
+++ b/src/jujubeslip/admission/_room_search.py
@@ -9,26 +9,29 @@
     MemoryProfile,
     profile_of,
 )
-from jujubeslip.admission._models import Applicant, Lack
+from jujubeslip.admission._models import Applicant, MissingResource
 
 
-class RoomSearch:
+class CapacitySearch:
     """The search for room of one request, over all the times that it is tried."""
 
-    def __init__(self, applicant: Applicant, avoided: Collection[str]) -> None:
-        self.applicant = applicant
+    def __init__(self, grant_request: Applicant, avoided: Collection[str]) -> None:
+        self.grant_request = grant_request
         self.avoided = frozenset(avoided)
         """Starts of engines that are not to be given."""
         self.tried_at = 0
         """The latest change of room before which no engine had any, 0 for none."""
-        self.lacks = Lack.MEMORY
+        self.last_missing = MissingResource.MEMORY
         """What was not there when it was last tried."""
         self._answer = GrowingAnswer(
-            applicant.prompt_tokens, 0, applicant.event_tokens, applicant.lengths
+            grant_request.prompt_tokens,
+            0,
+            grant_request.event_tokens,
+            grant_request.lengths,
         )
         self._profile_by_longest: dict[int, MemoryProfile] = {}
 
-    def avoid(self, avoided: Collection[str]) -> bool:
+    def set_avoided(self, avoided: Collection[str]) -> bool:
         """Leave out these engines from now on; say whether they were others before."""
         if self.avoided == frozenset(avoided):
             return False
@@ -36,7 +39,7 @@
         self.tried_at = 0
         return True
 
-    def note_no_room(self, change: int) -> None:
+    def note_no_capacity(self, change: int) -> None:
         """Note that no engine has room as they are after this change."""
         self.tried_at = change
 
--- a/tests/admission/test_engine_follower.py
+++ b/tests/admission/test_engine_follower.py
@@ -12,7 +12,7 @@
 import pytest
 
 from jujubeslip.admission import _engine_follower
-from jujubeslip.admission._engine_follower import EngineFollower
+from jujubeslip.admission._engine_follower import EngineReportPoller
 from jujubeslip.endpoints import AnswerCutError, EndpointUnreachableError
 from jujubeslip.interfaces import interfaces
 from jujubeslip.kernel import load_plugins
@@ -54,7 +54,7 @@
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
         taken: list[EngineReport] = []
-        follower = EngineFollower(
+        poller = EngineReportPoller(
             engine("e"),
             interface,
             process,
@@ -63,7 +63,7 @@
         )
         with caplog.at_level(logging.INFO):
             for _ in range(3):
-                follower._ask()
+                poller._request_report()
         assert [report.capacity_tokens for report in taken] == [100]
         first, second = caplog.records
         assert "'kvCapacity'" in vars(first)["error"]
@@ -84,14 +84,14 @@
         return []
 
     @pytest.fixture
-    def follower(
+    def poller(
         self, monkeypatch: pytest.MonkeyPatch, lost: list[str]
-    ) -> EngineFollower:
+    ) -> EngineReportPoller:
         monkeypatch.setattr(_engine_follower, "ask_endpoint", self.answer)
         self.answers: list[object] = []
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
-        return EngineFollower(
+        return EngineReportPoller(
             engine("e", started_at_ms=7),
             interface,
             process,
@@ -118,32 +118,32 @@
         ids=["reset, then refused", "refused", "another endpoint has the address"],
     )
     def test_is_told_lost_at_the_first_look(
-        self, follower: EngineFollower, lost: list[str], answers: tuple[object, ...]
+        self, poller: EngineReportPoller, lost: list[str], answers: tuple[object, ...]
     ) -> None:
         self.answers += answers
-        follower._look()
+        poller._poll()
         assert lost == ["e"]
 
     def test_is_told_lost_when_another_start_answers(
-        self, follower: EngineFollower, lost: list[str]
+        self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
         self.answers += [self.OTHER_START, self.OTHER_START]
-        follower._look()
+        poller._poll()
         assert lost == ["e"]
 
     def test_is_kept_when_only_a_connection_was_dropped(
-        self, follower: EngineFollower, lost: list[str]
+        self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
         self.answers += [self.DROPPED, self.GOOD]
-        follower._look()
+        poller._poll()
         assert lost == []
 
     def test_is_told_lost_once_each_time(
-        self, follower: EngineFollower, lost: list[str]
+        self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
         self.answers += [self.REFUSED] * 3 + [self.GOOD] + [self.REFUSED] * 2
         for _ in range(4):
-            follower._look()
+            poller._poll()
         assert lost == ["e", "e"]
         assert self.answers == []
 
@@ -157,7 +157,7 @@
             followed = replace(engine("e"), address=worker.address)
             notices = EndpointNotices()
             process: Any = None
-            follower = EngineFollower(
+            poller = EngineReportPoller(
                 followed,
                 interfaces.get("platform"),
                 process,
@@ -168,8 +168,8 @@
             refusal = read_head(503, [("Retry-After", "0.3")])
             notices.note_other_answer(followed, refusal)
             for _ in range(3):
-                follower._look()
+                poller._poll()
             assert worker.questions == []
             time.sleep(0.35)
-            follower._look()
+            poller._poll()
             assert worker.questions == ["report"]
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -25,26 +25,26 @@
 REQUEST_NUMBERS = itertools.count()
 
 
-class TasksAtOnce:
+class ImmediateProcess:
     """A process whose tasks run at their start, before anything else goes on."""
 
     def start_task(self, task: Callable[[], None]) -> None:
         task()
 
 
-class FollowerThatHearsAtOnce:
+class ImmediatePoller:
     """Hands over an engine's report in the moment that it is told to follow it."""
 
     def __init__(
         self,
-        followed: Endpoint,
+        polled: Endpoint,
         interface: object,
         process: object,
         on_report: Callable[[Endpoint, EngineReport], None],
         on_lost: Callable[[Endpoint], None],
         *_: object,
     ) -> None:
-        self._engine = followed
+        self._engine = polled
         self._on_report = on_report
 
     def stop(self) -> None:
@@ -56,7 +56,7 @@
         self._on_report(self._engine, report)
 
 
-class TestReportThatComesAtOnce:
+class TestImmediateReport:
     """An engine that reads prompts reports within a millisecond after it is found.
 
     Its report would be for an engine that is not known yet, and be lost: until its next
@@ -64,10 +64,10 @@
     """
 
     def test_is_not_lost(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(_home, "EngineFollower", FollowerThatHearsAtOnce)
+        monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
         book = EndpointBook()
         book.take([engine("engine"), engine("reader", EndpointRole.PREFILL)])
-        process: Any = TasksAtOnce()
+        process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, caution=1.5)
         home = AdmissionHome(
@@ -83,24 +83,24 @@
         assert (reply.start_id, reply.reader_start_id) == ("engine", "reader")
 
 
-class TestEnginesOfAnotherWriter:
+class TestEnginesOfAnUnconfiguredService:
     """Another program announces an engine of a service that no configuration names.
 
     Asked for a report four times a second, it would be used, and could be any address.
     """
 
-    def test_are_not_followed(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        followed: list[str] = []
+    def test_are_not_polled(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        polled: list[str] = []
 
-        class Follower(FollowerThatHearsAtOnce):
+        class Poller(ImmediatePoller):
             def run(self) -> None:
-                followed.append(self._engine.endpoint_id)
+                polled.append(self._engine.endpoint_id)
 
-        monkeypatch.setattr(_home, "EngineFollower", Follower)
+        monkeypatch.setattr(_home, "EngineReportPoller", Poller)
         book = EndpointBook()
         book.take([engine("foreign")])
         book.take([replace(engine("known"), service_name="named")])
-        process: Any = TasksAtOnce()
+        process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, caution=1.5)
         home = AdmissionHome(
@@ -111,20 +111,22 @@
         )
         with pytest.raises(PeerRefusal):
             home.admit(request)
-        assert followed == ["known"]
+        assert polled == ["known"]
 
 
-def home_of_two_readers(
+def home_with_two_prefill_engines(
     monkeypatch: pytest.MonkeyPatch,
     ordered_role: Callable[[Endpoint], EndpointRole | None],
     notices: EndpointNotices | None = None,
 ) -> AdmissionHome:
     """Return a home of one engine and two readers."""
-    monkeypatch.setattr(_home, "EngineFollower", FollowerThatHearsAtOnce)
+    monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
     book = EndpointBook()
-    readers = [engine(name, EndpointRole.PREFILL) for name in ("first", "other")]
-    book.take([engine("engine"), *readers])
-    process: Any = TasksAtOnce()
+    prefill_engines = [
+        engine(name, EndpointRole.PREFILL) for name in ("first", "other")
+    ]
+    book.take([engine("engine"), *prefill_engines])
+    process: Any = ImmediateProcess()
     interface: Any = None
     return AdmissionHome(
         process,
@@ -138,7 +140,7 @@
     )
 
 
-def readers_given(home: AdmissionHome) -> set[str]:
+def granted_prefill_engines(home: AdmissionHome) -> set[str]:
     """Return the readers of some requests; the one with less to read is next."""
     found = set()
     for number in itertools.islice(REQUEST_NUMBERS, 8):
@@ -153,7 +155,7 @@
     return found
 
 
-class TestReaderThatIsOrderedToAnswer:
+class TestPrefillEngineOrderedToDecode:
     """A reader is ordered to answer and refuses prompts from that moment on.
 
     Its reports show that about a second later. Five prompts of a calm moment were sent
@@ -164,29 +166,32 @@
         self, monkeypatch: pytest.MonkeyPatch, role: EndpointRole | None
     ) -> AdmissionHome:
         """Return a home of one engine and two readers, one of which has an order."""
-        return home_of_two_readers(
+        return home_with_two_prefill_engines(
             monkeypatch, lambda asked: role if asked.endpoint_id == "first" else None
         )
 
     def test_gets_no_prompts(self, monkeypatch: pytest.MonkeyPatch) -> None:
         home = self.home(monkeypatch, EndpointRole.DECODE)
-        assert readers_given(home) == {"other"}
+        assert granted_prefill_engines(home) == {"other"}
 
     @pytest.mark.parametrize("role", [None, EndpointRole.PREFILL])
-    def test_others_get_them(
+    def test_gets_prompts_without_another_role_ordered(
         self, monkeypatch: pytest.MonkeyPatch, role: EndpointRole | None
     ) -> None:
-        assert readers_given(self.home(monkeypatch, role)) == {"first", "other"}
+        assert granted_prefill_engines(self.home(monkeypatch, role)) == {
+            "first",
+            "other",
+        }
 
 
-class TestEngineThatSaysItLeaves:
+class TestLeavingEngine:
     """Guards against grants at engines whose reports say that they leave."""
 
     def test_is_not_granted(self, monkeypatch: pytest.MonkeyPatch) -> None:
         notices = EndpointNotices()
-        home = home_of_two_readers(monkeypatch, lambda _: None, notices)
-        assert readers_given(home) == {"first", "other"}
+        home = home_with_two_prefill_engines(monkeypatch, lambda _: None, notices)
+        assert granted_prefill_engines(home) == {"first", "other"}
         leaving = engine("first", EndpointRole.PREFILL)
         notices.note_other_answer(leaving, read_head(200, [("Server-Leaving", "1")]))
         home.look()
-        assert readers_given(home) == {"other"}
+        assert granted_prefill_engines(home) == {"other"}
--- a/tests/admission/test_memory_forecast.py
+++ b/tests/admission/test_memory_forecast.py
@@ -56,16 +56,16 @@
 class TestLengths:
     def test_without_an_estimate_are_equally_likely(self) -> None:
         lengths = lengths_of(100)
-        assert lengths.still_runs(0, 50) == 0.5
-        assert lengths.still_runs(50, 25) == 0.5
+        assert lengths.running_probability(0, 50) == 0.5
+        assert lengths.running_probability(50, 25) == 0.5
 
     def test_end_at_the_longest(self) -> None:
-        assert lengths_of(100, 400).still_runs(20, 80) == 0
-        assert lengths_of(100).still_runs(500, 1) == 0
+        assert lengths_of(100, 400).running_probability(20, 80) == 0
+        assert lengths_of(100).running_probability(500, 1) == 0
 
     def test_that_outlast_the_estimate_still_may_go_on(self) -> None:
         """An estimate is often far off: an answer beyond it does not end at once."""
-        assert lengths_of(130, 20).still_runs(60, 5) > 0.3
+        assert lengths_of(130, 20).running_probability(60, 5) > 0.3
 
 
 class TestGrowth:
--- a/tests/admission/test_prompt_demand.py
+++ b/tests/admission/test_prompt_demand.py
@@ -7,9 +7,9 @@
 from jujubeslip.admission._prompt_demand import DEMAND_SECONDS, PromptDemand
 from tests.admission.test_pool import (
     FULL,
-    applicant,
+    already_expired,
     ask_now,
-    at_once,
+    grant_request,
     pool_of,
 )
 
@@ -47,7 +47,7 @@
 
     def test_one_that_needs_no_reader_does_not_count(self) -> None:
         pool = pool_of("engine")
-        pool.ask(applicant("request", reads_itself=True), (), at_once())
+        pool.ask(grant_request("request", reads_itself=True), (), already_expired())
         assert pool.busy_readers == 0.0
 
 
--- a/tests/admission/test_prompt_queue.py
+++ b/tests/admission/test_prompt_queue.py
@@ -7,7 +7,7 @@
 from jujubeslip.admission import _prompt_queue
 from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._models import USABLE_SECONDS, Applicant
-from jujubeslip.admission._prompt_queue import PromptQueue
+from jujubeslip.admission._prompt_queue import PrefillQueue
 from jujubeslip.kernel import Deadline
 from tests.fakes.clock import Clock
 from tests.fakes.engines import engine
@@ -36,12 +36,12 @@
 
 class TestTimeLeft:
     def test_learns_how_fast_the_engine_reads(self, clock: Clock) -> None:
-        queue = PromptQueue(engine("reader"))
+        queue = PrefillQueue(engine("reader"))
         for number in range(60):
-            queue.give(prompt(str(number), 5000))
+            queue.add(prompt(str(number), 5000))
             clock.now += 0.5
             queue.note_read(str(number), 1)
-        queue.give(prompt("next", 5000))
+        queue.add(prompt("next", 5000))
         assert 0.4 < queue.seconds_left < 0.55
 
     def test_is_not_misled_by_prompts_that_end_together(self, clock: Clock) -> None:
@@ -50,38 +50,38 @@
         Taken by itself the second one seems to take no time, and the engine would be
         given far more than it can read.
         """
-        queue = PromptQueue(engine("reader"))
+        queue = PrefillQueue(engine("reader"))
         for number in range(60):
-            queue.give(prompt(f"{number}-a", 5000))
-            queue.give(prompt(f"{number}-b", 5000))
+            queue.add(prompt(f"{number}-a", 5000))
+            queue.add(prompt(f"{number}-b", 5000))
             clock.now += 1.0
             queue.note_read(f"{number}-a", 1)
             queue.note_read(f"{number}-b", 1)
-        queue.give(prompt("next", 5000))
+        queue.add(prompt("next", 5000))
         assert 0.35 < queue.seconds_left < 0.55
 
     def test_gets_less_while_the_engine_reads(self, clock: Clock) -> None:
-        queue = PromptQueue(engine("reader"))
+        queue = PrefillQueue(engine("reader"))
         queue.take_report(_report())
-        assert queue.has_room
-        queue.give(prompt("a", 20_000))
-        assert not queue.has_room
+        assert queue.accepts_more
+        queue.add(prompt("a", 20_000))
+        assert not queue.accepts_more
         clock.now += 0.45
-        assert queue.has_room
+        assert queue.accepts_more
 
     def test_forgets_prompts_of_hosts_that_died(self, clock: Clock) -> None:
-        queue = PromptQueue(engine("reader"))
-        queue.give(prompt("a", 1_000_000))
+        queue = PrefillQueue(engine("reader"))
+        queue.add(prompt("a", 1_000_000))
         clock.now += 4
-        assert not queue.has_room
+        assert not queue.accepts_more
         queue.take_report(_report())
-        assert queue.has_room
+        assert queue.accepts_more
 
 
 class TestReaderThatNeverReports:
     def test_is_waited_for_only_for_a_while(self, clock: Clock) -> None:
-        queue = PromptQueue(engine("reader"))
-        assert queue.usable and not queue.has_room
+        queue = PrefillQueue(engine("reader"))
+        assert queue.usable and not queue.accepts_more
         clock.now += USABLE_SECONDS
         assert not queue.usable
 
--- a/tests/admission/test_request_needs.py
+++ b/tests/admission/test_request_needs.py
@@ -7,8 +7,8 @@
 from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._models import EngineNeed
 from jujubeslip.admission._request_needs import (
-    COUNTED_REQUESTS,
-    LEAST_REQUESTS,
+    MAXIMUM_REQUESTS,
+    MINIMUM_REQUESTS,
     RequestNeeds,
 )
 from tests.admission.test_pool import (
@@ -32,24 +32,24 @@
         return needs
 
     def test_is_not_known_from_a_few(self) -> None:
-        assert self.noted(LEAST_REQUESTS - 1, EngineNeed(0.1, 0.4)).usual is None
+        assert self.noted(MINIMUM_REQUESTS - 1, EngineNeed(0.1, 0.4)).mean is None
 
     def test_is_the_mean(self) -> None:
-        needs = self.noted(LEAST_REQUESTS, EngineNeed(0.1, 0.2))
-        for _ in range(LEAST_REQUESTS):
+        needs = self.noted(MINIMUM_REQUESTS, EngineNeed(0.1, 0.2))
+        for _ in range(MINIMUM_REQUESTS):
             needs.note(EngineNeed(0.3, 0.6))
-        usual = needs.usual
-        assert usual is not None
-        assert usual.reading_seconds == pytest.approx(0.2)
-        assert usual.answering_seconds == pytest.approx(0.4)
+        mean = needs.mean
+        assert mean is not None
+        assert mean.reading_seconds == pytest.approx(0.2)
+        assert mean.answering_seconds == pytest.approx(0.4)
 
     def test_is_that_of_the_latest(self) -> None:
-        needs = self.noted(COUNTED_REQUESTS, EngineNeed(0.1, 0.2))
-        for _ in range(COUNTED_REQUESTS):
+        needs = self.noted(MAXIMUM_REQUESTS, EngineNeed(0.1, 0.2))
+        for _ in range(MAXIMUM_REQUESTS):
             needs.note(EngineNeed(0.3, 0.6))
-        usual = needs.usual
-        assert usual is not None
-        assert usual.reading_seconds == pytest.approx(0.3)
+        mean = needs.mean
+        assert mean is not None
+        assert mean.reading_seconds == pytest.approx(0.3)
 
 
 class TestNeedsOfRequestsThatAsk:
@@ -57,7 +57,7 @@
 
     def test_are_told_with_the_use_of_engines(self) -> None:
         pool = pool_of("engine")
-        for number in range(LEAST_REQUESTS):
+        for number in range(MINIMUM_REQUESTS):
             assert pool.use.usual_need is None
             ask_now(pool, f"request-{number}")
         need = pool.use.usual_need
@@ -73,7 +73,7 @@
 
     def test_count_a_request_that_asks_again_once(self) -> None:
         pool = pool_of("engine")
-        for attempt in range(1, LEAST_REQUESTS + 1):
+        for attempt in range(1, MINIMUM_REQUESTS + 1):
             ask_now(pool, "request", attempt=attempt)
         assert pool.use.usual_need is None
 
--- a/tests/admission/test_room_search.py
+++ b/tests/admission/test_room_search.py
@@ -7,13 +7,13 @@
 import pytest
 
 from jujubeslip.admission import _engine_memory
-from jujubeslip.admission._engines import OTHER_ZONE_FILL, ServiceEngines
+from jujubeslip.admission._engines import OTHER_ZONE_COST, ServiceEngines
 from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import Applicant, Grant
-from jujubeslip.admission._pool import TRIED_AT_MOST, EnginePool
-from jujubeslip.admission._room_changes import RoomChanges
-from jujubeslip.admission._room_search import RoomSearch
+from jujubeslip.admission._pool import MAXIMUM_TRIED, EnginePool
+from jujubeslip.admission._room_changes import CapacityChanges
+from jujubeslip.admission._room_search import CapacitySearch
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport, RunningAnswer
 from tests.fakes.engines import engine
@@ -21,10 +21,10 @@
 CAPACITY = 34_000
 EVENT_TOKENS, MAXIMUM_EVENTS = 13, 130
 OPTIONS = MemoryOptions(margin=0.05, caution=1.5)
-READER = EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
+PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
 
 
-def applicant(request_id: str, prompt_tokens: int = 3_200) -> Applicant:
+def grant_request(request_id: str, prompt_tokens: int = 3_200) -> Applicant:
     return Applicant(
         request_id,
         attempt=1,
@@ -51,7 +51,7 @@
 
 class TestRoomChanges:
     def test_tell_the_engines_that_changed_since(self) -> None:
-        changes = RoomChanges()
+        changes = CapacityChanges()
         for name in ("one", "two", "three"):
             changes.note(name)
         seen = changes.latest
@@ -60,10 +60,10 @@
         assert sorted(changes.since(0)) == ["one", "three", "two"]
 
     def test_forget_engines_that_are_gone(self) -> None:
-        changes = RoomChanges()
+        changes = CapacityChanges()
         changes.note("one")
         changes.note("two")
-        changes.keep_only({"two"})
+        changes.retain_only({"two"})
         assert list(changes.since(0)) == ["two"]
 
 
@@ -83,11 +83,11 @@
         pool = EnginePool("model", OPTIONS)
         names = [f"engine-{number}" for number in range(self.ENGINES)]
         pool.set_engines([engine(name) for name in names], [engine("reader")])
-        pool.take_report("reader", READER)
+        pool.take_report("reader", PREFILL_REPORT)
         for name in names:
             pool.take_report(name, report(name, 9))
         for number in range(self.WAITING):
-            pool.ask(applicant(f"request-{number}"), (), Deadline.after(0))
+            pool.ask(grant_request(f"request-{number}"), (), Deadline.after(0))
         return pool
 
     @pytest.fixture
@@ -110,18 +110,18 @@
     ) -> None:
         pool.take_report("engine-7", report("engine-7", 9))
         assert set(forecasts) == {"engine-7"}
-        assert len(forecasts) <= TRIED_AT_MOST
+        assert len(forecasts) <= MAXIMUM_TRIED
 
     def test_one_that_asks_on_is_no_reason_to_look(
         self, pool: EnginePool, forecasts: list[str]
     ) -> None:
-        pool.ask(applicant("request-3"), (), Deadline.after(0))
+        pool.ask(grant_request("request-3"), (), Deadline.after(0))
         pool.look_again()
         assert forecasts == []
 
     def test_room_goes_to_the_first_one_at_once(self, pool: EnginePool) -> None:
         pool.take_report("engine-7", report("engine-7", 3))
-        decision = pool.ask(applicant("request-0"), (), Deadline.after(0))
+        decision = pool.ask(grant_request("request-0"), (), Deadline.after(0))
         assert decision.grant is not None
         assert decision.grant.endpoint.endpoint_id == "engine-7"
 
@@ -132,22 +132,22 @@
         draw = random.Random(seed)
         engines = ServiceEngines(OPTIONS)
         zones = {f"engine-{n}": draw.choice(["zone-1", "zone-2"]) for n in range(20)}
-        engines.keep_only(
+        engines.retain_only(
             [engine(name, availability_zone=zone) for name, zone in zones.items()],
             [engine("reader")],
         )
-        engines.take_report("reader", READER)
+        engines.take_report("reader", PREFILL_REPORT)
         for name in zones:
             prompt_tokens = draw.randrange(500, 6_000)
             engines.take_report(name, report(name, draw.randrange(10), prompt_tokens))
-        asking = applicant("asks", draw.randrange(500, 6_000))
+        asking = grant_request("asks", draw.randrange(500, 6_000))
 
         def find(avoided: set[str]) -> Grant | None:
-            search = RoomSearch(asking, avoided)
-            return engines.find_grant(search, engines.readers_now())
+            search = CapacitySearch(asking, avoided)
+            return engines.find_grant(search, engines.prefill_candidates())
 
         costs = {
-            name: grant.fill + (0.0 if zone == "zone-1" else OTHER_ZONE_FILL)
+            name: grant.fill + (0.0 if zone == "zone-1" else OTHER_ZONE_COST)
             for name, zone in zones.items()
             if (grant := find(zones.keys() - {name})) is not None
         }
--- a/tests/admission/test_starts.py
+++ b/tests/admission/test_starts.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from jujubeslip.admission._engine_follower import EngineFollower
+from jujubeslip.admission._engine_follower import EngineReportPoller
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
@@ -20,13 +20,13 @@
 from tests.admission.test_pool import (
     CAPACITY,
     FULL,
-    READER,
-    applicant,
+    PREFILL_REPORT,
+    already_expired,
     ask_now,
-    at_once,
     endpoint_of,
     engine_report,
-    reader_of,
+    grant_request,
+    prefill_engine_of,
 )
 from tests.fakes.engines import engine
 from tests.fakes.platform_worker import PlatformWorker
@@ -35,11 +35,11 @@
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_005_000
 
 
-def answering(started_at_ms: int) -> Endpoint:
+def decode_engine(started_at_ms: int) -> Endpoint:
     return engine("engine", started_at_ms=started_at_ms)
 
 
-def reading(started_at_ms: int) -> Endpoint:
+def prefill_engine(started_at_ms: int) -> Endpoint:
     return engine("reader", EndpointRole.PREFILL, started_at_ms=started_at_ms)
 
 
@@ -51,9 +51,9 @@
 
 def set_starts(pool: EnginePool, engine_start: int, reader_start: int) -> None:
     """Let the engines be there with these starts, which have nothing to do."""
-    pool.set_engines([answering(engine_start)], [reading(reader_start)])
-    pool.take_report(answering(engine_start).start_id, engine_report())
-    pool.take_report(reading(reader_start).start_id, READER)
+    pool.set_engines([decode_engine(engine_start)], [prefill_engine(reader_start)])
+    pool.take_report(decode_engine(engine_start).start_id, engine_report())
+    pool.take_report(prefill_engine(reader_start).start_id, PREFILL_REPORT)
 
 
 class TestMemoryOfTheEarlierStart:
@@ -64,7 +64,7 @@
 
     def test_is_free_at_the_new_start(self) -> None:
         pool = pool_at(FIRST, FIRST)
-        pool.take_report(answering(FIRST).start_id, FULL)
+        pool.take_report(decode_engine(FIRST).start_id, FULL)
         assert ask_now(pool, "before").grant is None
         set_starts(pool, SECOND, FIRST)
         granted = ask_now(pool, "after").grant
@@ -72,13 +72,13 @@
 
     def test_new_start_is_not_used_before_its_own_report(self) -> None:
         pool = pool_at(FIRST, FIRST)
-        pool.set_engines([answering(SECOND)], [reading(FIRST)])
+        pool.set_engines([decode_engine(SECOND)], [prefill_engine(FIRST)])
         assert not pool.usable
 
     def test_late_report_of_it_fills_nothing(self) -> None:
         pool = pool_at(FIRST, FIRST)
         set_starts(pool, SECOND, FIRST)
-        pool.take_report(answering(FIRST).start_id, FULL)
+        pool.take_report(decode_engine(FIRST).start_id, FULL)
         assert endpoint_of(ask_now(pool, "a")) == "engine"
 
 
@@ -92,10 +92,10 @@
         pool = pool_at(FIRST, FIRST)
         ask_now(pool, "a")
         set_starts(pool, SECOND, SECOND)
-        second = pool.ask(applicant("a", attempt=2), (), at_once())
+        second = pool.ask(grant_request("a", attempt=2), (), already_expired())
         pool.end("a", 1)
         pool.note_read("a", 1)
-        again = pool.ask(applicant("a", attempt=2), (), at_once())
+        again = pool.ask(grant_request("a", attempt=2), (), already_expired())
         assert again.grant is not None and again.grant == second.grant
 
     def test_its_prompt_takes_none_of_the_reader_from_the_next(self) -> None:
@@ -103,8 +103,8 @@
         pool = pool_at(FIRST, FIRST)
         ask_now(pool, "a")
         set_starts(pool, SECOND, SECOND)
-        long = applicant("a", attempt=2, prompt_tokens=9_000)
-        assert reader_of(pool.ask(long, (), at_once())) == "reader"
+        long = grant_request("a", attempt=2, prompt_tokens=9_000)
+        assert prefill_engine_of(pool.ask(long, (), already_expired())) == "reader"
         pool.note_read("a", 1)
         assert ask_now(pool, "b").grant is None
         pool.note_read("a", 2)
@@ -112,7 +112,7 @@
 
     def test_start_that_refused_is_avoided_and_the_next_is_not(self) -> None:
         pool = pool_at(FIRST, FIRST)
-        refused = answering(FIRST).start_id
+        refused = decode_engine(FIRST).start_id
         assert ask_now(pool, "a", refused).grant is None
         set_starts(pool, SECOND, FIRST)
         assert endpoint_of(ask_now(pool, "b", refused)) == "engine"
@@ -130,19 +130,19 @@
         worker = PlatformWorker("engine", "model", "decode", started_at_ms=reports)
         taken: list[EngineReport] = []
         with worker:
-            followed = replace(answering(FIRST), address=worker.address)
+            followed = replace(decode_engine(FIRST), address=worker.address)
             process: Any = SimpleNamespace(stopped=threading.Event())
-            follower = EngineFollower(
+            poller = EngineReportPoller(
                 followed,
                 interfaces.get("platform"),
                 process,
                 lambda _, report: taken.append(report),
                 lambda _: None,
             )
-            thread = threading.Thread(target=follower.run)
+            thread = threading.Thread(target=poller.run)
             thread.start()
             wait_until(lambda: worker.questions.count("report") > 1, "it is asked")
-            follower.stop()
+            poller.stop()
             thread.join()
         assert bool(taken) is (reports != SECOND)
 
@@ -163,4 +163,7 @@
             back.start_id, EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
         )
         decision = ask_now(pool, "a")
-        assert (endpoint_of(decision), reader_of(decision)) == ("stays", "engine")
+        assert (endpoint_of(decision), prefill_engine_of(decision)) == (
+            "stays",
+            "engine",
+        )
--- a/tests/tools/test_draws.py
+++ b/tests/tools/test_draws.py
@@ -21,7 +21,7 @@
 
 class TestEngineEvents:
     def test_count_the_engines_that_are_left(self) -> None:
-        lost = "engine is given nothing until it is back"
+        lost = "engine lost, no requests granted until it returns"
         lines = [
             changed(-9, "e-1", "PREFILL"),
             changed(-9, "e-2", "DECODE"),
@@ -54,7 +54,7 @@
         ]
 
     def test_count_an_engine_that_is_back_unless_its_address_is_taken(self) -> None:
-        lost = "engine is given nothing until it is back"
+        lost = "engine lost, no requests granted until it returns"
         lines = [
             changed(-9, "e-1", "DECODE"),
             line(5, lost, endpoint_id="e-1"),
--- a/tools/draws.py
+++ b/tools/draws.py
@@ -19,7 +19,7 @@
 from tools.losses import LINE_PATTERN
 
 ROLES = ("PREFILL", "DECODE")
-LOST = "engine is given nothing until it is back"
+LOST = "engine lost, no requests granted until it returns"
 BACK = "engine reports again"
 ORDERED = "engine ordered"
 
