--- a/src/jujubeslip/admission/__init__.py
+++ b/src/jujubeslip/admission/__init__.py
@@ -1,8 +1,8 @@
-"""Grants at engines: which request gets one, where, and when.
+"""Grants at engines: which request gets one, at which engine, and when.
 
-One control host, the leader, gives them for all entry hosts. It knows of each grant
-the moment it gives it, where an engine's own report is up to a second old, and it lets
-the requests of all hosts wait in one order.
+One control host, the leader, gives grants for all entry hosts. It knows each grant as
+soon as it is given, while an engine's own report is up to a second old, and it keeps
+the requests of all hosts in one queue.
 """
 
 from jujubeslip.admission._home import AdmissionHome
--- a/src/jujubeslip/admission/_engine_demand.py
+++ b/src/jujubeslip/admission/_engine_demand.py
@@ -1,4 +1,4 @@
-"""What requests ask of a service's engines, by role, for the balance of the two."""
+"""The demand of requests for a service's engines by role, for the role balance."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class EngineDemand:
-    """What was asked for and granted lately; guarded by the pool's lock."""
+    """The recently requested and granted work; guarded by the pool's lock."""
 
     def __init__(self, options: MemoryOptions) -> None:
         self._options = options
         self.prefill_speed = INITIAL_TOKENS_PER_SECOND
-        """Tokens that a reader reads in a second, as prompts have shown it."""
+        """Tokens that a prefill engine prefills in a second, as measured."""
         self._asked = PromptDemand()
         self._granted = PromptDemand()
         self._needs = RequestNeeds()
@@ -27,7 +27,7 @@
         self._latest_reporting_engine: EngineMemory | None = None
 
     def note_report(self, engine: EngineMemory) -> None:
-        """Note an engine that answers and has just reported."""
+        """Note the decode engine that reported last."""
         self._latest_reporting_engine = engine
 
     def note_asked(self, grant_request: Applicant) -> None:
@@ -41,25 +41,25 @@
             self._needs.note(self._need_of(grant_request, engine))
 
     def note_granted(self, grant_request: Applicant, now: float) -> None:
-        """Note a request that was given a grant at this instant of the steady clock."""
+        """Note a request that was granted at this time of the steady clock."""
         self._latest_granted = grant_request
         granted_id = f"{grant_request.request_id}/{grant_request.attempt}"
         self._granted.note(granted_id, grant_request.prompt_tokens, now)
 
     @property
     def busy_readers(self) -> float:
-        """Return how many readers the prompts of the last seconds would keep busy.
+        """Return how many prefill engines the recently requested prompts keep busy.
 
-        By what requests ask for and the speed that readers showed. How long prompts
-        took would count the time that they waited at a reader, and make the load of a
-        burst look twice as high.
+        Computed from the requested tokens and the measured prefill speed. The measured
+        duration of prefills would include the waiting time at the engine and double
+        the apparent load of a burst.
         """
         return self._asked.tokens_per_second(steady_seconds()) / self.prefill_speed
 
     def use_of(self, engines: Iterable[EngineMemory]) -> EngineUse:
-        """Return how many of these engines the requests granted lately keep busy.
+        """Return how many of these engines the recently granted requests keep busy.
 
-        An engine is as busy as its memory is expected to get full.
+        A decode engine counts as busy by the share of its memory at the expected peak.
         """
         usual_need = self._needs.mean
         if self._latest_granted is None:
@@ -73,7 +73,7 @@
         return EngineUse(tokens / self.prefill_speed, answering, usual_need)
 
     def _need_of(self, grant_request: Applicant, engine: EngineMemory) -> EngineNeed:
-        """Return what a request is expected to take of engines like this one."""
+        """Return the expected need of a request at engines like this one."""
         events = grant_request.lengths.mean
         grown_by = events * grant_request.event_tokens
         memory_share = (grant_request.prompt_tokens + grown_by / 2) / self._limit(
@@ -89,5 +89,5 @@
         return peak / self._limit(engine)
 
     def _limit(self, engine: EngineMemory) -> float:
-        """Return the tokens that its answers may take."""
+        """Return the tokens that the engine's answers may use."""
         return (1 - self._options.margin) * max(1, engine.capacity_tokens)
--- a/src/jujubeslip/admission/_engine_follower.py
+++ b/src/jujubeslip/admission/_engine_follower.py
@@ -1,4 +1,4 @@
-"""Asks one engine for its state, again and again."""
+"""Polls one engine for its reports."""
 
 from __future__ import annotations
 
@@ -22,21 +22,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Between two reports, in seconds: an engine's own view is half a second old at best.
+# Interval between two polls, in seconds. The state in a report is half a second old at
+# best.
 POLL_SECONDS = 0.25
-# How long an engine may take to report, in seconds; it needs a millisecond or two.
+# Timeout of a poll, in seconds. An engine needs a millisecond or two to reply.
 REPORT_TIMEOUT_SECONDS = 0.4
-# What an endpoint answers to a question that names another one, or another start.
+# HTTP status of an endpoint's reply to a call that names another endpoint or start.
 MISDIRECTED_STATUS = 421
 
 
 class EngineReportPoller:
-    """Keeps one engine's state up to date; says when it can't be reached any more.
+    """Polls one engine for its state and reports when it becomes unreachable.
 
-    An engine that has ended looks like the emptiest of all, since its answers have
-    ended with it: for as long as it counts as usable, it draws all requests. So it is
-    told lost at its second silence in a row, the second question being asked at once
-    and over a new connection: the kept one may just have been dropped.
+    A crashed engine looks like the one with the most free memory, since its answers
+    have ended with it. As long as it counts as usable, it attracts all requests. It is
+    therefore reported lost after two failed polls in a row. The second poll follows at
+    once over a new connection, since only the persistent one may have been dropped.
     """
 
     def __init__(
@@ -60,11 +61,11 @@
         self._is_lost = False
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling."""
         self._stopped.set()
 
     def run(self) -> None:
-        """Ask until told to stop, or until the process stops."""
+        """Poll until `stop` is called or the process stops."""
         while not self._stopped.is_set() and not self._process.stopped.is_set():
             self._poll()
             self._stopped.wait(POLL_SECONDS)
@@ -78,35 +79,35 @@
             self._on_lost(self._engine)
 
     def _request_report(self) -> bool:
-        """Ask for a report; say whether this start of the engine was reached."""
+        """Request a report; say whether this start of the engine was reached."""
         try:
             status, body = self._call()
         except EndpointOnHoldError as error:
-            # It runs, and wants no questions for a while.
+            # The engine runs, but has asked for no calls for a while.
             self._log_change(False, str(error))
             return True
         except EndpointError as error:
             self._log_change(False, str(error))
             return False
         if status != 200:
-            self._log_change(False, f"the answer {status} is no report")
+            self._log_change(False, f"reply has status {status} instead of a report")
             return True
         read = self._interface.read_report(body)
         if isinstance(read, Failure):
             self._log_change(False, read.failure())
             return True
         report = read.unwrap()
-        # At the address of a start that is gone, the next one answers by the same id:
-        # its report would be taken for that of answers which have ended.
+        # At the address of an ended start, the next start replies with the same
+        # endpoint id. Its report would be taken for the state of the ended one.
         if not self._engine.may_be(report.started_at_ms):
-            self._log_change(False, "another start answers at its address")
+            self._log_change(False, "another start replied at the engine's address")
             return False
         self._log_change(True, "")
         self._on_report(self._engine, report)
         return True
 
     def _call(self) -> tuple[int, bytes]:
-        """Return status and body of the engine's answer, or raise EndpointError."""
+        """Return status and body of the engine's reply, or raise EndpointError."""
         engine = self._engine
         status, body = ask_endpoint(
             self._connections,
@@ -117,7 +118,7 @@
             Deadline.after(REPORT_TIMEOUT_SECONDS),
         )
         if status == MISDIRECTED_STATUS:
-            raise EndpointReplacedError("another endpoint")
+            raise EndpointReplacedError("another endpoint replied at the address")
         return status, body
 
     def _log_change(self, is_reporting: bool, error: str) -> None:
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -177,11 +177,11 @@
         in a burst, every request is tried at every engine.
         """
         key = _ProfileKey(new_request.lengths.maximum, new_request.event_tokens)
-        known = self._profile_by_key.get(key)
-        if known is None:
-            known = profile_of(self.answers(new_request), new_request.lengths.maximum)
-            self._profile_by_key[key] = known
-        return known
+        profile = self._profile_by_key.get(key)
+        if profile is None:
+            profile = profile_of(self.answers(new_request), new_request.lengths.maximum)
+            self._profile_by_key[key] = profile
+        return profile
 
     @property
     def answer_count(self) -> int:
--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_engines.py
@@ -355,8 +355,8 @@
     for start_id in by_start.keys() - {endpoint.start_id for endpoint in wanted}:
         del by_start[start_id]
     for endpoint in wanted:
-        known = by_start.get(endpoint.start_id)
-        if known is None:
+        existing = by_start.get(endpoint.start_id)
+        if existing is None:
             by_start[endpoint.start_id] = create(endpoint)
         else:
-            known.reachability.endpoint = endpoint
+            existing.reachability.endpoint = endpoint
--- a/src/jujubeslip/admission/_lengths.py
+++ b/src/jujubeslip/admission/_lengths.py
@@ -1,4 +1,4 @@
-"""How long an answer will get, as far as that can be known while it is made."""
+"""The distribution of the final length of an answer that is still being decoded."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-# How far the client's own estimate is off, as the standard deviation of its logarithm.
+# Error of the client's own estimate, as the standard deviation of its logarithm.
 # Measured over 5,900 answers: docs/design/admission.md.
 ESTIMATE_DEVIATION = 0.5
-# Estimates are rounded to this many events, so that few distributions are computed.
+# Estimates are rounded to multiples of this many events, so that few distributions are
+# computed.
 ESTIMATE_STEP = 5
-# Distributions that are kept: an entry for each rounded estimate of a few services.
+# Size of the cache of distributions: an entry for each rounded estimate of a few
+# services.
 CACHED_DISTRIBUTIONS = 512
 
 
@@ -21,28 +23,29 @@
     """The distribution of an answer's length, in events."""
 
     longer_than: tuple[float, ...]
-    """Probability by number of events that the answer has more than these."""
+    """Probability that the answer has more than n events, by n."""
 
     @property
     def maximum(self) -> int:
-        """Return the events of the longest answer."""
+        """Return the maximum number of events."""
         return len(self.longer_than) - 1
 
     @property
     def mean(self) -> float:
-        """Return the events that it has in the mean."""
+        """Return the mean number of events."""
         return sum(self.longer_than)
 
     def running_probability(self, events: int, ahead: int) -> float:
-        """Return how likely an answer of this many events has `ahead` further ones."""
+        """Return how likely an answer of this many events lasts beyond `ahead` more."""
         return next(iter(self.running_probabilities(events, (ahead,))), 0.0)
 
     def running_probabilities(
         self, events: int, points: Iterable[int]
     ) -> Iterator[float]:
-        """Yield how likely an answer of this many events still runs at each instant.
+        """Yield how likely an answer of this many events still runs at each point.
 
-        The instants are in events ahead and grow. Ends where no answer gets so long.
+        The points are counted in events ahead, in ascending order. The iteration ends
+        at the point that exceeds the maximum length.
         """
         longer_than, maximum = self.longer_than, self.maximum
         now = longer_than[min(events, maximum - 1)]
@@ -53,9 +56,9 @@
 
 
 def lengths_of(maximum_events: int, expected_events: int = 0) -> AnswerLengths:
-    """Return the distribution for an answer, with the client's estimate if it gave one.
+    """Return the distribution for an answer, using the client's estimate if given.
 
-    Without one, each length up to the longest is equally likely.
+    Without an estimate, all lengths up to the maximum are equally likely.
     """
     rounded = ESTIMATE_STEP * round(expected_events / ESTIMATE_STEP)
     if expected_events > 0:
--- a/src/jujubeslip/admission/_memory_forecast.py
+++ b/src/jujubeslip/admission/_memory_forecast.py
@@ -1,9 +1,9 @@
-"""How full an engine's memory will get, from the answers that it is making.
+"""Forecast of an engine's memory use, from the answers that it is decoding.
 
-An answer takes more memory with each event until it ends, and nobody knows when. What
-is known is how long it may get at most, and what its client expects. An engine whose
-memory runs out pushes out the newest answer, whose prompt has to be read again, while
-all others wait.
+An answer takes more memory with each event until it ends. Its final length is unknown;
+known are its maximum length and the length that its client expects. An engine whose
+memory runs out evicts the newest answer, whose prompt has to be prefilled again, while
+all other answers wait.
 """
 
 from __future__ import annotations
@@ -16,76 +16,76 @@
 from jujubeslip.admission._lengths import AnswerLengths, lengths_of
 from jujubeslip.routes import EngineReport
 
-# How many instants of the future are looked at, evenly up to the longest answer.
+# Number of points of a forecast, which are spread evenly up to the longest answer.
 FORECAST_POINTS = 13
 
 
 @dataclass(frozen=True)
 class GrowingAnswer:
-    """An answer that an engine is making, or is about to make."""
+    """An answer that an engine is decoding or about to decode."""
 
     memory_tokens: float
-    """What its prompt and the answer so far take of the engine's memory."""
+    """Memory used by its prompt and its events so far, in tokens."""
     events: int
-    """Events made so far."""
+    """Events decoded so far."""
     event_tokens: int
     """Tokens that one event adds."""
     lengths: AnswerLengths
-    """How many events it may have in all."""
+    """Distribution of its final number of events."""
 
 
 @dataclass(frozen=True)
 class MemoryOptions:
-    """How careful the forecast is."""
+    """Safety margins of the forecast."""
 
     margin: float
     """Share of the engine's memory that is left free."""
     caution: float
-    """Standard deviations above the mean that have to fit."""
+    """Standard deviations above the expected memory use that have to fit."""
 
 
 class ExpectedUse(NamedTuple):
-    """The tokens that answers take together at one instant."""
+    """The tokens that answers use together at one point of the forecast."""
 
     mean: float
     variance: float
     maximum: float
-    """What they take if none of those ends that may still run."""
+    """Tokens in use if every answer that may still run does so."""
 
     def with_deviations(self, caution: float) -> float:
-        """Return the tokens `caution` deviations above the mean.
+        """Return the tokens `caution` standard deviations above the mean.
 
-        No more than all answers take: where nearly all still run, some deviations
-        above the mean lie beyond that.
+        The result is limited to what all answers use together: if nearly all of them
+        still run, the mean plus some deviations would exceed that.
         """
         return min(self.maximum, self.mean + caution * math.sqrt(self.variance))
 
 
 @dataclass(frozen=True)
 class MemoryProfile:
-    """What answers are expected to take together at each instant of the future."""
+    """The expected joint memory use of answers at each point of the forecast."""
 
     answers: int
     longest: int
-    """Events of the longest answer, over which the instants are spread."""
+    """Events of the longest answer, over which the points are spread."""
     points: tuple[ExpectedUse, ...]
 
     @property
     def used_now(self) -> float:
-        """Return the tokens in use at the first instant."""
+        """Return the expected tokens in use at the first point, which is now."""
         return self.points[0].mean
 
     def peak(self, caution: float) -> float:
-        """Return the tokens in use at the peak, `caution` deviations above the mean."""
+        """Return the peak use in tokens, `caution` deviations above the mean."""
         return max(expected.with_deviations(caution) for expected in self.points)
 
     def peak_with(
         self, other: MemoryProfile, caution: float, limit: float
     ) -> float | None:
-        """Return the peak with further answers, whose instants are the same.
+        """Return the joint peak with other answers, whose points are the same.
 
-        None where it lies beyond the limit, at the first instant that shows so: in a
-        burst nearly all engines are full.
+        Return None as soon as a point exceeds the limit, without evaluating the others:
+        in a burst nearly all engines are full.
         """
         peak = 0.0
         for point, added_point in zip(self.points, other.points, strict=True):
@@ -102,10 +102,10 @@
 
 
 def profile_of(answers: Sequence[GrowingAnswer], longest: int = 0) -> MemoryProfile:
-    """Return how the memory of answers grows, which all go on at the same pace.
+    """Return the forecast for answers that all grow at the same event rate.
 
-    The instants are spread over the longest of them, or over `longest` events if that
-    is more.
+    The points are spread over the longest answer, or over `longest` events if that is
+    more.
     """
     longest = max([longest, *(answer.lengths.maximum for answer in answers)])
     step = max(1, longest // (FORECAST_POINTS - 1))
@@ -117,7 +117,7 @@
 
 
 def forecast_peak(answers: Sequence[GrowingAnswer], caution: float = 0.0) -> float:
-    """Return the tokens in use at the peak, `caution` deviations above the mean."""
+    """Return the peak use in tokens, `caution` deviations above the mean."""
     return profile_of(answers).peak(caution)
 
 
@@ -128,9 +128,9 @@
     maximum_events: int,
     options: MemoryOptions,
 ) -> int:
-    """Return what an engine's answers will grow by, with one more, in tokens.
+    """Return by how many tokens an engine's answers will grow with one more request.
 
-    For a host that knows the engine's report and nothing else.
+    For a host that knows only the engine's report.
     """
     lengths = lengths_of(maximum_events)
     answers = [
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True)
 class _Sums:
-    """What answers take together at each instant, while they are added up."""
+    """Accumulates the joint memory use of answers at each point."""
 
     means: list[float]
     variances: list[float]
@@ -154,17 +154,17 @@
 
     @classmethod
     def of(cls, points: int) -> _Sums:
-        """Return the sums of no answers."""
+        """Return the sums over no answers."""
         return cls([0.0] * points, [0.0] * points, [0.0] * points)
 
     def expected(self) -> tuple[ExpectedUse, ...]:
-        """Return what is expected at each instant."""
+        """Return the expected use at each point."""
         parts = zip(self.means, self.variances, self.maximum, strict=True)
         return tuple(ExpectedUse(*part) for part in parts)
 
 
 def _add(answer: GrowingAnswer, points: range, sums: _Sums) -> None:
-    """Add an answer's tokens at instants, in events ahead."""
+    """Add an answer's tokens at each point; points are counted in events ahead."""
     running_probabilities = answer.lengths.running_probabilities(answer.events, points)
     tokens = answer.memory_tokens
     tokens_per_step = answer.event_tokens * points.step
--- a/src/jujubeslip/admission/_meters.py
+++ b/src/jujubeslip/admission/_meters.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.admission._pool import Decision
 
-# Shares of an engine's memory, as bounds of a histogram's buckets.
+# Histogram bucket boundaries for shares of an engine's memory.
 SHARE_BUCKETS = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95)
 
 
@@ -26,7 +26,7 @@
         )
 
     def note(self, service_name: str, decision: Decision) -> None:
-        """Count a decision; one to ask again is none."""
+        """Count a decision, unless it only says to ask again."""
         if decision.grant is not None:
             self._decisions.add(1, {"service": service_name, "outcome": "granted"})
             self._fill.record(decision.grant.fill, {"service": service_name})
--- a/src/jujubeslip/admission/_models.py
+++ b/src/jujubeslip/admission/_models.py
@@ -1,4 +1,4 @@
-"""What the parts of admission hand to one another."""
+"""Data classes that the parts of admission share."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import AdmissionRequest
 
-# How old an engine's report may be, in seconds, for it to be given anything: five times
-# as long as between two of them, so that one lost report takes no engine away.
+# Maximum age of the last report of an engine that is granted requests, in seconds: five
+# times the interval between two reports, so that one lost report excludes no engine.
 USABLE_SECONDS = 1.5
 
 
@@ -21,15 +21,15 @@
     """How requests wait for grants."""
 
     bypass_seconds: float = 0.3
-    """How long one that waits for memory may be passed by others, in seconds.
+    """How long others may bypass a request that waits for memory, in seconds.
 
-    Small ones use the room that it can't meanwhile; passed for good, a large one would
-    never find room.
+    Meanwhile small requests use the memory that is too little for it. Without a limit,
+    a large request would never get enough memory.
     """
     reader_seconds: float = math.inf
-    """How long one waits for a reader before an engine that answers reads its prompt.
+    """How long a prompt waits for a prefill engine before a decode engine may take it.
 
-    In seconds. Other answers of that engine pause meanwhile.
+    In seconds. The decode engine's other answers pause during the prefill.
     """
 
 
@@ -38,30 +38,30 @@
 
 @dataclass(frozen=True)
 class EngineNeed:
-    """What one request takes of engines in either role, in seconds of a whole one."""
+    """The need of one request in each role, in seconds of a whole engine."""
 
     reading_seconds: float
     answering_seconds: float
-    """How long its answer takes, times the share of the memory that it holds."""
+    """Duration of its answer, times the share of the engine's memory that it holds."""
 
 
 @dataclass(frozen=True)
 class EngineUse:
-    """How many engines granted requests keep busy, by role."""
+    """How many engines the granted requests keep busy, by role."""
 
     reading: float
     answering: float
     usual_need: EngineNeed | None = None
-    """What requests are expected to take, None before enough have come."""
+    """Mean expected need of a request, None before enough requests have arrived."""
 
 
 class MissingResource(StrEnum):
-    """What a request that waits has not found."""
+    """What a waiting request lacks."""
 
     READER = "reader"
     MEMORY = "memory"
     MAY_READ = "may read"
-    """No engine reads for others, and none that answers may read this prompt now."""
+    """No prefill engine is available, and no decode engine may prefill the prompt."""
 
 
 @dataclass(frozen=True)
@@ -70,52 +70,52 @@
 
     request_id: str
     attempt: int
-    """Grows with each grant that the request needs."""
+    """Number of the attempt, which increases with each grant that the request needs."""
     prompt_tokens: int
     event_tokens: int
     lengths: AnswerLengths
     slots: int
-    """Requests that an engine works on at a time."""
+    """Requests that an engine processes at a time."""
     target_by: Deadline
-    """Until when its first event is in time."""
+    """Time until which its first event is in time."""
     limit: Deadline
-    """Until when it waits for a grant."""
+    """Time until which it waits for a grant."""
     reads_itself: bool
-    """Whether the engine that answers has to read the prompt, too."""
+    """Whether the decode engine has to prefill the prompt as well."""
     availability_zone: str = ""
-    """Where its entry host is."""
+    """Availability zone of its entry host."""
     maximum_gap: float = 0.0
     """Longest pause between two events of an answer that is in time, in seconds."""
 
 
 @dataclass(frozen=True)
 class Grant:
-    """A grant at an engine that a request was given."""
+    """A grant for a request at an engine."""
 
     endpoint: Endpoint
-    """The engine that answers."""
+    """The decode engine."""
     fill: float
-    """Share of the engine's memory that its answers are expected to need at most."""
+    """Share of the engine's memory that its answers use at the expected peak."""
     report_age_ms: int
-    """How old the engine's report is that this was decided by."""
+    """Age of the engine's report at the time of the decision."""
     reader: Endpoint | None = None
-    """The engine that reads the prompt, None where the answering one does."""
+    """The engine that prefills the prompt, None if the decode engine does."""
     read_seconds: float = 0.0
-    """How long that should take."""
+    """Expected time until the prompt is prefilled."""
 
 
 @dataclass(frozen=True)
 class GrantedRequest:
-    """A request that has a grant at an engine."""
+    """A request together with its grant."""
 
     grant_request: Applicant
     grant: Grant
     since: float
-    """When it got the grant, by the steady clock in seconds."""
+    """Time of the grant, by the steady clock in seconds."""
 
 
 def grant_request_of(request: AdmissionRequest) -> Applicant:
-    """Return the request that an entry host asks for."""
+    """Return the grant request of an entry host's admission call."""
     return Applicant(
         request.request_id,
         request.attempt,
--- a/src/jujubeslip/admission/_order.py
+++ b/src/jujubeslip/admission/_order.py
@@ -1,4 +1,4 @@
-"""The order in which requests wait for grants; knows no clock, thread or engine."""
+"""The queue of requests that wait for grants; uses no clock, thread or engine."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 @dataclass(frozen=True, order=True)
 class QueueEntry:
-    """The place of a request among those that wait."""
+    """A waiting request, ordered by its target."""
 
     target: float
-    """Until when its answer is in time, by the steady clock in seconds."""
+    """Time until which its answer is in time, by the steady clock in seconds."""
     request_id: str
 
 
 class WaitingQueue:
-    """Requests still in time first, the earliest target before; late ones follow.
+    """Requests that are still in time, by earliest target; late ones follow.
 
-    Kept sorted by target: at any instant those in time are the end of the list, and the
-    late ones its beginning. Each change and each question about one place costs a
-    search, however many wait; in a burst that is hundreds, and every engine's report
-    is a reason to look again.
+    The list is sorted by target, so that at any time the late requests are at its
+    beginning and those in time at its end. Each change and each position query costs
+    one binary search, however many requests wait. In a burst hundreds wait, and every
+    engine's report causes a new pass.
     """
 
     def __init__(self) -> None:
@@ -31,18 +31,18 @@
         return len(self._entries)
 
     def add(self, entry: QueueEntry) -> None:
-        """Let a request wait."""
+        """Add a request to the queue."""
         insort(self._entries, entry)
 
     def remove(self, entry: QueueEntry) -> None:
-        """Let a request that waits wait no more."""
+        """Remove a request from the queue; raise KeyError if it does not wait."""
         index = bisect_left(self._entries, entry)
         if index == len(self._entries) or self._entries[index] != entry:
-            raise KeyError(f"{entry.request_id} does not wait.")
+            raise KeyError(f"Request {entry.request_id} is not in the queue.")
         del self._entries[index]
 
     def count_ahead(self, entry: QueueEntry, now: float) -> int:
-        """Return how many go before a request, itself left out if it waits."""
+        """Return how many other requests are ahead of this one."""
         in_time_from = self._in_time_from(now)
         before = bisect_left(self._entries, entry)
         if entry.target >= now:
@@ -50,7 +50,7 @@
         return len(self._entries) - in_time_from + before
 
     def head(self, now: float, maximum: int) -> list[QueueEntry]:
-        """Return those that go first, in order, this many at most."""
+        """Return the first requests in order, `maximum` at most."""
         in_time_from = self._in_time_from(now)
         found = self._entries[in_time_from : in_time_from + maximum]
         return found + self._entries[: min(in_time_from, maximum - len(found))]
--- a/src/jujubeslip/admission/_pool.py
+++ b/src/jujubeslip/admission/_pool.py
@@ -227,21 +227,28 @@
     # Waiting requests; the caller of each method holds the lock.
 
     def _end_earlier_attempt(self, grant_request: Applicant) -> None:
-        known = self._waiting_by_id.get(grant_request.request_id)
-        if known is not None and known.grant_request.attempt != grant_request.attempt:
-            self._refuse(known)
-
-    def _update_target(self, known: _WaitingRequest, grant_request: Applicant) -> None:
+        waiting = self._waiting_by_id.get(grant_request.request_id)
+        if (
+            waiting is not None
+            and waiting.grant_request.attempt != grant_request.attempt
+        ):
+            self._refuse(waiting)
+
+    def _update_target(
+        self, waiting: _WaitingRequest, grant_request: Applicant
+    ) -> None:
         """Reorder a request whose host now states a later target than before.
 
         Small differences come from the network delay of the call and are ignored.
         """
-        later = grant_request.target_by.instant - known.grant_request.target_by.instant
+        later = (
+            grant_request.target_by.instant - waiting.grant_request.target_by.instant
+        )
         if later < TARGET_TOLERANCE_SECONDS:
             return
-        self._queue.remove(known.entry)
-        known.grant_request = grant_request
-        self._queue.add(known.entry)
+        self._queue.remove(waiting.entry)
+        waiting.grant_request = grant_request
+        self._queue.add(waiting.entry)
 
     def _enqueue(
         self, grant_request: Applicant, avoided: Collection[str]
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -1,27 +1,29 @@
-"""How many prompt tokens requests ask to be read; knows no clock, thread or engine."""
+"""The rate of requested prompt tokens; uses no clock, thread or engine."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# Span over which demand is told, in seconds: some ten prompts of a reader.
+# Window over which demand is measured, in seconds: about ten prompts of a prefill
+# engine.
 DEMAND_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
 class _RequestedPrompt:
-    """A prompt that a request asked a reader for."""
+    """A prompt for which a request asked a prefill engine."""
 
     asked_at: float
     tokens: int
 
 
 class PromptDemand:
-    """What requests asked for lately, each counted once, whatever they were answered.
+    """The prompts that were recently requested, each counted once, granted or not.
 
-    What was granted is no measure: it falls whenever grants stall, for want of memory
-    or of a leader. Readers would then be ordered to answer while requests wait.
+    Grants are not a suitable measure: their rate falls whenever grants stall for lack
+    of memory or of a leader. Prefill engines would then be ordered to decode while
+    requests wait.
     """
 
     def __init__(self) -> None:
@@ -29,9 +31,9 @@
         self._tokens = 0
 
     def note(self, request_id: str, tokens: int, now: float) -> bool:
-        """Note a request that asks for a reader; say if it hadn't asked lately.
+        """Note a request for a prefill engine; say whether it had not asked recently.
 
-        `now` is the steady clock's.
+        `now` is the time of the steady clock.
         """
         self._forget_old(now)
         if request_id in self._requested_by_id:
@@ -41,7 +43,7 @@
         return True
 
     def tokens_per_second(self, now: float) -> float:
-        """Return the tokens that were asked for, a second."""
+        """Return the requested tokens per second."""
         self._forget_old(now)
         return self._tokens / DEMAND_SECONDS
 
--- a/src/jujubeslip/admission/_prompt_queue.py
+++ b/src/jujubeslip/admission/_prompt_queue.py
@@ -1,4 +1,4 @@
-"""What an engine that reads prompts for others still has to read."""
+"""The prompts that are assigned to a prefill engine and not prefilled yet."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import EngineReport
 
-# Tokens that an engine reads in a second before prompts have shown it.
+# Initial estimate of the tokens that a prefill engine prefills in a second.
 INITIAL_TOKENS_PER_SECOND = 40_000.0
-# What prompts count for in the speed once as many seconds of reading came after them.
-# Sums are kept and not single speeds: of prompts that are read together, the last one
-# seems to take no time.
+# Time constant of the moving average of the speed, in seconds of prefill. The average
+# is kept as sums of tokens and seconds, not of single speeds: among prompts that are
+# prefilled together, the last one seems to take no time.
 SPEED_SECONDS = 2.0
-# A prompt that was not told to be read after this long is forgotten, in seconds: its
-# host asks no engine for longer.
+# A prompt that was not reported as prefilled is dropped after this many seconds: its
+# host's call to the engine lasts no longer.
 LOST_PROMPT_SECONDS = 3.0
-# An engine gets a further prompt when it has no more than this left to read, in
-# seconds: enough to bridge the way to its next host, and little to wait for.
+# A prefill engine gets a further prompt when its assigned prompts take no more than
+# this, in seconds. It covers the network delay to the next prompt's host and adds
+# little waiting time.
 PREFILL_AHEAD_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class _AssignedPrompt:
-    """A prompt that the engine is to read."""
+    """A prompt that is assigned to the engine."""
 
     attempt: int
     tokens: int
@@ -34,10 +35,10 @@
 
 
 class PrefillQueue:
-    """One start of an engine that reads prompts; guarded by its pool's lock.
+    """The prompts of one start of a prefill engine; guarded by its pool's lock.
 
-    Prompts wait at the home and not at the engine: there, the most urgent one goes
-    first, and none holds another engine's memory while it waits.
+    Prompts wait at the home and not at the engine. At the home the most urgent prompt
+    goes first, and none holds a decode engine's memory while it waits.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -53,48 +54,48 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return the start, as it announced itself last."""
+        """Return the start as last announced."""
         return self.reachability.endpoint
 
     @property
     def usable(self) -> bool:
-        """Say whether the engine reads prompts for others now, or is about to say so.
+        """Say whether the engine accepts prompts or has yet to send its first report.
 
-        One that has not reported yet is waited for: engines that answer would read the
-        prompts meanwhile, and stop all their answers for that.
+        Requests wait for an engine that has not reported yet. Otherwise decode engines
+        would prefill their prompts meanwhile and pause all their answers.
         """
         fresh = self.report_age < USABLE_SECONDS
         return fresh and self._accepts_prompts and not self.reachability.is_lost
 
     @property
     def report_age(self) -> float:
-        """Return how long ago it reported, or was heard of, in seconds."""
+        """Return the time since its last report, or since it was added, in seconds."""
         return steady_seconds() - self._last_contact_at
 
     @property
     def speed(self) -> float:
-        """Return how many tokens the engine reads in a second."""
+        """Return how many tokens the engine prefills in a second."""
         return self._prefilled_tokens / self._prefill_seconds
 
     @property
     def seconds_left(self) -> float:
-        """Return how long it will take to read what it was given."""
+        """Return how long the engine still needs for its assigned prompts."""
         if not self._assigned_by_request:
             return 0.0
         total = self._assigned_tokens / self.speed
         return max(0.0, total - (steady_seconds() - self._idle_since))
 
     def seconds_for(self, prompt_tokens: int) -> float:
-        """Return how long it would take to read one more prompt."""
+        """Return how long it would take until one more prompt is prefilled."""
         return self.seconds_left + prompt_tokens / self.speed
 
     @property
     def accepts_more(self) -> bool:
-        """Say whether it should be given a further prompt now."""
+        """Say whether a further prompt should be assigned now."""
         return self._has_reported and self.seconds_left <= PREFILL_AHEAD_SECONDS
 
     def take_report(self, report: EngineReport) -> None:
-        """Take over what the engine says."""
+        """Store the engine's report."""
         self._last_contact_at = steady_seconds()
         self._has_reported = True
         self.reachability.note_report()
@@ -102,7 +103,7 @@
         self._remove_lost()
 
     def add(self, grant_request: Applicant) -> None:
-        """Note a prompt that the engine is to read."""
+        """Add a prompt that is assigned to the engine."""
         now = steady_seconds()
         if not self._assigned_by_request:
             self._idle_since = now
@@ -115,10 +116,10 @@
     def note_read(
         self, request_id: str, attempt: int, updates_speed: bool = True
     ) -> None:
-        """Note that the prompt of this attempt was read, or won't be.
+        """Note that the prompt of this attempt was prefilled, or won't be.
 
-        Late news of an earlier attempt, whose reader was another start, would let a
-        further prompt in beside the one that is still read.
+        Late notes of an earlier attempt, which was assigned to another start, are
+        ignored: they would admit a further prompt while this one is still prefilled.
         """
         assigned = self._assigned_by_request.get(request_id)
         if assigned is None or assigned.attempt != attempt:
--- a/src/jujubeslip/admission/_readers_now.py
+++ b/src/jujubeslip/admission/_readers_now.py
@@ -1,4 +1,4 @@
-"""The engines that read prompts for others, and whose turn it is."""
+"""The prefill engines of a service, and which one gets the next prompt."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(frozen=True)
 class PrefillCandidates:
-    """The engines that read prompts for others, as they are when first asked for."""
+    """The prefill engines' queues; their state is evaluated once, at first use."""
 
     queues: tuple[PrefillQueue, ...]
 
     @cached_property
     def usable(self) -> tuple[PrefillQueue, ...]:
-        """Return those that can be given prompts, be it later."""
+        """Return the queues that accept prompts now or later."""
         return tuple(item for item in self.queues if item.usable)
 
     @cached_property
     def ready(self) -> tuple[PrefillQueue, ...]:
-        """Return those that should be given one, that with the least to read first."""
+        """Return the queues that accept a prompt now, the shortest one first."""
         ready = [
             _ReadyQueue(item.seconds_left, random.random(), item)
             for item in self.usable
@@ -33,17 +33,17 @@
         return tuple(item.queue for item in sorted(ready))
 
     def next_except(self, avoided: Collection[str]) -> PrefillQueue | None:
-        """Return the reader whose turn it is, None if all have enough to read."""
+        """Return the queue for the next prompt, None if all engines are busy."""
         ready = (item for item in self.ready if item.endpoint.start_id not in avoided)
         return next(ready, None)
 
     def any_except(self, avoided: Collection[str]) -> bool:
-        """Say whether any reader is there, be it with a prompt to read."""
+        """Say whether any prefill engine is usable, even if it is busy."""
         return any(item.endpoint.start_id not in avoided for item in self.usable)
 
 
 class _ReadyQueue(NamedTuple):
-    """A reader, ordered by what it has left to read, equal ones by lot."""
+    """A queue, ordered by its remaining prefill time; ties are broken at random."""
 
     seconds_left: float
     tie_breaker: float
--- a/src/jujubeslip/admission/_request_needs.py
+++ b/src/jujubeslip/admission/_request_needs.py
@@ -1,9 +1,9 @@
-"""What a request takes of engines in either role; knows no clock, thread or engine.
+"""The mean need of a request in each role; uses no clock, thread or engine.
 
-The load that this answers: engines start in some proportion of the two roles, and a
-burst comes seconds after the first requests, while a change of role takes seven. How
-full engines get shows the right proportion only once answers have run for seconds; what
-requests say of themselves shows it with the first dozen.
+Engines start in some proportion of the two roles. A burst may follow seconds after the
+first requests, while a change of role takes seven seconds. The memory use of engines
+shows the right proportion only after answers have run for seconds; the parameters of
+the requests show it after the first dozen.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 
 from jujubeslip.admission._models import EngineNeed
 
-# Requests whose mean is taken for the usual one: of eight, it is off by a fifth.
+# Minimum number of requests for a mean. With eight, its error is about a fifth.
 MINIMUM_REQUESTS = 8
-# Latest requests that count.
+# Number of latest requests that are averaged.
 MAXIMUM_REQUESTS = 50
 
 
 class RequestNeeds:
-    """The needs of the latest requests."""
+    """The needs of the latest requests and their mean."""
 
     def __init__(self) -> None:
         self._latest: deque[EngineNeed] = deque(maxlen=MAXIMUM_REQUESTS)
 
     def note(self, need: EngineNeed) -> None:
-        """Note what a request is expected to take."""
+        """Note the expected need of a request."""
         self._latest.append(need)
 
     @property
     def mean(self) -> EngineNeed | None:
-        """Return what a request takes in the mean, None before enough have come."""
+        """Return the mean need, None before enough requests have arrived."""
         count = len(self._latest)
         if count < MINIMUM_REQUESTS:
             return None
--- a/src/jujubeslip/admission/_room_changes.py
+++ b/src/jujubeslip/admission/_room_changes.py
@@ -1,4 +1,4 @@
-"""At which engines room may have come free, in order; knows no clock or thread."""
+"""The order in which engines may have freed capacity; uses no clock or thread."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class CapacityChanges:
-    """The latest instant of each engine at which something ended or was reported.
+    """Numbers each engine's latest change: the end of a request or a report.
 
-    The load that this answers: hundreds wait while seventy engines report four times a
-    second. Looked at anew for each request at each report, the engines took the
-    leader's whole processor, and its grants came after their requests were late. A
-    request that found no room looks only at the engines that changed since.
+    It is needed when hundreds of requests wait while seventy engines report four times
+    a second. Trying all engines for each request at each report took the leader's whole
+    processor, and grants came after the targets of their requests. A request that found
+    no capacity is therefore tried only at engines that have changed since.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._number_by_start: OrderedDict[str, int] = OrderedDict()
 
     def note(self, start_id: str) -> None:
-        """Note that there may be more room at an engine."""
+        """Note that an engine may have more free capacity."""
         self.latest += 1
         self._number_by_start[start_id] = self.latest
         self._number_by_start.move_to_end(start_id)
@@ -34,7 +34,7 @@
             yield start_id
 
     def retain_only(self, start_ids: Container[str]) -> None:
-        """Forget all other engines."""
+        """Remove all other engines."""
         for start_id in list(self._number_by_start):
             if start_id not in start_ids:
                 del self._number_by_start[start_id]
--- a/src/jujubeslip/admission/_room_search.py
+++ b/src/jujubeslip/admission/_room_search.py
@@ -1,4 +1,4 @@
-"""What one waiting request needs, and when it last found no room."""
+"""What one waiting request needs, and when no engine last had capacity for it."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class CapacitySearch:
-    """The search for room of one request, over all the times that it is tried."""
+    """The search for capacity for one request, over all its tries."""
 
     def __init__(self, grant_request: Applicant, avoided: Collection[str]) -> None:
         self.grant_request = grant_request
         self.avoided = frozenset(avoided)
-        """Starts of engines that are not to be given."""
+        """Starts of engines that the request must not be granted."""
         self.tried_at = 0
-        """The latest change of room before which no engine had any, 0 for none."""
+        """Number of the capacity change up to which no engine fitted, 0 for none."""
         self.last_missing = MissingResource.MEMORY
-        """What was not there when it was last tried."""
+        """What the request lacked when it was last tried."""
         self._answer = GrowingAnswer(
             grant_request.prompt_tokens,
             0,
@@ -32,7 +32,7 @@
         self._profile_by_longest: dict[int, MemoryProfile] = {}
 
     def set_avoided(self, avoided: Collection[str]) -> bool:
-        """Leave out these engines from now on; say whether they were others before."""
+        """Replace the avoided engines; say whether they have changed."""
         if self.avoided == frozenset(avoided):
             return False
         self.avoided = frozenset(avoided)
@@ -40,13 +40,13 @@
         return True
 
     def note_no_capacity(self, change: int) -> None:
-        """Note that no engine has room as they are after this change."""
+        """Note that no engine has capacity in the state after this change."""
         self.tried_at = change
 
     def own_profile(self, longest: int) -> MemoryProfile:
-        """Return how its answer's memory grows, at the instants of such an engine.
+        """Return the forecast of its answer's memory, over this number of events.
 
-        Engines whose longest answers differ look at different instants.
+        Forecasts of engines whose longest answers differ have different points.
         """
         found = self._profile_by_longest.get(longest)
         if found is None:
--- a/src/jujubeslip/admission/_urgency.py
+++ b/src/jujubeslip/admission/_urgency.py
@@ -1,12 +1,11 @@
-"""The order in which requests that wait for room get it."""
+"""The order in which waiting requests get capacity."""
 
 from __future__ import annotations
 
 
 def urgency(target: float, now: float) -> tuple[bool, float]:
-    """Return what orders requests by the instant until which they are in time.
+    """Return the sort key of a request by its target, the time until it is in time.
 
-    Those still in time go first, the earliest target before the others; late ones
-    follow.
+    Requests that are still in time come first, by earliest target; late ones follow.
     """
     return (now > target, target)
--- a/src/jujubeslip/admission/_vain_waits.py
+++ b/src/jujubeslip/admission/_vain_waits.py
@@ -1,19 +1,19 @@
-"""Which requests are refused as they come; knows no clock, thread or engine.
+"""Which requests are refused on arrival; uses no clock, thread or engine.
 
-The load that this answers: a burst beyond what engines serve, with some of them lost.
-The forecast counts all that stand before a request as served, at the pace of the latest
-grants. Many of those are refused at their own limit, and the pace changes with each
-engine that is lost or comes back: of requests whose forecast was a little longer than
-they could wait, many would have found room.
+Refusals on arrival are meant for a burst beyond the capacity of the engines, some of
+which are lost. The forecast assumes that all requests ahead are served at the rate of
+the latest grants. In fact many of them are refused at their own limit, and the rate
+changes with each engine that is lost or returns. Many requests whose forecast slightly
+exceeds their limit would therefore still get a grant.
 """
 
 from __future__ import annotations
 
-# How many times longer than a request can wait its forecast has to be, so that there is
-# no doubt that it would wait in vain.
+# A request is refused on arrival if its forecast exceeds the time that it can wait by
+# this factor, so that its wait certainly cannot succeed.
 CERTAIN_TIMES = 3.0
 
 
 def waits_in_vain(forecast: float, limit: float) -> bool:
-    """Say whether a request that may wait `limit` seconds is better refused at once."""
+    """Say whether to refuse a request at once that may wait `limit` seconds."""
     return forecast > CERTAIN_TIMES * max(0.0, limit)
--- a/tests/admission/test_engine_follower.py
+++ b/tests/admission/test_engine_follower.py
@@ -1,4 +1,4 @@
-"""The task that asks one engine for its reports."""
+"""The task that polls one engine for its reports."""
 
 from __future__ import annotations
 
@@ -34,49 +34,50 @@
 }
 
 
-class TestReportThatIsNotUsable:
-    """An engine leaves its capacity out of some reports, and then gives it again.
+class TestUnusableReport:
+    """Guards against using a report without capacity, and against logging each one.
 
-    The leader grants nothing by such a report and goes on asking; one line tells the
-    field and a second one that all is well again.
+    An engine omits its capacity from some reports. The leader ignores those and keeps
+    polling; one log line names the missing field and a second one the recovery.
     """
 
-    def test_is_passed_over_until_one_is_usable(
+    def test_is_skipped_until_one_is_usable(
         self, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
     ) -> None:
         broken = {key: value for key, value in REPORT.items() if key != "kvCapacity"}
-        answers = [broken, broken, REPORT]
+        replies = [broken, broken, REPORT]
         monkeypatch.setattr(
             _engine_follower,
             "ask_endpoint",
-            lambda *_: (200, json.dumps(answers.pop(0)).encode()),
+            lambda *_: (200, json.dumps(replies.pop(0)).encode()),
         )
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
-        taken: list[EngineReport] = []
+        reports: list[EngineReport] = []
         poller = EngineReportPoller(
             engine("e"),
             interface,
             process,
-            lambda _, report: taken.append(report),
+            lambda _, report: reports.append(report),
             lambda _: pytest.fail("the engine was reached"),
         )
         with caplog.at_level(logging.INFO):
             for _ in range(3):
                 poller._request_report()
-        assert [report.capacity_tokens for report in taken] == [100]
+        assert [report.capacity_tokens for report in reports] == [100]
         first, second = caplog.records
         assert "'kvCapacity'" in vars(first)["error"]
         assert second.message == "engine reports again"
 
 
-class TestEngineThatEnds:
-    """Two of five engines crash in a burst, and half of the summaries are refused.
+class TestUnreachableEngine:
+    """Guards against grants at crashed engines, whose answers have ended with them.
 
-    Their answers end with them, so that they look empty: `grant at an engine` names no
-    others, with a fill of 0.1 and a report up to 1.5 s old. Prompts are read for them
-    in vain (0.067 of a day's worth), and by the time that the send is refused
-    (`endpoint_unreachable`, later `endpoint_replaced`) their target has passed.
+    Two of five engines crash in a burst, and half of the summaries are refused. All
+    log lines `grant at an engine` name the crashed engines, with a fill of 0.1 and a
+    report up to 1.5 s old. The prefill of these prompts is wasted (0.067 of a day's
+    worth). When the call to the engine fails (`endpoint_unreachable`, later
+    `endpoint_replaced`), the target of the request has passed.
     """
 
     @pytest.fixture
@@ -87,8 +88,8 @@
     def poller(
         self, monkeypatch: pytest.MonkeyPatch, lost: list[str]
     ) -> EngineReportPoller:
-        monkeypatch.setattr(_engine_follower, "ask_endpoint", self.answer)
-        self.answers: list[object] = []
+        monkeypatch.setattr(_engine_follower, "ask_endpoint", self.reply)
+        self.replies: list[object] = []
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
         return EngineReportPoller(
@@ -99,12 +100,12 @@
             lambda ended: lost.append(ended.endpoint_id),
         )
 
-    def answer(self, *_: object) -> tuple[int, bytes]:
-        answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        assert isinstance(answer, tuple)
-        return answer
+    def reply(self, *_: object) -> tuple[int, bytes]:
+        reply = self.replies.pop(0)
+        if isinstance(reply, Exception):
+            raise reply
+        assert isinstance(reply, tuple)
+        return reply
 
     GOOD = (200, json.dumps(REPORT).encode())
     OTHER_START = (200, json.dumps({**REPORT, "born": 8}).encode())
@@ -113,52 +114,52 @@
     DROPPED = AnswerCutError("the kept connection was reset")
 
     @pytest.mark.parametrize(
-        "answers",
+        "replies",
         [(DROPPED, REFUSED), (REFUSED, REFUSED), (MISDIRECTED, MISDIRECTED)],
         ids=["reset, then refused", "refused", "another endpoint has the address"],
     )
-    def test_is_told_lost_at_the_first_look(
-        self, poller: EngineReportPoller, lost: list[str], answers: tuple[object, ...]
+    def test_is_reported_lost_by_the_first_poll(
+        self, poller: EngineReportPoller, lost: list[str], replies: tuple[object, ...]
     ) -> None:
-        self.answers += answers
+        self.replies += replies
         poller._poll()
         assert lost == ["e"]
 
-    def test_is_told_lost_when_another_start_answers(
+    def test_is_reported_lost_when_another_start_replies(
         self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
-        self.answers += [self.OTHER_START, self.OTHER_START]
+        self.replies += [self.OTHER_START, self.OTHER_START]
         poller._poll()
         assert lost == ["e"]
 
-    def test_is_kept_when_only_a_connection_was_dropped(
+    def test_is_not_reported_lost_when_only_a_connection_was_dropped(
         self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
-        self.answers += [self.DROPPED, self.GOOD]
+        self.replies += [self.DROPPED, self.GOOD]
         poller._poll()
         assert lost == []
 
-    def test_is_told_lost_once_each_time(
+    def test_is_reported_lost_once_per_outage(
         self, poller: EngineReportPoller, lost: list[str]
     ) -> None:
-        self.answers += [self.REFUSED] * 3 + [self.GOOD] + [self.REFUSED] * 2
+        self.replies += [self.REFUSED] * 3 + [self.GOOD] + [self.REFUSED] * 2
         for _ in range(4):
             poller._poll()
         assert lost == ["e", "e"]
-        assert self.answers == []
+        assert self.replies == []
 
 
-class TestEngineThatAskedForBackoff:
-    """Guards against reports that a control host asks an engine in backoff for."""
+class TestEngineInBackoff:
+    """Guards against a control host that polls an engine during its backoff."""
 
-    def test_is_asked_nothing_until_its_end(self) -> None:
+    def test_is_not_polled_until_the_backoff_ends(self) -> None:
         load_plugins()
         with PlatformWorker("e", "model", "decode") as worker:
-            followed = replace(engine("e"), address=worker.address)
+            polled = replace(engine("e"), address=worker.address)
             notices = EndpointNotices()
             process: Any = None
             poller = EngineReportPoller(
-                followed,
+                polled,
                 interfaces.get("platform"),
                 process,
                 lambda *_: None,
@@ -166,7 +167,7 @@
                 notices,
             )
             refusal = read_head(503, [("Retry-After", "0.3")])
-            notices.note_other_answer(followed, refusal)
+            notices.note_other_answer(polled, refusal)
             for _ in range(3):
                 poller._poll()
             assert worker.questions == []
--- a/tests/admission/test_engine_memory.py
+++ b/tests/admission/test_engine_memory.py
@@ -1,4 +1,4 @@
-"""What is believed of an engine between its reports."""
+"""The estimated memory use of an engine between its reports."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 CAPACITY, PROMPT_TOKENS, EVENT_TOKENS, MAXIMUM_EVENTS = 100_000, 5_000, 65, 130
 EVENT_RATE, REPORT_SECONDS, SECONDS = 15.0, 0.25, 20.0
-# A new answer comes this often, and is told to have begun at once.
+# Interval between new answers, each of which begins as soon as it is granted.
 EVERY_SECONDS = 0.5
 
 
 class SimulatedEngine:
-    """Makes an answer of the longest length every half second, at an even pace."""
+    """Begins an answer of maximum length every half second, at a fixed event rate."""
 
     def __init__(self, lag: float, clock: VirtualClock) -> None:
         self.memory = EngineMemory(engine("engine"))
@@ -27,7 +27,7 @@
         self._decode_start_by_id: dict[str, float] = {}
 
     def run(self) -> None:
-        """Report until the end of the span."""
+        """Report until the simulated time is over."""
         ends = self._clock.now + SECONDS
         next_at = self._clock.now
         while self._clock.now < ends:
@@ -38,11 +38,11 @@
             self._clock.now += REPORT_SECONDS
 
     def used_tokens(self, at: float) -> float:
-        """Return the tokens in use at an instant."""
+        """Return the tokens in use at a time."""
         return sum(item.memory_tokens for item in self._running(at))
 
     def estimated_tokens(self) -> float:
-        """Return the tokens that are believed to be in use now."""
+        """Return the estimated tokens in use now."""
         answers = self.memory.answers(_applicant("asks"))
         return sum(answer.memory_tokens for answer in answers)
 
@@ -85,7 +85,7 @@
 
 
 class TestOutdatedReports:
-    """Guards against memory that answers have taken since the state of a report."""
+    """Guards against ignoring memory that answers used since the state of a report."""
 
     @pytest.mark.parametrize("lag", [0.1, 0.5, 0.9, 1.2])
     def test_their_age_is_estimated_from_answers(self, lag: float) -> None:
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -1,4 +1,4 @@
-"""The leader's home of admissions and the engines that it follows."""
+"""The leader's home of admissions and the engines that it polls."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class ImmediateProcess:
-    """A process whose tasks run at their start, before anything else goes on."""
+    """A process that runs each task synchronously when it is started."""
 
     def start_task(self, task: Callable[[], None]) -> None:
         task()
 
 
 class ImmediatePoller:
-    """Hands over an engine's report in the moment that it is told to follow it."""
+    """Delivers an engine's report as soon as it is started."""
 
     def __init__(
         self,
@@ -51,16 +51,17 @@
         pass
 
     def run(self) -> None:
-        reads = self._engine.role == EndpointRole.PREFILL
-        report = EngineReport(100_000, 0, 0, (), reads_prompts=reads)
+        is_prefill_engine = self._engine.role == EndpointRole.PREFILL
+        report = EngineReport(100_000, 0, 0, (), reads_prompts=is_prefill_engine)
         self._on_report(self._engine, report)
 
 
 class TestImmediateReport:
-    """An engine that reads prompts reports within a millisecond after it is found.
+    """Guards against losing a report that arrives as soon as polling starts.
 
-    Its report would be for an engine that is not known yet, and be lost: until its next
-    one, a quarter of a second later, engines that answer read prompts by themselves.
+    A prefill engine reports within a millisecond after it is found. If the pool did not
+    know the engine yet, the report would be lost, and decode engines would prefill
+    prompts until the next one, a quarter of a second later.
     """
 
     def test_is_not_lost(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,9 +85,10 @@
 
 
 class TestEnginesOfAnUnconfiguredService:
-    """Another program announces an engine of a service that no configuration names.
+    """Guards against polling engines of a service that no configuration names.
 
-    Asked for a report four times a second, it would be used, and could be any address.
+    Any program can announce such an engine, at any address. It would be polled four
+    times a second and used.
     """
 
     def test_are_not_polled(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -119,7 +121,7 @@
     ordered_role: Callable[[Endpoint], EndpointRole | None],
     notices: EndpointNotices | None = None,
 ) -> AdmissionHome:
-    """Return a home of one engine and two readers."""
+    """Return a home of one decode engine and two prefill engines."""
     monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
     book = EndpointBook()
     prefill_engines = [
@@ -141,7 +143,10 @@
 
 
 def granted_prefill_engines(home: AdmissionHome) -> set[str]:
-    """Return the readers of some requests; the one with less to read is next."""
+    """Return the prefill engines that some requests are granted.
+
+    Each request gets the engine with the least pending prefill.
+    """
     found = set()
     for number in itertools.islice(REQUEST_NUMBERS, 8):
         request = AdmissionRequest(
@@ -156,16 +161,17 @@
 
 
 class TestPrefillEngineOrderedToDecode:
-    """A reader is ordered to answer and refuses prompts from that moment on.
+    """Guards against prompts for a prefill engine that was ordered to decode.
 
-    Its reports show that about a second later. Five prompts of a calm moment were sent
-    there meanwhile and refused, and their requests had to wait anew.
+    It refuses prompts as soon as it is ordered, and its reports show that about a
+    second later. Even under low load, five prompts were sent there meanwhile and
+    refused, and their requests had to wait again.
     """
 
     def home(
         self, monkeypatch: pytest.MonkeyPatch, role: EndpointRole | None
     ) -> AdmissionHome:
-        """Return a home of one engine and two readers, one of which has an order."""
+        """Return a home whose first prefill engine is ordered to a role."""
         return home_with_two_prefill_engines(
             monkeypatch, lambda asked: role if asked.endpoint_id == "first" else None
         )
@@ -185,7 +191,7 @@
 
 
 class TestLeavingEngine:
-    """Guards against grants at engines whose reports say that they leave."""
+    """Guards against grants at engines that announced that they are leaving."""
 
     def test_is_not_granted(self, monkeypatch: pytest.MonkeyPatch) -> None:
         notices = EndpointNotices()
--- a/tests/admission/test_pool.py
+++ b/tests/admission/test_pool.py
@@ -1,4 +1,4 @@
-"""Who gets a grant at an engine, and who reads the prompt."""
+"""Which request gets a grant at which engine, and which engine prefills its prompt."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 def ask_now(
     pool: EnginePool, request_id: str, *avoided: str, attempt: int = 1
 ) -> Decision:
-    """Ask for a grant that is there now; without one the request doesn't wait."""
+    """Ask for a grant that is available now; otherwise the request is refused."""
     return pool.ask(
         grant_request(request_id, attempt=attempt, limit=0), avoided, already_expired()
     )
@@ -97,7 +97,7 @@
 
 
 class Callers:
-    """Entry hosts that wait for an answer, each in a thread of its own."""
+    """Entry hosts that wait for a reply, each in a thread of its own."""
 
     def __init__(self, pool: EnginePool) -> None:
         self._pool = pool
@@ -117,7 +117,7 @@
 
 @pytest.fixture
 def full_pool() -> EnginePool:
-    """Return a pool whose one engine has no room."""
+    """Return a pool whose only engine has no free memory."""
     pool = pool_of("engine")
     pool.take_report("engine", FULL)
     return pool
@@ -130,10 +130,10 @@
         assert endpoint_of(ask_now(pool, "a")) == "idle"
 
     def test_grants_count_before_any_report_lists_them(self) -> None:
-        """A burst comes within the time that a report is old.
+        """Guards against overloading an engine within the interval between reports.
 
-        Each host by itself would find the engine empty, and all answers would grow
-        together until the newest are pushed out.
+        In a burst, each host on its own would find the engine empty, and all answers
+        would grow together until the newest are evicted.
         """
         pool = pool_of("engine", prefill_engines=("r1", "r2", "r3"))
         given = 0
@@ -142,7 +142,7 @@
             decision = ask_now(pool, request_id)
             pool.note_read(request_id, 1)
             given += decision.grant is not None
-        # By their prompts alone, twenty-three would fit.
+        # Counting their prompts only, twenty-three would fit.
         assert 9 <= given <= 17
 
     def test_is_not_one_that_changes_its_role(self) -> None:
@@ -160,9 +160,9 @@
             assert endpoint_of(decision) == "two"
 
     def test_is_preferably_in_the_availability_zone_of_the_host(self) -> None:
-        """A zone is cut off: each answer that crosses its border is lost.
+        """Guards against losing answers that leave or enter a zone that is cut off.
 
-        Only an engine that is much emptier is worth that.
+        Only an engine in another zone with much more free memory justifies that risk.
         """
         pool = pool_of()
         engines = [engine("near"), engine("far", availability_zone="zone-2")]
@@ -207,8 +207,8 @@
         later = callers.ask(grant_request("later", target=20))
         earlier = callers.ask(grant_request("earlier", target=10))
         late = callers.ask(grant_request("late", target=-1))
-        room = [RunningAnswer(9_000, 60, f"old-{n}") for n in range(8)]
-        full_pool.take_report("engine", engine_report(*room))
+        running = [RunningAnswer(9_000, 60, f"old-{n}") for n in range(8)]
+        full_pool.take_report("engine", engine_report(*running))
         assert endpoint_of(earlier.result(10)) == "engine"
         full_pool.note_read("earlier", 1)
         full_pool.take_report("engine", engine_report())
@@ -219,28 +219,30 @@
     def test_request_of_a_lost_host_blocks_no_others(
         self, full_pool: EnginePool
     ) -> None:
-        """Its request is first in the queue, and nobody asks for it any more."""
-        gone = full_pool.ask(grant_request("gone", target=1), (), already_expired())
-        assert gone.grant is None and not gone.refused
+        """The request is first in the queue, but its host no longer asks for it."""
+        lost_host = full_pool.ask(
+            grant_request("gone", target=1), (), already_expired()
+        )
+        assert lost_host.grant is None and not lost_host.refused
         waiting = Callers(full_pool).ask(grant_request("next", target=20))
         full_pool.take_report("engine", engine_report())
         assert endpoint_of(waiting.result(10)) == "engine"
 
 
 class TestRequestThatNoEngineCanTake:
-    """One request stands first in the queue for three seconds, and all behind it wait.
+    """Guards against a request that no engine may take but that blocks the queue.
 
-    Its reader refused the prompt while it changed its role, so the engine that answers
-    has to read it: 5,169 tokens, which stop all its other answers for 0.31 s where 0.3
-    are allowed. `grant at an engine` told a fill of 0.43 at most while seventeen
-    requests waited 2 to 3 s behind it, until its limit came.
+    Its prefill engine refused the prompt during a change of role, so a decode engine
+    has to prefill it. Its 5,169 tokens would pause all other answers for 0.31 s, and
+    0.3 s are allowed. The fill in `grant at an engine` was at most 0.43 while seventeen
+    requests waited 2 to 3 s behind the request, until its limit.
     """
 
     LONG = 5_169
 
     @pytest.fixture
     def loaded_pool(self) -> EnginePool:
-        """Return a pool whose engines answer somebody and have room for more."""
+        """Return a pool whose engines each decode one answer and have free memory."""
         pool = pool_of("one", "two", prefill_engines=("r1", "r2"))
         for name in ("one", "two"):
             pool.take_report(name, engine_report(RunningAnswer(5_000, 10, "other")))
@@ -265,7 +267,7 @@
     def test_blocks_no_others_when_it_avoids_the_free_engines(
         self, loaded_pool: EnginePool
     ) -> None:
-        """Its host can't reach them, which says nothing of other hosts."""
+        """The request's host can't reach them, but other hosts may."""
         waiting_request = grant_request("cut off", target=20)
         first = loaded_pool.ask(waiting_request, ("one", "two"), Deadline.after(0.4))
         assert first.grant is None
@@ -275,9 +277,10 @@
     def test_that_waits_for_memory_is_bypassed_for_a_limited_time(
         self, loaded_pool: EnginePool
     ) -> None:
-        """Small requests take each room that comes free; a large one never fits.
+        """Guards against the starvation of large requests by small ones.
 
-        Passed for good, the largest tenth of requests would be served to nobody.
+        Small requests take all memory that becomes free, so that a large one never
+        fits. Without a limit, the largest tenth of requests would never be served.
         """
         for name in ("one", "two"):
             old = [RunningAnswer(9_000, 60, f"{name}-{n}") for n in range(6)]
@@ -301,10 +304,10 @@
     def test_is_immediate_if_the_wait_cannot_succeed(
         self, full_pool: EnginePool
     ) -> None:
-        """Five requests wait; the next one could not be in time any more.
+        """Guards against holding a request that can't be served in time.
 
-        Held until its target, it would be refused all the same, and its client would
-        come back later than it need.
+        Five requests are ahead of it. Held until its limit, it would be refused as
+        well, and its client would retry later than necessary.
         """
         callers = Callers(full_pool)
         for number in range(5):
@@ -324,9 +327,9 @@
 
 
 class TestLostReply:
-    """The leader's answer is lost on its way, and the host asks again.
+    """Guards against a second grant if the leader's reply to the first one is lost.
 
-    A second grant for the same request would be held until its end, for nothing.
+    The host asks again, and the unused grant would hold memory until the request ends.
     """
 
     def test_returns_the_same_grant_again(self) -> None:
@@ -343,7 +346,7 @@
             grant_request("a", attempt=2), (endpoint_of(first),), already_expired()
         )
         assert {endpoint_of(first), endpoint_of(second)} == {"one", "two"}
-        # What is heard late of the first one takes nothing from the second.
+        # A late end of the first attempt doesn't affect the second grant.
         pool.end("a", 1)
         again = ask_now(pool, "a", attempt=2)
         assert again.grant is not None and again.grant == second.grant
@@ -351,7 +354,7 @@
 
 class TestPrompts:
     def test_wait_in_the_pool_while_the_prefill_engine_is_busy(self) -> None:
-        """Prompts that queue at the engine would hold memory at another one."""
+        """Prompts queued at a prefill engine would hold memory at a decode engine."""
         pool = pool_of("engine")
         given = [ask_now(pool, f"request-{n}").grant for n in range(4)]
         assert given[0] is not None and given[3] is None
@@ -367,10 +370,10 @@
         assert 0.05 < first.read_seconds < second.read_seconds < 0.3
 
     def test_wait_for_a_prefill_engine_that_has_not_reported_yet(self) -> None:
-        """Engines have just announced themselves; one that answers reports first.
+        """Guards against skipping a prefill engine that has only announced itself.
 
-        Taken for missing, the reader would be passed over, and the engine would read
-        prompts by itself and stop all its answers for that.
+        If the decode engine reports first, it would prefill the prompt itself and pause
+        all its answers meanwhile.
         """
         pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5))
         pool.set_engines([engine("engine")], [engine("reader")])
@@ -386,9 +389,9 @@
         assert prefill_engine_of(ask_now(pool, "a")) == "reader"
 
     def test_are_prefilled_by_a_decode_engine_one_at_a_time(self) -> None:
-        """No engine reads prompts for others. All answers stand still meanwhile.
+        """Without prefill engines, each prefill pauses the decode engine's answers.
 
-        Two prompts in a row would stop them for longer than they may pause.
+        Two prompts in a row would exceed the maximum gap between two events.
         """
         pool = pool_of("engine", prefill_engines=())
         first = ask_now(pool, "a")
@@ -398,9 +401,10 @@
         assert ask_now(pool, "c").grant is not None
 
     def test_that_are_long_are_not_prefilled_beside_other_answers(self) -> None:
-        """No engine reads prompts for others, as in a zone that is cut off.
+        """Guards against making a dozen answers late for one long prompt.
 
-        A dozen answers would pause for half a second, and all be late, for one.
+        There is no prefill engine, as in a zone that is cut off. The prefill would
+        pause the answers for half a second.
         """
         pool = pool_of("engine", prefill_engines=())
         pool.take_report("engine", engine_report(RunningAnswer(9000, 10, "other")))
@@ -420,14 +424,15 @@
 
 
 class TestCrashedEngine:
-    """An engine has crashed: its answers are gone, and it looks like the emptiest.
+    """Guards against grants at a crashed engine, whose answers have ended with it.
 
-    Each request of a burst is granted there until its last report is 1.5 s old, its
-    prompt is read in vain, and there is no time left for another engine.
+    It looks like the engine with the most free memory, and each request of a burst is
+    granted there until its last report is 1.5 s old. The prefill of the prompt is
+    wasted, and there is no time left for another engine.
     """
 
     def granted_engine(self, pool: EnginePool, request_id: str) -> str:
-        """Return where a request is granted whose prompt is read at once."""
+        """Return where a request is granted; its prompt is prefilled at once."""
         decision = ask_now(pool, request_id)
         pool.note_read(request_id, 1)
         return endpoint_of(decision)
@@ -435,7 +440,7 @@
     def announce(
         self, pool: EnginePool, *engines: str, prefill_engines: tuple[str, ...]
     ) -> None:
-        """Let these engines be heard now, and none of the others."""
+        """Announce these engines now, and none of the others."""
         pool.set_engines(
             [engine(name) for name in engines],
             [engine(name) for name in prefill_engines],
@@ -453,10 +458,11 @@
         assert self.granted_engine(pool, "r-4") == "ended"
 
     def test_gets_no_grant_by_reports_of_another_engine_at_its_address(self) -> None:
-        """`engine reports again` stood in the log two seconds after the crash.
+        """Guards against taking a report from the same address for that of the engine.
 
-        Another engine had started at the address. Eighteen requests were granted the
-        one that had ended; each had its prompt read and was then refused with 421.
+        Another engine started at the address, and `engine reports again` was logged
+        two seconds after the crash. Eighteen requests were granted the crashed engine;
+        each had its prompt prefilled and was then refused with 421.
         """
         pool = pool_of("ended", "other")
         pool.take_report("other", engine_report(RunningAnswer(9_000, 60, "old")))
@@ -484,10 +490,11 @@
 
 
 class TestRequestWhoseAnswerWasInterrupted:
-    """Its client has a part of the answer, and leaves after a pause of 3.6 seconds.
+    """Guards against queueing an interrupted answer behind all new requests.
 
-    Late since its first target, it stood behind all new requests of a burst, and none
-    of those that were cut came to their end.
+    Its client has a part of the answer and disconnects after a pause of 3.6 seconds.
+    Past its first target, the request was queued behind all new requests of a burst,
+    and no interrupted answer was completed.
     """
 
     def test_keeps_its_place_before_new_ones(self, full_pool: EnginePool) -> None:
@@ -505,7 +512,7 @@
 
 
 class TestEnginesThatReportedRecently:
-    """Guards against engines that are taken for there since they were heard of."""
+    """Guards against using engines that announced themselves but don't report."""
 
     def test_exclude_unknown_and_lost_engines(self) -> None:
         pool = pool_of("engine")
@@ -525,15 +532,16 @@
 
 
 class TestLossOfAPrefillEngine:
-    """One of two readers is lost in a burst; the other can read half of the prompts.
+    """Guards against refusals while decode engines could prefill prompts.
 
-    Engines that answer had room meanwhile (fill 0.7), and a third of the requests was
-    refused for want of a reader, while a change of role takes ten seconds.
+    One of two prefill engines is lost in a burst, and the other can prefill half of the
+    prompts. Decode engines had free memory (fill 0.7), but a third of the requests was
+    refused for lack of a prefill engine, while a change of role takes ten seconds.
     """
 
     @pytest.fixture
     def pool(self) -> EnginePool:
-        """Return a pool whose one reader has enough to read."""
+        """Return a pool whose only prefill engine is busy."""
         options = WaitingOptions(reader_seconds=0.1)
         pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5), options)
         pool.set_engines([engine("engine")], [engine("reader")])
@@ -557,7 +565,7 @@
         assert decision.grant is not None and decision.grant.reader is None
 
     def test_two_are_not_prefilled_in_a_row(self, pool: EnginePool) -> None:
-        """The pauses of the other answers would be one, and all of them late."""
+        """The two pauses would be one long pause and make all other answers late."""
         for request_id in ("first", "second"):
             self.ask(pool, request_id)
         time.sleep(0.11)
--- a/tests/admission/test_prompt_queue.py
+++ b/tests/admission/test_prompt_queue.py
@@ -1,4 +1,4 @@
-"""How much an engine that reads prompts still has to read."""
+"""The remaining work of a prefill engine."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     )
 
 
-class TestTimeLeft:
-    def test_learns_how_fast_the_engine_reads(self, clock: Clock) -> None:
+class TestRemainingSeconds:
+    def test_follows_the_measured_prefill_speed(self, clock: Clock) -> None:
         queue = PrefillQueue(engine("reader"))
         for number in range(60):
             queue.add(prompt(str(number), 5000))
@@ -44,11 +44,11 @@
         queue.add(prompt("next", 5000))
         assert 0.4 < queue.seconds_left < 0.55
 
-    def test_is_not_misled_by_prompts_that_end_together(self, clock: Clock) -> None:
-        """An engine reads prompts side by side, and both end at the same moment.
+    def test_is_accurate_for_prompts_that_end_together(self, clock: Clock) -> None:
+        """Guards against overestimating the speed if prompts are prefilled together.
 
-        Taken by itself the second one seems to take no time, and the engine would be
-        given far more than it can read.
+        Two concurrent prompts end at the same time. The second one seems to take no
+        time, and the engine would be assigned far more than it can prefill.
         """
         queue = PrefillQueue(engine("reader"))
         for number in range(60):
@@ -60,7 +60,7 @@
         queue.add(prompt("next", 5000))
         assert 0.35 < queue.seconds_left < 0.55
 
-    def test_gets_less_while_the_engine_reads(self, clock: Clock) -> None:
+    def test_decreases_while_the_engine_prefills(self, clock: Clock) -> None:
         queue = PrefillQueue(engine("reader"))
         queue.take_report(_report())
         assert queue.accepts_more
@@ -69,7 +69,7 @@
         clock.now += 0.45
         assert queue.accepts_more
 
-    def test_forgets_prompts_of_hosts_that_died(self, clock: Clock) -> None:
+    def test_excludes_prompts_of_lost_hosts(self, clock: Clock) -> None:
         queue = PrefillQueue(engine("reader"))
         queue.add(prompt("a", 1_000_000))
         clock.now += 4
@@ -78,8 +78,8 @@
         assert queue.accepts_more
 
 
-class TestReaderThatNeverReports:
-    def test_is_waited_for_only_for_a_while(self, clock: Clock) -> None:
+class TestPrefillEngineThatNeverReports:
+    def test_is_usable_for_a_limited_time_only(self, clock: Clock) -> None:
         queue = PrefillQueue(engine("reader"))
         assert queue.usable and not queue.accepts_more
         clock.now += USABLE_SECONDS
--- a/tests/admission/test_room_search.py
+++ b/tests/admission/test_room_search.py
@@ -1,4 +1,4 @@
-"""How many engines are looked at for a grant, and that none better is missed."""
+"""The number of engines evaluated for a grant, and that the best one is found."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
     return EngineReport(CAPACITY, used, 0, running)
 
 
-class TestRoomChanges:
-    def test_tell_the_engines_that_changed_since(self) -> None:
+class TestCapacityChanges:
+    def test_yield_the_engines_changed_since(self) -> None:
         changes = CapacityChanges()
         for name in ("one", "two", "three"):
             changes.note(name)
@@ -59,7 +59,7 @@
         assert list(changes.since(seen)) == ["two"]
         assert sorted(changes.since(0)) == ["one", "three", "two"]
 
-    def test_forget_engines_that_are_gone(self) -> None:
+    def test_drop_removed_engines(self) -> None:
         changes = CapacityChanges()
         changes.note("one")
         changes.note("two")
@@ -68,12 +68,12 @@
 
 
 class TestBurst:
-    """Seventy engines are full, hundreds wait, and engines report all the time.
+    """Guards against evaluating all engines for each request at each report.
 
-    Callers of a larger deployment saw their streams late by seconds on a calm day, too.
-    At each report the leader looked at all engines for each of the first requests; that
-    took 31 ms of its processor for one grant, hosts' calls waited for it, and 68 hosts
-    began to decide by themselves beside it.
+    Seventy engines are full, hundreds of requests wait, and engines report all the
+    time. An exhaustive search took the leader 31 ms of processor time for one grant.
+    Hosts' calls waited for it, 68 hosts began to decide on their own, and in a larger
+    deployment streams were late by seconds even under low load.
     """
 
     ENGINES, WAITING = 70, 400
@@ -92,58 +92,64 @@
 
     @pytest.fixture
     def forecasts(self, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-        """Return what names each engine whose memory is forecast from now on."""
-        asked: list[str] = []
-        whole = _engine_memory.EngineMemory.profile
+        """Return a list that collects the start of each engine that is forecast."""
+        forecast_ids: list[str] = []
+        original_profile = _engine_memory.EngineMemory.profile
 
         def profile(
-            memory: _engine_memory.EngineMemory, asking: Applicant
+            memory: _engine_memory.EngineMemory, waiting_request: Applicant
         ) -> _engine_memory.MemoryProfile:
-            asked.append(memory.endpoint.start_id)
-            return whole(memory, asking)
+            forecast_ids.append(memory.endpoint.start_id)
+            return original_profile(memory, waiting_request)
 
         monkeypatch.setattr(_engine_memory.EngineMemory, "profile", profile)
-        return asked
+        return forecast_ids
 
-    def test_a_report_is_a_reason_to_look_at_its_engine_only(
+    def test_report_triggers_forecasts_of_its_engine_only(
         self, pool: EnginePool, forecasts: list[str]
     ) -> None:
         pool.take_report("engine-7", report("engine-7", 9))
         assert set(forecasts) == {"engine-7"}
         assert len(forecasts) <= MAXIMUM_TRIED
 
-    def test_one_that_asks_on_is_no_reason_to_look(
+    def test_repeated_call_triggers_no_forecast(
         self, pool: EnginePool, forecasts: list[str]
     ) -> None:
         pool.ask(grant_request("request-3"), (), Deadline.after(0))
         pool.look_again()
         assert forecasts == []
 
-    def test_room_goes_to_the_first_one_at_once(self, pool: EnginePool) -> None:
+    def test_free_capacity_is_granted_to_the_first_request(
+        self, pool: EnginePool
+    ) -> None:
         pool.take_report("engine-7", report("engine-7", 3))
         decision = pool.ask(grant_request("request-0"), (), Deadline.after(0))
         assert decision.grant is not None
         assert decision.grant.endpoint.endpoint_id == "engine-7"
 
 
-class TestCheapestEngine:
+class TestGrantedEngine:
     @pytest.mark.parametrize("seed", range(20))
-    def test_is_the_one_that_a_look_at_all_of_them_finds(self, seed: int) -> None:
-        draw = random.Random(seed)
+    def test_equals_that_of_an_exhaustive_search(self, seed: int) -> None:
+        generator = random.Random(seed)
         engines = ServiceEngines(OPTIONS)
-        zones = {f"engine-{n}": draw.choice(["zone-1", "zone-2"]) for n in range(20)}
+        zones = {
+            f"engine-{n}": generator.choice(["zone-1", "zone-2"]) for n in range(20)
+        }
         engines.retain_only(
             [engine(name, availability_zone=zone) for name, zone in zones.items()],
             [engine("reader")],
         )
         engines.take_report("reader", PREFILL_REPORT)
         for name in zones:
-            prompt_tokens = draw.randrange(500, 6_000)
-            engines.take_report(name, report(name, draw.randrange(10), prompt_tokens))
-        asking = grant_request("asks", draw.randrange(500, 6_000))
+            prompt_tokens = generator.randrange(500, 6_000)
+            engines.take_report(
+                name, report(name, generator.randrange(10), prompt_tokens)
+            )
+        waiting_request = grant_request("asks", generator.randrange(500, 6_000))
 
         def find(avoided: set[str]) -> Grant | None:
-            search = CapacitySearch(asking, avoided)
+            search = CapacitySearch(waiting_request, avoided)
             return engines.find_grant(search, engines.prefill_candidates())
 
         costs = {
--- a/tests/admission/test_starts.py
+++ b/tests/admission/test_starts.py
@@ -1,4 +1,4 @@
-"""Engines that start again under their id, as the leader's grants see them."""
+"""Grants at engines that restart with the same endpoint id."""
 
 from __future__ import annotations
 
@@ -50,16 +50,17 @@
 
 
 def set_starts(pool: EnginePool, engine_start: int, reader_start: int) -> None:
-    """Let the engines be there with these starts, which have nothing to do."""
+    """Announce the engines with these starts, which report that they are idle."""
     pool.set_engines([decode_engine(engine_start)], [prefill_engine(reader_start)])
     pool.take_report(decode_engine(engine_start).start_id, engine_report())
     pool.take_report(prefill_engine(reader_start).start_id, PREFILL_REPORT)
 
 
-class TestMemoryOfTheEarlierStart:
-    """An engine is killed with a dozen answers, and is back with none.
+class TestMemoryOfThePreviousStart:
+    """Guards against counting the answers of a killed start at the next one.
 
-    Counted on, those answers would keep requests off an empty engine for seconds.
+    An engine is killed with a dozen answers and restarts with none. If they still
+    counted, the idle engine would get no requests for seconds.
     """
 
     def test_is_free_at_the_new_start(self) -> None:
@@ -75,20 +76,21 @@
         pool.set_engines([decode_engine(SECOND)], [prefill_engine(FIRST)])
         assert not pool.usable
 
-    def test_late_report_of_it_fills_nothing(self) -> None:
+    def test_late_report_of_the_previous_start_is_ignored(self) -> None:
         pool = pool_at(FIRST, FIRST)
         set_starts(pool, SECOND, FIRST)
         pool.take_report(decode_engine(FIRST).start_id, FULL)
         assert endpoint_of(ask_now(pool, "a")) == "engine"
 
 
-class TestGrantOfTheEarlierStart:
-    """An engine is killed over a request; its host asks for a further grant.
+class TestGrantAtThePreviousStart:
+    """Guards against late updates on a grant at the previous start.
 
-    What is heard of the first grant comes late, after the second one was given.
+    An engine is killed during a request, and the request's host asks for another
+    grant. Updates on the first grant arrive after the second one was given.
     """
 
-    def test_is_given_back_once(self) -> None:
+    def test_late_updates_do_not_affect_the_next_grant(self) -> None:
         pool = pool_at(FIRST, FIRST)
         ask_now(pool, "a")
         set_starts(pool, SECOND, SECOND)
@@ -98,8 +100,8 @@
         again = pool.ask(grant_request("a", attempt=2), (), already_expired())
         assert again.grant is not None and again.grant == second.grant
 
-    def test_its_prompt_takes_none_of_the_reader_from_the_next(self) -> None:
-        """A second prompt would be read beside the one that the reader has."""
+    def test_late_updates_do_not_free_the_prefill_engine(self) -> None:
+        """Otherwise the prefill engine would get a second prompt besides this one."""
         pool = pool_at(FIRST, FIRST)
         ask_now(pool, "a")
         set_starts(pool, SECOND, SECOND)
@@ -110,7 +112,7 @@
         pool.note_read("a", 2)
         assert ask_now(pool, "c").grant is not None
 
-    def test_start_that_refused_is_avoided_and_the_next_is_not(self) -> None:
+    def test_avoided_start_does_not_exclude_the_next_one(self) -> None:
         pool = pool_at(FIRST, FIRST)
         refused = decode_engine(FIRST).start_id
         assert ask_now(pool, "a", refused).grant is None
@@ -118,25 +120,26 @@
         assert endpoint_of(ask_now(pool, "b", refused)) == "engine"
 
 
-class TestFollowerOfTheEarlierStart:
-    """The next start answers at the same address, by the same id, with nothing to do.
+class TestPollerOfThePreviousStart:
+    """Guards against taking the next start's report for that of the previous start.
 
-    Taken for the start before, its report would say that all answers there ended.
+    The next start replies at the same address with the same id and is idle, which
+    would mean that all answers of the previous start have ended.
     """
 
     @pytest.mark.parametrize("reports", [FIRST, SECOND, None])
-    def test_takes_no_report_of_the_next(self, reports: int | None) -> None:
+    def test_ignores_reports_of_the_next_start(self, reports: int | None) -> None:
         load_plugins()
         worker = PlatformWorker("engine", "model", "decode", started_at_ms=reports)
-        taken: list[EngineReport] = []
+        reports_taken: list[EngineReport] = []
         with worker:
-            followed = replace(decode_engine(FIRST), address=worker.address)
+            polled = replace(decode_engine(FIRST), address=worker.address)
             process: Any = SimpleNamespace(stopped=threading.Event())
             poller = EngineReportPoller(
-                followed,
+                polled,
                 interfaces.get("platform"),
                 process,
-                lambda _, report: taken.append(report),
+                lambda _, report: reports_taken.append(report),
                 lambda _: None,
             )
             thread = threading.Thread(target=poller.run)
@@ -144,16 +147,16 @@
             wait_until(lambda: worker.questions.count("report") > 1, "it is asked")
             poller.stop()
             thread.join()
-        assert bool(taken) is (reports != SECOND)
+        assert bool(reports_taken) is (reports != SECOND)
 
 
-class TestEngineThatComesBackInAnotherRole:
-    """An engine that answered is killed, and reads prompts from its next start on.
+class TestEngineRestartedInAnotherRole:
+    """Guards against grants at a decode engine that restarts as a prefill engine.
 
-    Granted as before, it would refuse each request after its prompt was read.
+    It would refuse each request after the prompt was prefilled.
     """
 
-    def test_reads_prompts_and_gets_no_answers(self) -> None:
+    def test_prefills_prompts_and_gets_no_grants(self) -> None:
         pool = pool_at(FIRST, FIRST)
         back = engine("engine", EndpointRole.PREFILL, started_at_ms=SECOND)
         stays = engine("stays")
--- a/tests/admission/test_vain_waits.py
+++ b/tests/admission/test_vain_waits.py
@@ -1,4 +1,4 @@
-"""Which requests are refused as they come."""
+"""Which requests are refused on arrival."""
 
 from __future__ import annotations
 
@@ -7,13 +7,18 @@
 from jujubeslip.admission import waits_in_vain
 
 
-class TestWaitInVain:
+class TestUnservableWait:
     @pytest.mark.parametrize(
         ("forecast", "limit", "refused"),
         [(0.7, 0.65, False), (1.9, 0.65, False), (2.0, 0.65, True), (0.1, -1.0, True)],
-        ids=["a little too long", "twice too long", "for certain", "no time left"],
+        ids=[
+            "slightly too long",
+            "twice too long",
+            "certainly too long",
+            "no time left",
+        ],
     )
-    def test_is_refused_where_there_is_no_doubt(
+    def test_is_refused_only_if_certain(
         self, forecast: float, limit: float, refused: bool
     ) -> None:
         assert waits_in_vain(forecast, limit) is refused
