--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_engines.py
@@ -228,7 +228,7 @@
         return replace(
             found,
             reader=prefill_queue.endpoint,
-            read_seconds=prefill_queue.seconds_for(grant_request.prompt_tokens),
+            prefill_seconds=prefill_queue.seconds_for(grant_request.prompt_tokens),
         )
 
     def _cheapest_grant(
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -285,7 +285,7 @@
             grant.endpoint.start_id,
             forecast_ms,
             grant.reader.start_id if grant.reader else "",
-            int(grant.read_seconds * 1000),
+            int(grant.prefill_seconds * 1000),
         )
     refused = decision.refused
     status = AdmissionStatus.REFUSED if refused else AdmissionStatus.WAITING
--- a/src/jujubeslip/admission/_models.py
+++ b/src/jujubeslip/admission/_models.py
@@ -100,7 +100,7 @@
     """Age of the engine's report at the time of the decision."""
     reader: Endpoint | None = None
     """The engine that prefills the prompt, None if the decode engine does."""
-    read_seconds: float = 0.0
+    prefill_seconds: float = 0.0
     """Expected time until the prompt is prefilled."""
 
 
--- a/src/jujubeslip/rules/_checks.py
+++ b/src/jujubeslip/rules/_checks.py
@@ -1,4 +1,4 @@
-"""Warnings about rules that can never match."""
+"""Warnings about rules that can never match and requests that match no rule."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @register_check(Declaration)
 def check_rules_can_match(subject: object) -> Iterator[CheckMessage]:
-    """Warn about rules that an earlier rule always matches before."""
+    """Warn about rules that cannot match because an earlier rule always matches."""
     assert isinstance(subject, Declaration)
     for position, rule in enumerate(subject.rule):
         for earlier in subject.rule[:position]:
@@ -27,7 +27,7 @@
 
 @register_check(Declaration)
 def check_last_rule_matches_everything(subject: object) -> Iterator[CheckMessage]:
-    """Warn when some requests match no rule and would be refused."""
+    """Warn if some requests match no rule and would be refused."""
     assert isinstance(subject, Declaration)
     if any(covers(rule.when, Condition()) for rule in subject.rule):
         return
--- a/src/jujubeslip/rules/_match.py
+++ b/src/jujubeslip/rules/_match.py
@@ -1,4 +1,4 @@
-"""Matching of a request against the ordered rules."""
+"""Matches requests against the ordered rules."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class RequestFacts:
-    """What rules can ask about a request; `queue_wait_ms` and `load` are forecasts."""
+    """Request properties that rules test; `queue_wait_ms` and `load` are forecasts."""
 
     service: str
     model: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """Why a rule does or does not match: the keys that don't fit."""
+    """Whether a rule matches, and the keys of its condition that do not hold."""
 
     rule: Rule
     matches: bool
@@ -42,7 +42,7 @@
 
 
 def explain(rules: Sequence[Rule], facts: RequestFacts) -> tuple[Explanation, ...]:
-    """Return for each rule, in order, whether it matches and why not."""
+    """Return for each rule, in order, whether it matches and which keys do not hold."""
     explanations = []
     for rule in rules:
         unmet = tuple(_unmet_keys(rule.when, facts))
--- a/tests/admission/test_pool.py
+++ b/tests/admission/test_pool.py
@@ -367,7 +367,7 @@
         first = ask_now(pool, "a").grant
         second = ask_now(pool, "b").grant
         assert first is not None and second is not None
-        assert 0.05 < first.read_seconds < second.read_seconds < 0.3
+        assert 0.05 < first.prefill_seconds < second.prefill_seconds < 0.3
 
     def test_wait_for_a_prefill_engine_that_has_not_reported_yet(self) -> None:
         """Guards against skipping a prefill engine that has only announced itself.
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -1,4 +1,4 @@
-"""Ordered rules: the first match decides, and rules that can't match are found."""
+"""Ordered rules: the first match decides, and rules that can't match are detected."""
 
 from __future__ import annotations
 
@@ -51,21 +51,24 @@
 )
 
 
-def named(name: str, **keys: object) -> Rule:
+def rule_named(name: str, **keys: object) -> Rule:
     return Rule(name, Condition(**keys))  # type: ignore[arg-type]
 
 
 class TestFirstMatch:
-    def test_the_first_of_two_that_hold_decides(self) -> None:
-        rules = [named("one", client="dispatch"), named("two")]
+    def test_the_first_of_two_matching_rules_decides(self) -> None:
+        rules = [rule_named("one", client="dispatch"), rule_named("two")]
         assert first_match(rules, FACTS) is rules[0]
 
     def test_all_keys_must_hold(self) -> None:
-        rules = [named("one", client="dispatch", repeatable=False), named("two")]
+        rules = [
+            rule_named("one", client="dispatch", repeatable=False),
+            rule_named("two"),
+        ]
         assert first_match(rules, FACTS) is rules[1]
 
-    def test_no_rule_is_none(self) -> None:
-        assert first_match([named("one", client="boards")], FACTS) is None
+    def test_no_matching_rule_returns_none(self) -> None:
+        assert first_match([rule_named("one", client="boards")], FACTS) is None
 
     @pytest.mark.parametrize(
         ("keys", "holds"),
@@ -83,7 +86,7 @@
     def test_bounds_include_their_value(
         self, keys: dict[str, object], holds: bool
     ) -> None:
-        rule = named("one", **keys)
+        rule = rule_named("one", **keys)
         assert (first_match([rule], FACTS) is rule) is holds
 
     @given(st.lists(conditions, max_size=6), facts)
@@ -96,14 +99,15 @@
         assert (matching[0] if matching else None) is decided
 
 
-class TestRulesThatCanNotMatch:
-    """A dispatcher's urgent rule is put at the end, after a general one.
+class TestUnreachableRules:
+    """Guards against rules without effect that no warning mentions.
 
-    Bulletins stay slow, nothing says why, and the rule looks right by itself: an
-    earlier rule matches all of its requests.
+    A dispatcher adds a rule for urgent requests after a general rule. The new rule is
+    correct by itself, but the earlier one matches all of its requests first, so
+    bulletins stay slow.
     """
 
-    def test_are_warned_of_with_both_names(self) -> None:
+    def test_are_reported_with_both_names(self) -> None:
         text = """
         [[service]]
         name = "bulletin-llm"
@@ -123,12 +127,12 @@
         assert "all-bulletins" in message.message
         assert message.hint
 
-    def test_a_declaration_without_a_last_rule_is_warned_of(self) -> None:
-        declaration = Declaration(rule=(named("one", client="c"),))
+    def test_missing_catch_all_rule_is_reported(self) -> None:
+        declaration = Declaration(rule=(rule_named("one", client="c"),))
         assert [item.check_id for item in run_checks(declaration)] == ["rules.W002"]
 
     @given(conditions, conditions, facts)
-    def test_a_covered_rule_never_holds_alone(
+    def test_covering_rule_matches_whenever_the_covered_one_does(
         self, general: Condition, special: Condition, request: RequestFacts
     ) -> None:
         if not covers(general, special):
