--- a/src/jujubeslip/admission/_engine_demand.py
+++ b/src/jujubeslip/admission/_engine_demand.py
@@ -20,7 +20,7 @@
         self._options = options
         self.prefill_speed = INITIAL_TOKENS_PER_SECOND
         """Tokens that a prefill engine prefills in a second, as measured."""
-        self._asked = PromptDemand()
+        self._requested = PromptDemand()
         self._granted = PromptDemand()
         self._needs = RequestNeeds()
         self._latest_granted: Applicant | None = None
@@ -30,12 +30,12 @@
         """Note the decode engine that reported last."""
         self._latest_reporting_engine = engine
 
-    def note_asked(self, grant_request: Applicant) -> None:
+    def note_requested(self, grant_request: Applicant) -> None:
         """Note a request that asks for a grant."""
         if grant_request.reads_itself:
             return
         tokens, now = grant_request.prompt_tokens, steady_seconds()
-        is_new = self._asked.note(grant_request.request_id, tokens, now)
+        is_new = self._requested.note(grant_request.request_id, tokens, now)
         engine = self._latest_reporting_engine
         if is_new and engine is not None and engine.usable:
             self._needs.note(self._need_of(grant_request, engine))
@@ -54,7 +54,7 @@
         duration of prefills would include the waiting time at the engine and double
         the apparent load of a burst.
         """
-        return self._asked.tokens_per_second(steady_seconds()) / self.prefill_speed
+        return self._requested.tokens_per_second(steady_seconds()) / self.prefill_speed
 
     def use_of(self, engines: Iterable[EngineMemory]) -> EngineUse:
         """Return how many of these engines the recently granted requests keep busy.
@@ -65,12 +65,12 @@
         if self._latest_granted is None:
             return EngineUse(0.0, 0.0, usual_need)
         tokens = self._granted.tokens_per_second(steady_seconds())
-        answering = sum(
+        busy_decode_engines = sum(
             self._busy_share(engine, self._latest_granted)
             for engine in engines
             if engine.usable
         )
-        return EngineUse(tokens / self.prefill_speed, answering, usual_need)
+        return EngineUse(tokens / self.prefill_speed, busy_decode_engines, usual_need)
 
     def _need_of(self, grant_request: Applicant, engine: EngineMemory) -> EngineNeed:
         """Return the expected need of a request at engines like this one."""
--- a/src/jujubeslip/admission/_engine_follower.py
+++ b/src/jujubeslip/admission/_engine_follower.py
@@ -37,7 +37,7 @@
     A crashed engine looks like the one with the most free memory, since its answers
     have ended with it. As long as it counts as usable, it attracts all requests. It is
     therefore reported lost after two failed polls in a row. The second poll follows at
-    once over a new connection, since only the persistent one may have been dropped.
+    once over a new connection, since perhaps just the persistent one was dropped.
     """
 
     def __init__(
@@ -92,11 +92,11 @@
         if status != 200:
             self._log_change(False, f"reply has status {status} instead of a report")
             return True
-        read = self._interface.read_report(body)
-        if isinstance(read, Failure):
-            self._log_change(False, read.failure())
+        result = self._interface.read_report(body)
+        if isinstance(result, Failure):
+            self._log_change(False, result.failure())
             return True
-        report = read.unwrap()
+        report = result.unwrap()
         # At the address of an ended start, the next start replies with the same
         # endpoint id. Its report would be taken for the state of the ended one.
         if not self._engine.may_be(report.started_at_ms):
--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_engines.py
@@ -125,9 +125,9 @@
         """Return how many engines the recently granted requests keep busy."""
         return self._demand.use_of(self._engine_by_start.values())
 
-    def note_asked(self, grant_request: Applicant) -> None:
+    def note_requested(self, grant_request: Applicant) -> None:
         """Note a request that asks for a grant."""
-        self._demand.note_asked(grant_request)
+        self._demand.note_requested(grant_request)
 
     def note_lost(self, start_id: str) -> None:
         """Give no requests to an unreachable start of an engine until it is back."""
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -93,7 +93,7 @@
         self._configured_services = configured_services
         self._pool_by_service: dict[str, EnginePool] = {}
         self._poller_by_start: dict[str, EngineReportPoller] = {}
-        self._asked_at = float("-inf")
+        self._last_request_at = float("-inf")
         self._meters = AdmissionMeters()
         self._lock = threading.Lock()
 
@@ -106,14 +106,14 @@
         """Reply once the request is granted or refused, or when it must ask again."""
         wait = Deadline.from_remaining_ms(request.wait_ms)
         until = wait.earlier_of(Deadline.after(MAXIMUM_WAIT_SECONDS))
-        self._asked_at = steady_seconds()
+        self._last_request_at = steady_seconds()
         pool = self._pool(request.service_name)
         if not pool.usable:
             self.look()
             raise _engines_unknown()
-        over_limit = self._charge(request)
-        if over_limit > 0:
-            wait_ms = math.ceil(over_limit * 1000)
+        retry_seconds = self._charge(request)
+        if retry_seconds > 0:
+            wait_ms = math.ceil(retry_seconds * 1000)
             return AdmissionReply(AdmissionStatus.OVER_LIMIT, "", wait_ms, "", 0)
         grant_request = grant_request_of(request)
         decision = pool.ask(grant_request, request.avoided_start_ids or (), until)
@@ -165,7 +165,7 @@
 
     def look(self) -> None:
         """Update the set of polled engines; poll none unless this host is in use."""
-        active = steady_seconds() - self._asked_at < ACTIVE_SECONDS
+        active = steady_seconds() - self._last_request_at < ACTIVE_SECONDS
         services = (
             self._configured_engine_services() if active and self._leads() else set()
         )
--- a/src/jujubeslip/admission/_memory_forecast.py
+++ b/src/jujubeslip/admission/_memory_forecast.py
@@ -53,7 +53,7 @@
     """Tokens in use if every answer that may still run does so."""
 
     def with_deviations(self, caution: float) -> float:
-        """Return the tokens `caution` standard deviations above the mean.
+        """Return the mean use in tokens plus `caution` standard deviations.
 
         The result is limited to what all answers use together: if nearly all of them
         still run, the mean plus some deviations would exceed that.
@@ -76,7 +76,7 @@
         return self.points[0].mean
 
     def peak(self, caution: float) -> float:
-        """Return the peak use in tokens, `caution` deviations above the mean."""
+        """Return the peak use in tokens, with `caution` as safety margin."""
         return max(expected.with_deviations(caution) for expected in self.points)
 
     def peak_with(
@@ -117,7 +117,7 @@
 
 
 def forecast_peak(answers: Sequence[GrowingAnswer], caution: float = 0.0) -> float:
-    """Return the peak use in tokens, `caution` deviations above the mean."""
+    """Return the peak use in tokens, with `caution` as safety margin."""
     return profile_of(answers).peak(caution)
 
 
--- a/src/jujubeslip/admission/_pool.py
+++ b/src/jujubeslip/admission/_pool.py
@@ -184,7 +184,7 @@
             grant = self._engines.existing_grant(grant_request)
             if grant is not None:
                 return Decision(grant, False, 0.0)
-            self._engines.note_asked(grant_request)
+            self._engines.note_requested(grant_request)
             self._end_earlier_attempt(grant_request)
             waiting = self._waiting_by_id.get(grant_request.request_id)
             is_new = waiting is None
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -14,7 +14,7 @@
 class _RequestedPrompt:
     """A prompt for which a request asked a prefill engine."""
 
-    asked_at: float
+    requested_at: float
     tokens: int
 
 
@@ -35,7 +35,7 @@
 
         `now` is the time of the steady clock.
         """
-        self._forget_old(now)
+        self._remove_expired(now)
         if request_id in self._requested_by_id:
             return False
         self._requested_by_id[request_id] = _RequestedPrompt(now, tokens)
@@ -44,14 +44,14 @@
 
     def tokens_per_second(self, now: float) -> float:
         """Return the requested tokens per second."""
-        self._forget_old(now)
+        self._remove_expired(now)
         return self._tokens / DEMAND_SECONDS
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         oldest = now - DEMAND_SECONDS
         while self._requested_by_id:
-            request_id, asked = next(iter(self._requested_by_id.items()))
-            if asked.asked_at >= oldest:
+            request_id, requested = next(iter(self._requested_by_id.items()))
+            if requested.requested_at >= oldest:
                 return
             del self._requested_by_id[request_id]
-            self._tokens -= asked.tokens
+            self._tokens -= requested.tokens
--- a/src/jujubeslip/admission/_prompt_queue.py
+++ b/src/jujubeslip/admission/_prompt_queue.py
@@ -47,7 +47,7 @@
         self._assigned_tokens = 0
         self._prefill_seconds = SPEED_SECONDS
         self._prefilled_tokens = INITIAL_TOKENS_PER_SECOND * SPEED_SECONDS
-        self._idle_since = steady_seconds()
+        self._prefilling_since = steady_seconds()
         self._last_contact_at = steady_seconds()
         self._has_reported = False
         self._accepts_prompts = True
@@ -83,7 +83,7 @@
         if not self._assigned_by_request:
             return 0.0
         total = self._assigned_tokens / self.speed
-        return max(0.0, total - (steady_seconds() - self._idle_since))
+        return max(0.0, total - (steady_seconds() - self._prefilling_since))
 
     def seconds_for(self, prompt_tokens: int) -> float:
         """Return how long it would take until one more prompt is prefilled."""
@@ -106,7 +106,7 @@
         """Add a prompt that is assigned to the engine."""
         now = steady_seconds()
         if not self._assigned_by_request:
-            self._idle_since = now
+            self._prefilling_since = now
         self._remove(grant_request.request_id)
         self._assigned_by_request[grant_request.request_id] = _AssignedPrompt(
             grant_request.attempt, grant_request.prompt_tokens, now
@@ -126,10 +126,10 @@
             return
         self._remove(request_id)
         now = steady_seconds()
-        seconds = now - max(assigned.assigned_at, self._idle_since)
+        seconds = now - max(assigned.assigned_at, self._prefilling_since)
         if updates_speed:
             self._update_speed(assigned.tokens, seconds)
-        self._idle_since = now
+        self._prefilling_since = now
 
     def _remove(self, request_id: str) -> None:
         assigned = self._assigned_by_request.pop(request_id, None)
--- a/src/jujubeslip/admission/_room_search.py
+++ b/src/jujubeslip/admission/_room_search.py
@@ -48,8 +48,8 @@
 
         Forecasts of engines whose longest answers differ have different points.
         """
-        found = self._profile_by_longest.get(longest)
-        if found is None:
-            found = profile_of([self._answer], longest)
-            self._profile_by_longest[longest] = found
-        return found
+        profile = self._profile_by_longest.get(longest)
+        if profile is None:
+            profile = profile_of([self._answer], longest)
+            self._profile_by_longest[longest] = profile
+        return profile
--- a/tests/admission/test_request_needs.py
+++ b/tests/admission/test_request_needs.py
@@ -65,8 +65,8 @@
         # All lengths are equally likely; on average an answer holds half of its growth.
         events = (MAXIMUM_EVENTS + 1) / 2
         memory_share = (PROMPT_TOKENS + events * EVENT_TOKENS / 2) / CAPACITY
-        decode_seconds = memory_share * events / 15
-        assert need.answering_seconds == pytest.approx(decode_seconds, rel=0.1)
+        expected_seconds = memory_share * events / 15
+        assert need.answering_seconds == pytest.approx(expected_seconds, rel=0.1)
         assert need.reading_seconds == pytest.approx(PROMPT_TOKENS / 40_000, rel=0.1)
 
     def test_counts_a_request_that_asks_again_once(self) -> None:
