--- a/tests/admission/test_pool.py
+++ b/tests/admission/test_pool.py
@@ -220,10 +220,10 @@
         self, full_pool: EnginePool
     ) -> None:
         """The request is first in the queue, but its host no longer asks for it."""
-        lost_host = full_pool.ask(
+        undecided = full_pool.ask(
             grant_request("gone", target=1), (), already_expired()
         )
-        assert lost_host.grant is None and not lost_host.refused
+        assert undecided.grant is None and not undecided.refused
         waiting = Callers(full_pool).ask(grant_request("next", target=20))
         full_pool.take_report("engine", engine_report())
         assert endpoint_of(waiting.result(10)) == "engine"
@@ -250,7 +250,7 @@
 
     def test_blocks_no_others(self, loaded_pool: EnginePool) -> None:
         callers = Callers(loaded_pool)
-        alone = callers.ask(
+        waiting = callers.ask(
             grant_request(
                 "alone", reads_itself=True, prompt_tokens=self.LONG, target=20
             )
@@ -262,7 +262,7 @@
             for n in range(2)
         ]
         assert all(decision.grant is not None for decision in behind)
-        assert not alone.done()
+        assert not waiting.done()
 
     def test_blocks_no_others_when_it_avoids_the_free_engines(
         self, loaded_pool: EnginePool
@@ -413,9 +413,9 @@
         assert refusal.refused and refusal.missing_resource is MissingResource.MAY_READ
         short = grant_request("short", prompt_tokens=2_000, limit=0)
         assert pool.ask(short, (), already_expired()).grant is not None
-        alone = pool_of("engine", prefill_engines=())
+        idle_pool = pool_of("engine", prefill_engines=())
         again = grant_request("again", prompt_tokens=10_000, limit=0)
-        assert alone.ask(again, (), already_expired()).grant is not None
+        assert idle_pool.ask(again, (), already_expired()).grant is not None
 
     def test_are_not_given_to_a_prefill_engine_that_changes_its_role(self) -> None:
         pool = pool_of("engine", prefill_engines=("one", "two"))
