--- a/src/jujubeslip/admission/_order.py
+++ b/src/jujubeslip/admission/_order.py
@@ -1,4 +1,4 @@
-"""The order in which requests wait for grants; knows no clock, thread or engine."""
+"""The queue of requests that wait for grants; uses no clock, thread or engine."""
 
 from __future__ import annotations
 
@@ -7,53 +7,53 @@
 
 
 @dataclass(frozen=True, order=True)
-class Turn:
-    """The place of a request among those that wait."""
+class QueueEntry:
+    """A waiting request, ordered by its target."""
 
     target: float
-    """Until when its answer is in time, by the steady clock in seconds."""
+    """Time until which its answer is in time, by the steady clock in seconds."""
     request_id: str
 
 
-class WaitingOrder:
-    """Requests still in time first, the earliest target before; late ones follow.
+class WaitingQueue:
+    """Requests that are still in time, by earliest target; late ones follow.
 
-    Kept sorted by target: at any instant those in time are the end of the list, and the
-    late ones its beginning. Each change and each question about one place costs a
-    search, however many wait; in a burst that is hundreds, and every engine's report
-    is a reason to look again.
+    The list is sorted by target, so that at any time the late requests are at its
+    beginning and those in time at its end. Each change and each position query costs
+    one binary search, however many requests wait. In a burst hundreds wait, and every
+    engine's report causes a new pass.
     """
 
     def __init__(self) -> None:
-        self._turns: list[Turn] = []
+        self._entries: list[QueueEntry] = []
 
     def __len__(self) -> int:
-        return len(self._turns)
+        return len(self._entries)
 
-    def add(self, turn: Turn) -> None:
-        """Let a request wait."""
-        insort(self._turns, turn)
+    def add(self, entry: QueueEntry) -> None:
+        """Add a request to the queue."""
+        insort(self._entries, entry)
 
-    def remove(self, turn: Turn) -> None:
-        """Let a request that waits wait no more."""
-        index = bisect_left(self._turns, turn)
-        if index == len(self._turns) or self._turns[index] != turn:
-            raise KeyError(f"{turn.request_id} does not wait.")
-        del self._turns[index]
+    def remove(self, entry: QueueEntry) -> None:
+        """Remove a request from the queue; raise KeyError if it does not wait."""
+        index = bisect_left(self._entries, entry)
+        if index == len(self._entries) or self._entries[index] != entry:
+            raise KeyError(f"Request {entry.request_id} is not in the queue.")
+        del self._entries[index]
 
-    def count_ahead(self, turn: Turn, now: float) -> int:
-        """Return how many go before a request, itself left out if it waits."""
+    def count_ahead(self, entry: QueueEntry, now: float) -> int:
+        """Return how many other requests are ahead of this one."""
         in_time_from = self._in_time_from(now)
-        before = bisect_left(self._turns, turn)
-        if turn.target >= now:
+        before = bisect_left(self._entries, entry)
+        if entry.target >= now:
             return before - in_time_from
-        return len(self._turns) - in_time_from + before
+        return len(self._entries) - in_time_from + before
 
-    def first_ones(self, now: float, most: int) -> list[Turn]:
-        """Return those that go first, in order, this many at most."""
+    def head(self, now: float, maximum: int) -> list[QueueEntry]:
+        """Return the first requests in order, `maximum` at most."""
         in_time_from = self._in_time_from(now)
-        found = self._turns[in_time_from : in_time_from + most]
-        return found + self._turns[: min(in_time_from, most - len(found))]
+        found = self._entries[in_time_from : in_time_from + maximum]
+        return found + self._entries[: min(in_time_from, maximum - len(found))]
 
     def _in_time_from(self, now: float) -> int:
-        return bisect_left(self._turns, now, key=lambda turn: turn.target)
+        return bisect_left(self._entries, now, key=lambda entry: entry.target)
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -1,55 +1,57 @@
-"""How many prompt tokens requests ask to be read; knows no clock, thread or engine."""
+"""The rate of requested prompt tokens; uses no clock, thread or engine."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# Span over which demand is told, in seconds: some ten prompts of a reader.
+# Window over which demand is measured, in seconds: about ten prompts of a prefill
+# engine.
 DEMAND_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
-class _AskedPrompt:
-    """A prompt that a request asked a reader for."""
+class _RequestedPrompt:
+    """A prompt for which a request asked a prefill engine."""
 
-    asked_at: float
+    requested_at: float
     tokens: int
 
 
 class PromptDemand:
-    """What requests asked for lately, each counted once, whatever they were answered.
+    """The prompts that were recently requested, each counted once, granted or not.
 
-    What was granted is no measure: it falls whenever grants stall, for want of memory
-    or of a leader. Readers would then be ordered to answer while requests wait.
+    Grants are not a suitable measure: their rate falls whenever grants stall for lack
+    of memory or of a leader. Prefill engines would then be ordered to decode while
+    requests wait.
     """
 
     def __init__(self) -> None:
-        self._asked_by_request: OrderedDict[str, _AskedPrompt] = OrderedDict()
+        self._requested_by_id: OrderedDict[str, _RequestedPrompt] = OrderedDict()
         self._tokens = 0
 
     def note(self, request_id: str, tokens: int, now: float) -> bool:
-        """Note a request that asks for a reader; say if it hadn't asked lately.
+        """Note a request for a prefill engine; say whether it had not asked recently.
 
-        `now` is the steady clock's.
+        `now` is the time of the steady clock.
         """
-        self._forget_old(now)
-        if request_id in self._asked_by_request:
+        self._remove_expired(now)
+        if request_id in self._requested_by_id:
             return False
-        self._asked_by_request[request_id] = _AskedPrompt(now, tokens)
+        self._requested_by_id[request_id] = _RequestedPrompt(now, tokens)
         self._tokens += tokens
         return True
 
     def tokens_per_second(self, now: float) -> float:
-        """Return the tokens that were asked for, a second."""
-        self._forget_old(now)
+        """Return the requested tokens per second."""
+        self._remove_expired(now)
         return self._tokens / DEMAND_SECONDS
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         oldest = now - DEMAND_SECONDS
-        while self._asked_by_request:
-            request_id, asked = next(iter(self._asked_by_request.items()))
-            if asked.asked_at >= oldest:
+        while self._requested_by_id:
+            request_id, requested = next(iter(self._requested_by_id.items()))
+            if requested.requested_at >= oldest:
                 return
-            del self._asked_by_request[request_id]
-            self._tokens -= asked.tokens
+            del self._requested_by_id[request_id]
+            self._tokens -= requested.tokens
--- a/src/jujubeslip/admission/_readers_now.py
+++ b/src/jujubeslip/admission/_readers_now.py
@@ -1,4 +1,4 @@
-"""The engines that read prompts for others, and whose turn it is."""
+"""The prefill engines of a service, and which one gets the next prompt."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from functools import cached_property
 from typing import NamedTuple
 
-from jujubeslip.admission._prompt_queue import PromptQueue
+from jujubeslip.admission._prompt_queue import PrefillQueue
 
 
 @dataclass(frozen=True)
-class ReadersNow:
-    """The engines that read prompts for others, as they are when first asked for."""
+class PrefillCandidates:
+    """The prefill engines' queues; their state is evaluated once, at first use."""
 
-    known: tuple[PromptQueue, ...]
+    queues: tuple[PrefillQueue, ...]
 
     @cached_property
-    def usable(self) -> tuple[PromptQueue, ...]:
-        """Return those that can be given prompts, be it later."""
-        return tuple(item for item in self.known if item.usable)
+    def usable(self) -> tuple[PrefillQueue, ...]:
+        """Return the queues that accept prompts now or later."""
+        return tuple(item for item in self.queues if item.usable)
 
     @cached_property
-    def ready(self) -> tuple[PromptQueue, ...]:
-        """Return those that should be given one, that with the least to read first."""
-        turns = [
-            _ReaderTurn(item.seconds_left, random.random(), item)
+    def ready(self) -> tuple[PrefillQueue, ...]:
+        """Return the queues that accept a prompt now, the shortest one first."""
+        ready = [
+            _ReadyQueue(item.seconds_left, random.random(), item)
             for item in self.usable
-            if item.has_room
+            if item.accepts_more
         ]
-        return tuple(turn.reader for turn in sorted(turns))
+        return tuple(item.queue for item in sorted(ready))
 
-    def next_but(self, avoided: Collection[str]) -> PromptQueue | None:
-        """Return the reader whose turn it is, None if all have enough to read."""
-        turns = (item for item in self.ready if item.endpoint.start_id not in avoided)
-        return next(turns, None)
+    def next_except(self, avoided: Collection[str]) -> PrefillQueue | None:
+        """Return the queue for the next prompt, None if all engines are busy."""
+        ready = (item for item in self.ready if item.endpoint.start_id not in avoided)
+        return next(ready, None)
 
-    def any_but(self, avoided: Collection[str]) -> bool:
-        """Say whether any reader is there, be it with a prompt to read."""
+    def any_except(self, avoided: Collection[str]) -> bool:
+        """Say whether any prefill engine is usable, even if it is busy."""
         return any(item.endpoint.start_id not in avoided for item in self.usable)
 
 
-class _ReaderTurn(NamedTuple):
-    """A reader, ordered by what it has left to read, equal ones by lot."""
+class _ReadyQueue(NamedTuple):
+    """A queue, ordered by its remaining prefill time; ties are broken at random."""
 
     seconds_left: float
-    lot: float
-    reader: PromptQueue
+    tie_breaker: float
+    queue: PrefillQueue
--- a/src/jujubeslip/admission/_room_search.py
+++ b/src/jujubeslip/admission/_room_search.py
@@ -1,4 +1,4 @@
-"""What one waiting request needs, and when it last found no room."""
+"""What one waiting request needs, and when no engine last had capacity for it."""
 
 from __future__ import annotations
 
@@ -9,44 +9,47 @@
     MemoryProfile,
     profile_of,
 )
-from jujubeslip.admission._models import Applicant, Lack
+from jujubeslip.admission._models import Applicant, MissingResource
 
 
-class RoomSearch:
-    """The search for room of one request, over all the times that it is tried."""
+class CapacitySearch:
+    """The search for capacity for one request, over all its tries."""
 
-    def __init__(self, applicant: Applicant, avoided: Collection[str]) -> None:
-        self.applicant = applicant
+    def __init__(self, grant_request: Applicant, avoided: Collection[str]) -> None:
+        self.grant_request = grant_request
         self.avoided = frozenset(avoided)
-        """Starts of engines that are not to be given."""
+        """Starts of engines that the request must not be granted."""
         self.tried_at = 0
-        """The latest change of room before which no engine had any, 0 for none."""
-        self.lacks = Lack.MEMORY
-        """What was not there when it was last tried."""
+        """Number of the capacity change up to which no engine fitted, 0 for none."""
+        self.last_missing = MissingResource.MEMORY
+        """What the request lacked when it was last tried."""
         self._answer = GrowingAnswer(
-            applicant.prompt_tokens, 0, applicant.event_tokens, applicant.lengths
+            grant_request.prompt_tokens,
+            0,
+            grant_request.event_tokens,
+            grant_request.lengths,
         )
         self._profile_by_longest: dict[int, MemoryProfile] = {}
 
-    def avoid(self, avoided: Collection[str]) -> bool:
-        """Leave out these engines from now on; say whether they were others before."""
+    def set_avoided(self, avoided: Collection[str]) -> bool:
+        """Replace the avoided engines; say whether they have changed."""
         if self.avoided == frozenset(avoided):
             return False
         self.avoided = frozenset(avoided)
         self.tried_at = 0
         return True
 
-    def note_no_room(self, change: int) -> None:
-        """Note that no engine has room as they are after this change."""
+    def note_no_capacity(self, change: int) -> None:
+        """Note that no engine has capacity in the state after this change."""
         self.tried_at = change
 
     def own_profile(self, longest: int) -> MemoryProfile:
-        """Return how its answer's memory grows, at the instants of such an engine.
+        """Return the forecast of its answer's memory, over this number of events.
 
-        Engines whose longest answers differ look at different instants.
+        Forecasts of engines whose longest answers differ have different points.
         """
-        found = self._profile_by_longest.get(longest)
-        if found is None:
-            found = profile_of([self._answer], longest)
-            self._profile_by_longest[longest] = found
-        return found
+        profile = self._profile_by_longest.get(longest)
+        if profile is None:
+            profile = profile_of([self._answer], longest)
+            self._profile_by_longest[longest] = profile
+        return profile
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -1,4 +1,4 @@
-"""The leader's home of admissions and the engines that it follows."""
+"""The leader's home of admissions and the engines that it polls."""
 
 from __future__ import annotations
 
@@ -25,49 +25,50 @@
 REQUEST_NUMBERS = itertools.count()
 
 
-class TasksAtOnce:
-    """A process whose tasks run at their start, before anything else goes on."""
+class ImmediateProcess:
+    """A process that runs each task synchronously when it is started."""
 
     def start_task(self, task: Callable[[], None]) -> None:
         task()
 
 
-class FollowerThatHearsAtOnce:
-    """Hands over an engine's report in the moment that it is told to follow it."""
+class ImmediatePoller:
+    """Delivers an engine's report as soon as it is started."""
 
     def __init__(
         self,
-        followed: Endpoint,
+        polled: Endpoint,
         interface: object,
         process: object,
         on_report: Callable[[Endpoint, EngineReport], None],
         on_lost: Callable[[Endpoint], None],
         *_: object,
     ) -> None:
-        self._engine = followed
+        self._engine = polled
         self._on_report = on_report
 
     def stop(self) -> None:
         pass
 
     def run(self) -> None:
-        reads = self._engine.role == EndpointRole.PREFILL
-        report = EngineReport(100_000, 0, 0, (), reads_prompts=reads)
+        is_prefill_engine = self._engine.role == EndpointRole.PREFILL
+        report = EngineReport(100_000, 0, 0, (), reads_prompts=is_prefill_engine)
         self._on_report(self._engine, report)
 
 
-class TestReportThatComesAtOnce:
-    """An engine that reads prompts reports within a millisecond after it is found.
+class TestImmediateReport:
+    """Guards against losing a report that arrives as soon as polling starts.
 
-    Its report would be for an engine that is not known yet, and be lost: until its next
-    one, a quarter of a second later, engines that answer read prompts by themselves.
+    A prefill engine reports within a millisecond after it is found. If the pool did not
+    know the engine yet, the report would be lost, and decode engines would prefill
+    prompts until the next one, a quarter of a second later.
     """
 
     def test_is_not_lost(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(_home, "EngineFollower", FollowerThatHearsAtOnce)
+        monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
         book = EndpointBook()
         book.take([engine("engine"), engine("reader", EndpointRole.PREFILL)])
-        process: Any = TasksAtOnce()
+        process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, caution=1.5)
         home = AdmissionHome(
@@ -83,24 +84,25 @@
         assert (reply.start_id, reply.reader_start_id) == ("engine", "reader")
 
 
-class TestEnginesOfAnotherWriter:
-    """Another program announces an engine of a service that no configuration names.
+class TestEnginesOfAnUnconfiguredService:
+    """Guards against polling engines of a service that no configuration names.
 
-    Asked for a report four times a second, it would be used, and could be any address.
+    Any program can announce such an engine, at any address. It would be polled four
+    times a second and used.
     """
 
-    def test_are_not_followed(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        followed: list[str] = []
+    def test_are_not_polled(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        polled: list[str] = []
 
-        class Follower(FollowerThatHearsAtOnce):
+        class Poller(ImmediatePoller):
             def run(self) -> None:
-                followed.append(self._engine.endpoint_id)
+                polled.append(self._engine.endpoint_id)
 
-        monkeypatch.setattr(_home, "EngineFollower", Follower)
+        monkeypatch.setattr(_home, "EngineReportPoller", Poller)
         book = EndpointBook()
         book.take([engine("foreign")])
         book.take([replace(engine("known"), service_name="named")])
-        process: Any = TasksAtOnce()
+        process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, caution=1.5)
         home = AdmissionHome(
@@ -111,20 +113,22 @@
         )
         with pytest.raises(PeerRefusal):
             home.admit(request)
-        assert followed == ["known"]
+        assert polled == ["known"]
 
 
-def home_of_two_readers(
+def home_with_two_prefill_engines(
     monkeypatch: pytest.MonkeyPatch,
     ordered_role: Callable[[Endpoint], EndpointRole | None],
     notices: EndpointNotices | None = None,
 ) -> AdmissionHome:
-    """Return a home of one engine and two readers."""
-    monkeypatch.setattr(_home, "EngineFollower", FollowerThatHearsAtOnce)
+    """Return a home of one decode engine and two prefill engines."""
+    monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
     book = EndpointBook()
-    readers = [engine(name, EndpointRole.PREFILL) for name in ("first", "other")]
-    book.take([engine("engine"), *readers])
-    process: Any = TasksAtOnce()
+    prefill_engines = [
+        engine(name, EndpointRole.PREFILL) for name in ("first", "other")
+    ]
+    book.take([engine("engine"), *prefill_engines])
+    process: Any = ImmediateProcess()
     interface: Any = None
     return AdmissionHome(
         process,
@@ -138,8 +142,11 @@
     )
 
 
-def readers_given(home: AdmissionHome) -> set[str]:
-    """Return the readers of some requests; the one with less to read is next."""
+def granted_prefill_engines(home: AdmissionHome) -> set[str]:
+    """Return the prefill engines that some requests are granted.
+
+    Each request gets the engine with the least pending prefill.
+    """
     found = set()
     for number in itertools.islice(REQUEST_NUMBERS, 8):
         request = AdmissionRequest(
@@ -153,40 +160,44 @@
     return found
 
 
-class TestReaderThatIsOrderedToAnswer:
-    """A reader is ordered to answer and refuses prompts from that moment on.
+class TestPrefillEngineOrderedToDecode:
+    """Guards against prompts for a prefill engine that was ordered to decode.
 
-    Its reports show that about a second later. Five prompts of a calm moment were sent
-    there meanwhile and refused, and their requests had to wait anew.
+    It refuses prompts as soon as it is ordered, and its reports show that about a
+    second later. Even under low load, five prompts were sent there meanwhile and
+    refused, and their requests had to wait again.
     """
 
     def home(
         self, monkeypatch: pytest.MonkeyPatch, role: EndpointRole | None
     ) -> AdmissionHome:
-        """Return a home of one engine and two readers, one of which has an order."""
-        return home_of_two_readers(
+        """Return a home whose first prefill engine is ordered to a role."""
+        return home_with_two_prefill_engines(
             monkeypatch, lambda asked: role if asked.endpoint_id == "first" else None
         )
 
     def test_gets_no_prompts(self, monkeypatch: pytest.MonkeyPatch) -> None:
         home = self.home(monkeypatch, EndpointRole.DECODE)
-        assert readers_given(home) == {"other"}
+        assert granted_prefill_engines(home) == {"other"}
 
     @pytest.mark.parametrize("role", [None, EndpointRole.PREFILL])
-    def test_others_get_them(
+    def test_gets_prompts_without_another_role_ordered(
         self, monkeypatch: pytest.MonkeyPatch, role: EndpointRole | None
     ) -> None:
-        assert readers_given(self.home(monkeypatch, role)) == {"first", "other"}
+        assert granted_prefill_engines(self.home(monkeypatch, role)) == {
+            "first",
+            "other",
+        }
 
 
-class TestEngineThatSaysItLeaves:
-    """Guards against grants at engines whose reports say that they leave."""
+class TestLeavingEngine:
+    """Guards against grants at engines that announced that they are leaving."""
 
     def test_is_not_granted(self, monkeypatch: pytest.MonkeyPatch) -> None:
         notices = EndpointNotices()
-        home = home_of_two_readers(monkeypatch, lambda _: None, notices)
-        assert readers_given(home) == {"first", "other"}
+        home = home_with_two_prefill_engines(monkeypatch, lambda _: None, notices)
+        assert granted_prefill_engines(home) == {"first", "other"}
         leaving = engine("first", EndpointRole.PREFILL)
         notices.note_other_answer(leaving, read_head(200, [("Server-Leaving", "1")]))
         home.look()
-        assert readers_given(home) == {"other"}
+        assert granted_prefill_engines(home) == {"other"}
