--- a/src/jujubeslip/control/_engine_table.py
+++ b/src/jujubeslip/control/_engine_table.py
@@ -1,4 +1,4 @@
-"""What the log carries of engines: orders to change role, and the load they bear."""
+"""The replicated state on engines: orders to change role, and the load of services."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     SnapshotPart,
 )
 
-# How long an order may take to be carried out, in seconds: one without an answer may
-# still be, up to twelve seconds later.
-ORDER_SECONDS = 13.0
-ORDER_MS = int(ORDER_SECONDS * 1000)
+# How long an order may take to be carried out, in seconds: an engine that did not
+# respond may still carry it out up to twelve seconds later.
+ORDER_EXPIRY_SECONDS = 13.0
+ORDER_MS = int(ORDER_EXPIRY_SECONDS * 1000)
 
 
 class EngineTable:
     """The orders that may still be carried out, and the newest load of each service.
 
-    A leader commits an order before it sends it: whoever leads next has it in its log,
-    and each engine without one may be ordered at once.
+    A leader commits an order before it sends it. The next leader therefore has it in
+    its log, and may order every engine without one at once.
     """
 
     def __init__(self) -> None:
@@ -30,8 +30,8 @@
         """Log time of the first entry; None while no leader has recorded any."""
 
     def note_order(self, order: EngineOrder, stamp_ms: int) -> None:
-        """Note an order at this log time, and forget those that are over."""
-        self._note_first(stamp_ms)
+        """Add an order given at this log time, and remove the expired ones."""
+        self._record_start(stamp_ms)
         pending = self.orders_at(stamp_ms)
         self._record_by_start = {record.order.start_id: record for record in pending}
         self._record_by_start[order.start_id] = EngineOrderRecord(order, stamp_ms)
@@ -44,23 +44,23 @@
             if stamp_ms < record.stamp_ms + ORDER_MS
         ]
 
-    def note_loads(self, told: EngineLoads, stamp_ms: int) -> None:
-        """Note the loads of all services, in place of those before."""
-        self._note_first(stamp_ms)
-        self._load_by_service = {load.service_name: load for load in told.loads}
+    def note_loads(self, reported: EngineLoads, stamp_ms: int) -> None:
+        """Replace the loads of all services."""
+        self._record_start(stamp_ms)
+        self._load_by_service = {load.service_name: load for load in reported.loads}
 
     def load_of(self, service_name: str) -> EngineLoad | None:
-        """Return the load of a service that was noted last, None without one."""
+        """Return the load of a service that was recorded last, None without one."""
         return self._load_by_service.get(service_name)
 
     def part(self) -> SnapshotPart:
-        """Return all of it as a part of a snapshot."""
+        """Return the whole table as a part of a snapshot."""
         orders = list(self._record_by_start.values())
         loads = list(self._load_by_service.values())
         return SnapshotPart([], [], [], False, orders, loads, self.since_ms)
 
     def load_part(self, part: SnapshotPart) -> None:
-        """Take over what a part of a snapshot holds; an older version wrote none."""
+        """Load a part of a snapshot; older versions wrote none of these fields."""
         if part.engines_since_ms is not None:
             self.since_ms = part.engines_since_ms
         for record in part.orders or ():
@@ -68,6 +68,6 @@
         for load in part.loads or ():
             self._load_by_service[load.service_name] = load
 
-    def _note_first(self, stamp_ms: int) -> None:
+    def _record_start(self, stamp_ms: int) -> None:
         if self.since_ms is None:
             self.since_ms = stamp_ms
--- a/src/jujubeslip/control/_order_log.py
+++ b/src/jujubeslip/control/_order_log.py
@@ -1,4 +1,4 @@
-"""Lines that say why no engine of a service is ordered to another role."""
+"""Log lines on why no engine of a service is ordered to change role."""
 
 from __future__ import annotations
 
@@ -10,90 +10,93 @@
 
 logger = logging.getLogger(__name__)
 
-# The same reason is written again after this long, in seconds.
-REPEAT_SECONDS = 5.0
+# How long the same reason is not logged again, in seconds.
+REPEAT_INTERVAL_SECONDS = 5.0
 
 
 class NoOrderReason(StrEnum):
     """Why the leader orders no engine of a service."""
 
     LOG_TOO_YOUNG = "orders that this log doesn't know may still be carried out"
-    ORDERS_UNDER_WAY = "engines still change"
+    ORDERS_UNDER_WAY = "engines are still changing role"
     LOAD_UNKNOWN = "the load is not known yet"
     BALANCED = "no other balance serves more"
 
 
 @dataclass(frozen=True)
 class BalanceInputs:
-    """What the leader decided by."""
+    """The inputs of a decision on the roles of a service's engines."""
 
-    reading: int
-    """Engines that read prompts, or are ordered to."""
-    answering: int
+    prefill_engines: int
+    """Engines that run prefill, or are ordered to."""
+    decode_engines: int
     changing: int
     """Engines that may still be carrying out an order."""
-    kept_readers: int | None
-    """Readers that are to stay, None before that is known."""
-    useful_readers: int | None
-    """The most for whose prompts answers find memory."""
-    readers_at_least: int
-    """Those that stay whatever they do now."""
-    busiest_readers: float | None
-    """Readers' whole time that prompts took at the busiest moment."""
-    steadily_busy_readers: float
-    """The same at the least busy moment of the last seconds."""
-    reading_share: float | None
-    """Share of engines that reads while the others answer, None while unknown."""
+    kept_prefill_engines: int | None
+    """Prefill engines to keep, None while unknown."""
+    useful_prefill_engines: int | None
+    """The most whose output the other engines have memory to decode."""
+    minimum_prefill_engines: int
+    """Prefill engines to keep at any load."""
+    peak_prefill_load: float | None
+    """Peak load of the observation window, in fully busy prefill engines."""
+    sustained_prefill_load: float
+    """Lowest load of the last seconds, in fully busy prefill engines."""
+    prefill_share: float | None
+    """Share of engines that requests need for prefill, None while unknown."""
     lacks_memory: bool
     waited: int
-    """Requests of all hosts that waited for room lately."""
+    """Requests of all hosts that recently waited for free capacity."""
 
 
 @dataclass(frozen=True)
-class _Written:
+class _LoggedState:
     reason: NoOrderReason
-    reading: int
-    answering: int
-    until: Deadline
+    prefill_engines: int
+    decode_engines: int
+    expires: Deadline
 
 
-class NoOrderLog:
-    """Writes a line when the reason or the engines change, and now and then."""
+class BalanceLog:
+    """Logs the reason when it or the engine counts change, and periodically."""
 
     def __init__(self) -> None:
-        self._written_by_service: dict[str, _Written] = {}
+        self._logged_by_service: dict[str, _LoggedState] = {}
 
-    def note(
+    def record(
         self, service_name: str, reason: NoOrderReason, inputs: BalanceInputs
     ) -> None:
-        """Note that no engine of a service was ordered, and why."""
-        if self._is_known(service_name, reason, inputs):
+        """Log why no engine of a service was ordered, unless logged recently."""
+        if self._is_logged(service_name, reason, inputs):
             return
-        self._written_by_service[service_name] = _Written(
-            reason, inputs.reading, inputs.answering, Deadline.after(REPEAT_SECONDS)
+        self._logged_by_service[service_name] = _LoggedState(
+            reason,
+            inputs.prefill_engines,
+            inputs.decode_engines,
+            Deadline.after(REPEAT_INTERVAL_SECONDS),
         )
         extra = {
             "service": service_name,
             "reason": reason,
-            "reading": inputs.reading,
-            "answering": inputs.answering,
+            "reading": inputs.prefill_engines,
+            "answering": inputs.decode_engines,
             "changing": inputs.changing,
-            "kept_readers": inputs.kept_readers,
-            "useful_readers": inputs.useful_readers,
-            "readers_at_least": inputs.readers_at_least,
-            "busiest_readers": inputs.busiest_readers,
-            "steadily_busy_readers": inputs.steadily_busy_readers,
-            "reading_share": inputs.reading_share,
+            "kept_readers": inputs.kept_prefill_engines,
+            "useful_readers": inputs.useful_prefill_engines,
+            "readers_at_least": inputs.minimum_prefill_engines,
+            "busiest_readers": inputs.peak_prefill_load,
+            "steadily_busy_readers": inputs.sustained_prefill_load,
+            "reading_share": inputs.prefill_share,
             "lacks_memory": inputs.lacks_memory,
             "waited": inputs.waited,
         }
         logger.info("no engine ordered", extra=extra)
 
-    def _is_known(
+    def _is_logged(
         self, service_name: str, reason: NoOrderReason, inputs: BalanceInputs
     ) -> bool:
-        written = self._written_by_service.get(service_name)
-        if written is None or written.until.expired:
+        logged = self._logged_by_service.get(service_name)
+        if logged is None or logged.expires.expired:
             return False
-        told = (written.reason, written.reading, written.answering)
-        return told == (reason, inputs.reading, inputs.answering)
+        state = (logged.reason, logged.prefill_engines, logged.decode_engines)
+        return state == (reason, inputs.prefill_engines, inputs.decode_engines)
--- a/src/jujubeslip/control/_role_balance.py
+++ b/src/jujubeslip/control/_role_balance.py
@@ -1,9 +1,10 @@
-"""How many engines read prompts and how many answer: the decision alone.
+"""Decides how many engines run prefill and how many run decode.
 
-The load that it answers: reading a prompt takes an engine a tenth of a second, and its
-answer holds another engine's memory for seconds. Engines come in a fixed proportion of
-the two roles, which fits some model and some length of prompts. Where it leaves readers
-idle, answers wait for memory in each burst; where readers are lost, prompts wait.
+This module only decides; it sends no orders. Prefill of a prompt takes an engine about
+a tenth of a second, while its decode holds another engine's memory for seconds.
+Engines start in a fixed proportion of the two roles, which suits only some models and
+prompt lengths. With too many prefill engines, requests wait for decode memory in each
+burst; when prefill engines fail, prompts queue.
 """
 
 from __future__ import annotations
@@ -15,341 +16,373 @@
 
 from jujubeslip.admission import EngineNeed, EngineUse
 from jujubeslip.control._spare_readers import (
-    LEAST_READERS,
-    EngineBalance,
-    least_readers,
+    PREFILL_ENGINES_WITH_SPARE,
+    CapacityModel,
+    minimum_prefill_engines,
 )
 from jujubeslip.discovery import Endpoint
 from jujubeslip.peers import EndpointRole, ServicePressure
 
-# How long engines must be short of memory before one is ordered, in seconds: longer
-# than a moment's queue, and short beside the change itself, which takes seconds.
-SHORT_SECONDS = 1.5
-# Share of the remaining readers' time that prompts may take after a change.
-PROMPT_SHARE = 0.85
-# Engines that answer, for each that reads prompts, before requests have shown it.
+# How long decode memory must be short before an engine is ordered, in seconds: longer
+# than a momentary queue, and short compared with the role change, which takes seconds.
+MINIMUM_SHORTAGE_SECONDS = 1.5
+# Maximum share of the remaining prefill engines' time that prompts may take after a
+# change.
+MAXIMUM_PREFILL_TIME_SHARE = 0.85
+# Assumed number of decode engines per prefill engine until requests have been observed.
 DECODE_PER_PREFILL = 3
-# Prompts are watched for this long before a reader is taken for idle, in seconds: long
-# enough to see the load go up and down, short enough to act before the next burst.
+# Length of the observation window before a prefill engine counts as idle, in seconds:
+# long enough to see the load rise and fall, short enough to act before the next burst.
 WATCHED_SECONDS = 4.0
-# Readers are kept for about so many times the busiest moment that was watched: requests
-# come twice as often in a burst, and a change back takes longer than a burst.
-SPARE_TIMES = 2.0
-# Readers are short while prompts took this share of their time for that long, in
+# Prefill capacity to keep, as a multiple of the observed peak load: the request rate
+# doubles in a burst, and changing an engine back takes longer than a burst lasts.
+BURST_HEADROOM = 2.0
+# Prefill engines are saturated when prompts took this share of their time for this many
 # seconds: a change takes several seconds itself, and a burst may be over by then.
-BUSY_SHARE = 0.9
-BUSY_SECONDS = 3.0
-# How long what engines did counts for the share of readers, in seconds: about three
-# answers in a row.
-SHARES_SECONDS = 8.0
-# Engines that may be changing at once, as a share of a service's engines, and where
-# there are few: one whose order got no answer serves in neither role for seconds, and
-# callers can miss a tenth of the engines for that long.
-CHANGING_SHARE = 0.1
-LEAST_CHANGING = 2
+SATURATED_SHARE = 0.9
+SATURATED_SECONDS = 3.0
+# Time constant of the average engine use that gives the prefill share, in seconds:
+# about the length of three consecutive decodes.
+SHARE_AVERAGING_SECONDS = 8.0
+# Limits on engines that may change role at once: a share of a service's engines, and a
+# minimum for services with few. An engine whose order got no response serves in neither
+# role for seconds, and clients tolerate a tenth of the engines missing for that long.
+MAXIMUM_CHANGING_SHARE = 0.1
+MINIMUM_CHANGING = 2
 
 
 @dataclass(frozen=True)
-class Engines:
-    """The engines of a service that were heard lately, by role."""
+class EnginesByRole:
+    """The engines of a service that reported recently, by role."""
 
     prefill: tuple[Endpoint, ...]
     decode: tuple[Endpoint, ...]
 
-    def where(self, test: Callable[[Endpoint], bool]) -> Engines:
+    def where(self, test: Callable[[Endpoint], bool]) -> EnginesByRole:
         """Return the engines that pass the test."""
-        return Engines(
+        return EnginesByRole(
             tuple(engine for engine in self.prefill if test(engine)),
             tuple(engine for engine in self.decode if test(engine)),
         )
 
     @property
     def count(self) -> int:
-        """Return how many engines there are."""
+        """Return the total number of engines."""
         return len(self.prefill) + len(self.decode)
 
 
-class PromptLoad:
-    """How busy the readers of one service were lately."""
+class PrefillLoad:
+    """The recent load of one service's prefill engines.
+
+    Loads are in engines: the number of prefill engines that prompts keep fully busy.
+    """
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, float]] = deque()
-        self._begun_at: float | None = None
-        self._noted_since: float | None = None
-        self._continued = (-math.inf, 0.0)
+        self._first_load_at: float | None = None
+        self._first_sample_at: float | None = None
+        self._inherited_peak = (-math.inf, 0.0)
 
     @classmethod
-    def continued(cls, now: float, busiest: float) -> PromptLoad:
-        """Return a load that was watched until now, with this busiest moment."""
+    def inherited(cls, now: float, peak: float) -> PrefillLoad:
+        """Return a load as if observed for a full window until now, with this peak."""
         load = cls()
-        load._begun_at = now - WATCHED_SECONDS
-        load._continued = (now, busiest)
+        load._first_load_at = now - WATCHED_SECONDS
+        load._inherited_peak = (now, peak)
         return load
 
-    def note(self, now: float, busy_readers: float) -> None:
-        """Note how many readers' whole time prompts take at this moment."""
-        if self._begun_at is None and busy_readers > 0:
-            self._begun_at = now
-        if self._noted_since is None:
-            self._noted_since = now
-        self._samples.append((now, busy_readers))
+    def record(self, now: float, busy_prefill_engines: float) -> None:
+        """Record how many prefill engines prompts keep fully busy at this time."""
+        if self._first_load_at is None and busy_prefill_engines > 0:
+            self._first_load_at = now
+        if self._first_sample_at is None:
+            self._first_sample_at = now
+        self._samples.append((now, busy_prefill_engines))
         while self._samples[0][0] < now - WATCHED_SECONDS:
             self._samples.popleft()
 
-    def busiest(self, now: float) -> float | None:
-        """Return the most readers that were busy, None before it was watched enough.
+    def peak(self, now: float) -> float | None:
+        """Return the peak load, None before a full observation window.
 
-        Nothing asked for in all that time is no idle service: its hosts may not reach
-        this one, and their prompts are back with them.
+        A window without any load also returns None: the service need not be idle. Its
+        entry hosts may be unable to reach this host, and their prompts resume once
+        they can.
         """
-        if self._begun_at is None or now - self._begun_at < WATCHED_SECONDS:
+        if self._first_load_at is None or now - self._first_load_at < WATCHED_SECONDS:
             return None
-        told_at, told = self._continued
-        known = [busy for _, busy in self._samples]
-        if told_at >= now - WATCHED_SECONDS:
-            known.append(told)
-        return max(known, default=0.0) or None
+        inherited_at, inherited = self._inherited_peak
+        loads = [busy for _, busy in self._samples]
+        if inherited_at >= now - WATCHED_SECONDS:
+            loads.append(inherited)
+        return max(loads, default=0.0) or None
 
     @property
-    def busiest_noted(self) -> float | None:
-        """Return the most readers that were noted, None where none was busy."""
+    def recorded_peak(self) -> float | None:
+        """Return the peak of the recorded samples, None if all of them are zero."""
         return max((busy for _, busy in self._samples), default=0.0) or None
 
-    def least(self, now: float) -> float:
-        """Return how many readers were busy all the time lately.
+    def sustained(self, now: float) -> float:
+        """Return the lowest load of the last `SATURATED_SECONDS`.
 
-        None were where that was not noted for long enough: a moment says nothing.
+        Returns 0 until samples cover that time, since a single moment proves nothing.
         """
-        if self._noted_since is None or now - self._noted_since < BUSY_SECONDS:
+        if (
+            self._first_sample_at is None
+            or now - self._first_sample_at < SATURATED_SECONDS
+        ):
             return 0.0
-        recent = [busy for at, busy in self._samples if at > now - BUSY_SECONDS]
+        recent = [busy for at, busy in self._samples if at > now - SATURATED_SECONDS]
         return min(recent, default=0.0)
 
 
-class EngineShares:
-    """How many engines answer for each that reads, by what requests keep busy.
+class RoleShares:
+    """The shares of engines that requests need for prefill and for decode.
 
-    Both are observed: the time that a prompt takes of a reader, and the memory and time
-    that its answer takes of another engine. Before answers have run long enough to show
-    that, it is what the first requests are expected to take: a change of role takes
-    seconds, and the first burst may come before.
+    Both are observed: the time that a prompt takes on a prefill engine, and the memory
+    and time that its decode takes on another engine. Until decodes have run long enough
+    to show this, the shares come from the expected needs of the first requests: a role
+    change takes seconds, and the first burst may come sooner.
     """
 
     def __init__(self) -> None:
-        self._reading = 0.0
-        self._answering = 0.0
-        self._usual_need: EngineNeed | None = None
-        self._begun_at: float | None = None
-        self._noted_at = 0.0
+        self._prefill_use = 0.0
+        self._decode_use = 0.0
+        self._expected_need: EngineNeed | None = None
+        self._first_load_at: float | None = None
+        self._last_sample_at = 0.0
 
     @classmethod
-    def continued(cls, now: float, use: EngineUse) -> EngineShares:
-        """Return shares that were watched until now, with this mean use."""
+    def inherited(cls, now: float, use: EngineUse) -> RoleShares:
+        """Return shares as if observed for a full window until now, with this use."""
         shares = cls()
-        shares._begun_at, shares._noted_at = now - WATCHED_SECONDS, now
-        shares._reading, shares._answering = use.reading, use.answering
+        shares._first_load_at, shares._last_sample_at = now - WATCHED_SECONDS, now
+        shares._prefill_use, shares._decode_use = use.reading, use.answering
         return shares
 
     @property
     def mean_use(self) -> EngineUse:
-        """Return how many engines were busy in the mean of the last seconds."""
-        return EngineUse(self._reading, self._answering)
+        """Return the moving average of the number of busy engines."""
+        return EngineUse(self._prefill_use, self._decode_use)
 
-    def note(self, now: float, use: EngineUse) -> None:
-        """Note how many engines were busy at this moment."""
-        self._usual_need = use.usual_need
-        if self._begun_at is None:
+    def record(self, now: float, use: EngineUse) -> None:
+        """Record how many engines are busy at this time."""
+        self._expected_need = use.usual_need
+        if self._first_load_at is None:
             if use.reading <= 0:
                 return
-            self._begun_at = self._noted_at = now
-        kept = math.exp((self._noted_at - now) / SHARES_SECONDS)
-        self._reading = kept * self._reading + (1 - kept) * use.reading
-        self._answering = kept * self._answering + (1 - kept) * use.answering
-        self._noted_at = now
-
-    def useful_readers(
-        self, engines: Engines, now: float, least: int = LEAST_READERS
+            self._first_load_at = self._last_sample_at = now
+        kept = math.exp((self._last_sample_at - now) / SHARE_AVERAGING_SECONDS)
+        self._prefill_use = kept * self._prefill_use + (1 - kept) * use.reading
+        self._decode_use = kept * self._decode_use + (1 - kept) * use.answering
+        self._last_sample_at = now
+
+    def useful_prefill_engines(
+        self,
+        engines: EnginesByRole,
+        now: float,
+        minimum: int = PREFILL_ENGINES_WITH_SPARE,
     ) -> int | None:
-        """Return the most readers for whose prompts answers find memory.
+        """Return the most prefill engines whose output the others can decode.
 
-        With more of them, answers would wait for memory sooner than prompts for a
-        reader, whatever is asked for. None before enough was seen. `least` are kept
-        whatever is useful: one that reads already is there if another is lost.
+        With more of them, requests would run out of decode memory before they queue
+        for prefill, at any load. Returns None before enough was observed. The result is
+        at least `minimum`, so that another prefill engine is ready if one fails.
         """
-        share = self.reading_share(now)
+        share = self.prefill_share(now)
         if share is None:
             return None
-        return max(least, round(engines.count * share))
+        return max(minimum, round(engines.count * share))
 
-    def least_readers(
-        self, engines: Engines, load: PromptLoad, now: float, lacks_memory: bool
+    def minimum_prefill_engines(
+        self, engines: EnginesByRole, load: PrefillLoad, now: float, lacks_memory: bool
     ) -> int:
-        """Return how many readers stay, whatever they do now."""
-        share, busiest = self.reading_share(now), load.busiest(now)
-        if not share or busiest is None:
-            return LEAST_READERS
-        balance = EngineBalance(engines.count, share)
-        return least_readers(balance, busiest * SPARE_TIMES, lacks_memory)
-
-    def reading_share(self, now: float) -> float | None:
-        """Return the share of engines that reads while the others answer."""
-        begun_at, need = self._begun_at, self._usual_need
-        is_watched = begun_at is not None and now - begun_at >= WATCHED_SECONDS
-        if is_watched and self._reading:
-            return self._reading / (self._reading + self._answering)
+        """Return how many prefill engines to keep at any load."""
+        share, peak = self.prefill_share(now), load.peak(now)
+        if not share or peak is None:
+            return PREFILL_ENGINES_WITH_SPARE
+        model = CapacityModel(engines.count, share)
+        return minimum_prefill_engines(model, peak * BURST_HEADROOM, lacks_memory)
+
+    def prefill_share(self, now: float) -> float | None:
+        """Return the share of engines needed for prefill, None while unknown."""
+        begun_at, need = self._first_load_at, self._expected_need
+        is_observed = begun_at is not None and now - begun_at >= WATCHED_SECONDS
+        if is_observed and self._prefill_use:
+            return self._prefill_use / (self._prefill_use + self._decode_use)
         if need is None:
             return None
         return need.reading_seconds / (need.reading_seconds + need.answering_seconds)
 
 
-def wanted_change(
-    engines: Engines,
+def choose_role_change(
+    engines: EnginesByRole,
     pressure: ServicePressure,
-    short_for: float,
+    shortage_seconds: float,
     useful: int | None = None,
-    steady: Engines | None = None,
+    orderable: EnginesByRole | None = None,
 ) -> tuple[Endpoint, EndpointRole] | None:
     """Return the engine to order and its new role, None if all is well.
 
-    `short_for` is for how long answers have lacked memory, in seconds. Once it is known
-    how many readers are useful, those beyond them are ordered for that alone. Only
-    engines of `steady` are ordered, the first ones before others: all that aren't
-    carrying out an order.
+    `shortage_seconds` is how long decodes have lacked memory. Once `useful`, the useful
+    number of prefill engines, is known, a shortage orders none here: excess prefill
+    engines change role for being idle. Only engines in `orderable`, which are not
+    carrying out an order, are chosen, in the order given.
     """
-    steady = steady or engines
+    orderable = orderable or engines
     if not engines.prefill and len(engines.decode) > 2:
-        # Engines that answer read prompts at half the speed, and stall while they do.
-        # The last one that answers now goes on until another one has changed.
-        can_spare = len(steady.decode) > 1
-        return (steady.decode[0], EndpointRole.PREFILL) if can_spare else None
-    if useful is not None or short_for < SHORT_SECONDS or len(engines.prefill) < 2:
+        # A decode engine runs prefill at half the speed, and its decodes stall
+        # meanwhile. The last decode engine without an order stays until another one has
+        # changed.
+        can_spare = len(orderable.decode) > 1
+        return (orderable.decode[0], EndpointRole.PREFILL) if can_spare else None
+    if (
+        useful is not None
+        or shortage_seconds < MINIMUM_SHORTAGE_SECONDS
+        or len(engines.prefill) < 2
+    ):
         return None
-    if not steady.prefill:
+    if not orderable.prefill:
         return None
     remaining = len(engines.prefill) - 1
     if len(engines.decode) + 1 > DECODE_PER_PREFILL * remaining:
         return None
-    if pressure.prompt_ms_per_second > 1000 * remaining * PROMPT_SHARE:
+    if pressure.prompt_ms_per_second > 1000 * remaining * MAXIMUM_PREFILL_TIME_SHARE:
         return None
-    return steady.prefill[0], EndpointRole.DECODE
+    return orderable.prefill[0], EndpointRole.DECODE
 
 
-def needed_readers(
-    load: PromptLoad, now: float, lacks_memory: bool, least: int = LEAST_READERS
+def needed_prefill_engines(
+    load: PrefillLoad,
+    now: float,
+    lacks_memory: bool,
+    minimum: int = PREFILL_ENGINES_WITH_SPARE,
 ) -> int | None:
-    """Return how many readers are to stay, None before the load was watched enough.
+    """Return how many prefill engines the load needs, None before it was observed.
 
-    While answers lack memory, a reader that prompts leave idle some of the time serves
-    more requests by answering, although prompts then wait for a moment in a burst.
+    While decodes lack memory, a prefill engine that is idle part of the time serves
+    more requests as a decode engine, although prompts then queue briefly in a burst.
     """
-    busiest = load.busiest(now)
-    if busiest is None:
+    peak = load.peak(now)
+    if peak is None:
         return None
     if lacks_memory:
-        return max(least, math.ceil(busiest / PROMPT_SHARE))
-    return max(least, round(busiest * SPARE_TIMES))
+        return max(minimum, math.ceil(peak / MAXIMUM_PREFILL_TIME_SHARE))
+    return max(minimum, round(peak * BURST_HEADROOM))
 
 
 @dataclass(frozen=True)
-class ReaderBounds:
-    """How many readers are to stay, and why."""
+class PrefillBounds:
+    """How many prefill engines to keep, and the figures that this follows from."""
 
     kept: int | None
-    """None while nothing is known."""
+    """How many to keep, None while unknown."""
     useful: int | None
-    """The most for whose prompts answers find memory."""
-    least: int
-    """Those that stay whatever they do now."""
+    """The most whose output the other engines have memory to decode."""
+    minimum: int
+    """How many to keep at any load."""
     lacks_memory: bool
 
 
-def reader_bounds(
-    engines: Engines,
-    load: PromptLoad,
-    shares: EngineShares,
+def prefill_bounds(
+    engines: EnginesByRole,
+    load: PrefillLoad,
+    shares: RoleShares,
     now: float,
     lacks_memory: bool,
-) -> ReaderBounds:
-    """Return how many readers are to stay, by the load and what answers need."""
-    least = shares.least_readers(engines, load, now, lacks_memory)
-    useful = shares.useful_readers(engines, now, least)
-    needed = needed_readers(load, now, lacks_memory, least)
-    return ReaderBounds(readers_to_keep(needed, useful), useful, least, lacks_memory)
+) -> PrefillBounds:
+    """Return how many prefill engines to keep, by the load and the decode memory."""
+    minimum = shares.minimum_prefill_engines(engines, load, now, lacks_memory)
+    useful = shares.useful_prefill_engines(engines, now, minimum)
+    needed = needed_prefill_engines(load, now, lacks_memory, minimum)
+    return PrefillBounds(
+        prefill_engines_to_keep(needed, useful), useful, minimum, lacks_memory
+    )
 
 
-def readers_to_keep(needed: int | None, useful: int | None) -> int | None:
-    """Return how many readers stay, None while nothing is known.
+def prefill_engines_to_keep(needed: int | None, useful: int | None) -> int | None:
+    """Return how many prefill engines to keep, None while nothing is known.
 
-    No more than are useful, also before the load was watched: whatever it is, answers
-    would wait for memory sooner than prompts for a further reader.
+    The useful number also applies before the load was observed: at any load, requests
+    would run out of decode memory before they need a further prefill engine.
     """
     known = [count for count in (needed, useful) if count is not None]
     return min(known, default=None)
 
 
-def answers_lack_memory(
-    engines: Engines, pressure: ServicePressure, short_for: float
+def decode_lacks_memory(
+    engines: EnginesByRole, pressure: ServicePressure, shortage_seconds: float
 ) -> bool:
-    """Say whether requests wait for engines that answer, and not for readers.
+    """Return whether requests wait for decode memory rather than for prefill.
 
-    Prompts that take more than the readers' whole time wait at them. Requests wait for
-    readers then; with one reader less they would wait longer, which looks like a
-    shortage of memory again, until hardly a reader is left.
+    When prompts exceed the capacity of the prefill engines, requests wait for prefill.
+    One prefill engine less would make them wait longer, which looks like a shortage of
+    memory again, until hardly any prefill engine is left.
     """
-    readers_busy = pressure.prompt_ms_per_second / 1000
-    return short_for >= SHORT_SECONDS and readers_busy < len(engines.prefill)
+    busy_prefill_engines = pressure.prompt_ms_per_second / 1000
+    return shortage_seconds >= MINIMUM_SHORTAGE_SECONDS and busy_prefill_engines < len(
+        engines.prefill
+    )
 
 
-def idle_readers(engines: Engines, needed: int) -> tuple[Endpoint, ...]:
-    """Return the readers beyond those needed, which are better ordered to answer.
+def idle_prefill_engines(engines: EnginesByRole, needed: int) -> tuple[Endpoint, ...]:
+    """Return the prefill engines beyond those needed, which should change to decode.
 
-    Those of the zones with most readers go first: a zone that is cut off needs one.
+    Engines of the availability zones with most prefill engines come first, since a zone
+    that is cut off needs one of its own.
     """
     left = list(engines.prefill)
     idle: list[Endpoint] = []
     while len(left) > needed:
-        readers_in = Counter(reader.availability_zone for reader in left)
-        chosen = max(left, key=lambda item: readers_in[item.availability_zone])
+        count_by_zone = Counter(engine.availability_zone for engine in left)
+        chosen = max(left, key=lambda item: count_by_zone[item.availability_zone])
         left.remove(chosen)
         idle.append(chosen)
     return tuple(idle)
 
 
-def most_readers(engines: Engines, useful: int | None) -> int:
-    """Return how many engines may read, so that enough others answer.
+def maximum_prefill_engines(engines: EnginesByRole, useful: int | None) -> int:
+    """Return the most engines that may run prefill so that enough others decode.
 
-    As many as are useful; before that is known, by a usual proportion.
+    This is the useful number, or the assumed proportion before that is known.
     """
     if useful is not None:
         return useful
-    known = len(engines.prefill) + len(engines.decode)
-    return math.ceil(known / (1 + DECODE_PER_PREFILL))
+    engine_count = len(engines.prefill) + len(engines.decode)
+    return math.ceil(engine_count / (1 + DECODE_PER_PREFILL))
 
 
-def lacks_reader(engines: Engines, least: float, useful: int | None = None) -> bool:
-    """Say whether prompts have taken the readers' whole time for long.
+def lacks_prefill_engine(
+    engines: EnginesByRole, sustained: float, useful: int | None = None
+) -> bool:
+    """Return whether prompts have saturated the prefill engines for long enough.
 
-    An engine that answers is then better ordered to read, if enough others answer.
+    A decode engine should then change to prefill, if enough decode engines remain.
     """
-    readers = len(engines.prefill)
-    enough_answer = readers < most_readers(engines, useful)
-    return readers > 0 and enough_answer and least >= BUSY_SHARE * readers
-
-
-def missing_readers(engines: Engines, least: float, useful: int | None = None) -> int:
-    """Return how many engines that answer are better ordered to read.
-
-    As many as prompts need that ask for more than the readers' whole time for long;
-    enough others have to answer still.
+    prefill_count = len(engines.prefill)
+    enough_decode = prefill_count < maximum_prefill_engines(engines, useful)
+    return (
+        prefill_count > 0
+        and enough_decode
+        and sustained >= SATURATED_SHARE * prefill_count
+    )
+
+
+def missing_prefill_engines(
+    engines: EnginesByRole, sustained: float, useful: int | None = None
+) -> int:
+    """Return how many decode engines should change to prefill.
+
+    As many as the sustained load of prompts needs while it saturates the prefill
+    engines, as long as enough decode engines remain.
     """
-    if not lacks_reader(engines, least, useful):
+    if not lacks_prefill_engine(engines, sustained, useful):
         return 0
-    needed = math.ceil(least / PROMPT_SHARE)
-    return min(needed, most_readers(engines, useful)) - len(engines.prefill)
+    needed = math.ceil(sustained / MAXIMUM_PREFILL_TIME_SHARE)
+    return min(needed, maximum_prefill_engines(engines, useful)) - len(engines.prefill)
 
 
-def allowed_changes(engines: Engines, changing: int) -> int:
-    """Return how many engines may be ordered now, while others still change."""
-    known = len(engines.prefill) + len(engines.decode)
-    most = max(LEAST_CHANGING, int(known * CHANGING_SHARE))
+def allowed_changes(engines: EnginesByRole, changing: int) -> int:
+    """Return how many engines may be ordered now, given those still changing."""
+    engine_count = len(engines.prefill) + len(engines.decode)
+    most = max(MINIMUM_CHANGING, int(engine_count * MAXIMUM_CHANGING_SHARE))
     return max(0, most - changing)
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -30,7 +30,7 @@
 from jujubeslip.control._removal_log import RemovalLog
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._replication import Replication
-from jujubeslip.control._roles import LOOK_SECONDS, RoleKeeper
+from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleKeeper
 from jujubeslip.control._routes_in_force import RoutesInForce
 from jujubeslip.control._stopping import step_aside
 from jujubeslip.control._storage import Storage
@@ -245,7 +245,7 @@
             admissions.reports_now if admissions else lambda _: True,
             admissions.answer_count if admissions else lambda _: 0,
         )
-        self._process.repeat(LOOK_SECONDS, keeper.look)
+        self._process.repeat(SCAN_INTERVAL_SECONDS, keeper.look)
 
     def _lead_began_at(self) -> float | None:
         """Return since when this host leads, None while it doesn't."""
--- a/src/jujubeslip/control/_spare_readers.py
+++ b/src/jujubeslip/control/_spare_readers.py
@@ -1,67 +1,78 @@
-"""How many readers are kept as a spare; knows no clock, thread or engine.
+"""Decides whether a service keeps a spare prefill engine.
 
-The load that this answers: few engines, of which some are lost, and bursts. A second
-reader is there if the first one is lost; an engine that answers in its place serves a
-third or a half more until then.
+The model uses no clock, thread or engine. It covers services with few engines, some of
+which fail, and bursts of requests. A second prefill engine takes over if the first one
+fails; used for decode instead, it serves a third to a half more until then.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Readers that stay where the spare one costs nobody an answer.
-LEAST_READERS = 2
-# What a prompt costs an engine that answers, too, in a reader's time: it reads at half
-# the speed, and all its answers stand still meanwhile.
-OWN_READING_COST = 4.0
-# Share of the time for which a reader is expected to be missing.
-MISSING_SHARE = 0.1
-# How many times as much has to be served without the spare one, before answers lack
-# memory: the change itself takes seconds, and one reader's prompts wait in a burst.
-SURE_GAIN = 1.3
+# Prefill engines to keep where the spare one costs no served requests.
+PREFILL_ENGINES_WITH_SPARE = 2
+# Cost of prefill on a decode engine, relative to a prefill engine: it runs at half the
+# speed, and all decodes of that engine stall meanwhile.
+DECODE_ENGINE_PREFILL_COST = 4.0
+# Share of the time for which a prefill engine is expected to be unavailable.
+UNAVAILABLE_SHARE = 0.1
+# How many times as much must be served without the spare engine while decode memory
+# suffices: the change itself takes seconds, and with one prefill engine prompts queue
+# in a burst.
+MINIMUM_GAIN = 1.3
 
 
 @dataclass(frozen=True)
-class EngineBalance:
-    """Engines of one service, and what requests take of them."""
+class CapacityModel:
+    """The load that the engines of one service can serve."""
 
-    engines: int
-    reading_share: float
-    """Share of engines that reads while the others answer, above 0."""
+    engine_count: int
+    prefill_share: float
+    """Share of engines that requests need for prefill, above 0."""
 
-    def served(self, readers: int) -> float:
-        """Return the load that is served, in readers' whole time.
+    def served_load(self, prefill_engines: int) -> float:
+        """Return the load that is served, in fully busy prefill engines.
 
-        What readers have no time for is read by the engines that answer, whose answers
-        stand still meanwhile.
+        Prompts beyond the capacity of the prefill engines run on the decode engines,
+        whose decodes stall meanwhile.
         """
-        answering = (1 - self.reading_share) / self.reading_share
-        shared_load = (self.engines + readers) / (answering + OWN_READING_COST)
-        if not answering:
-            return max(readers, shared_load)
-        answered = max(0, self.engines - readers) / answering
-        return min(answered, max(readers, shared_load))
+        decode_per_prefill = (1 - self.prefill_share) / self.prefill_share
+        shared_load = (self.engine_count + prefill_engines) / (
+            decode_per_prefill + DECODE_ENGINE_PREFILL_COST
+        )
+        if not decode_per_prefill:
+            return max(prefill_engines, shared_load)
+        decoded_load = max(0, self.engine_count - prefill_engines) / decode_per_prefill
+        return min(decoded_load, max(prefill_engines, shared_load))
 
-    def without_one(self) -> EngineBalance:
-        """Return the balance with one engine less."""
-        return EngineBalance(self.engines - 1, self.reading_share)
+    def after_loss(self) -> CapacityModel:
+        """Return the model with one engine less."""
+        return CapacityModel(self.engine_count - 1, self.prefill_share)
 
 
-def least_readers(balance: EngineBalance, busiest: float, lacks_memory: bool) -> int:
-    """Return how many readers stay at least, whatever they do now.
+def minimum_prefill_engines(
+    model: CapacityModel, peak_load: float, lacks_memory: bool
+) -> int:
+    """Return how many prefill engines to keep at any load.
 
-    `busiest` is the load that has to be expected, in readers' whole time. One reader,
-    where the spare one would serve more by answering, the time included in which the
-    only one is missing.
+    `peak_load` is the expected load, in fully busy prefill engines. The result is 1
+    where the spare engine would serve more as a decode engine, even with the time in
+    which the only prefill engine is unavailable.
     """
-    with_spare = _expected(balance, LEAST_READERS, busiest)
-    gain = 1.0 if lacks_memory else SURE_GAIN
-    return 1 if _expected(balance, 1, busiest) > gain * with_spare else LEAST_READERS
+    load_with_spare = _expected(model, PREFILL_ENGINES_WITH_SPARE, peak_load)
+    gain = 1.0 if lacks_memory else MINIMUM_GAIN
+    return (
+        1
+        if _expected(model, 1, peak_load) > gain * load_with_spare
+        else PREFILL_ENGINES_WITH_SPARE
+    )
 
 
-def _expected(balance: EngineBalance, readers: int, busiest: float) -> float:
-    """Return the load that is served in the mean, one reader missing now and then."""
-    missing = min(1.0, readers * MISSING_SHARE)
-    whole = min(busiest, balance.served(readers))
-    lost = min(busiest, balance.without_one().served(readers - 1))
-    return (1 - missing) * whole + missing * lost
+def _expected(model: CapacityModel, prefill_engines: int, peak_load: float) -> float:
+    """Return the mean load served when prefill engines are unavailable at times."""
+    unavailable = min(1.0, prefill_engines * UNAVAILABLE_SHARE)
+    load_without_failure = min(peak_load, model.served_load(prefill_engines))
+    load_after_failure = min(
+        peak_load, model.after_loss().served_load(prefill_engines - 1)
+    )
+    return (1 - unavailable) * load_without_failure + unavailable * load_after_failure
--- a/tests/control/loads/__init__.py
+++ b/tests/control/loads/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded loads, to be replayed against decisions."""
+"""Recorded loads for replays of the role balance."""
--- a/tests/control/loads/bursts_of_prompts.py
+++ b/tests/control/loads/bursts_of_prompts.py
@@ -1,12 +1,13 @@
-"""The prompts that four readers were granted on a day with three bursts.
+"""Prompt tokens granted to four prefill engines during a load with three bursts.
 
-Four of nine engines read prompts of 3,200 tokens in the mean; five answered. From 16 s
-on, the five had no memory left for half of the requests, for eight seconds.
+Four of nine engines ran prefill for prompts of 3,200 tokens on average, and five ran
+decode. From 16 s on, these five lacked memory for half of the requests for eight
+seconds.
 """
 
 # Seconds between two samples.
 STEP_SECONDS = 0.5
-# Prompt tokens that were granted a reader, a second, over the 2 s before.
+# Prompt tokens granted a prefill engine per second, over the previous 2 s.
 TOKENS_PER_SECOND = (
     (3064, 15410, 28404, 33031, 35010, 24254, 14680, 11448, 14577, 18186, 19174)
     + (17778, 22538, 30689, 30566, 34184, 30466, 24725, 34396, 34922, 33448, 32326)
@@ -15,17 +16,17 @@
     + (35248, 39104, 37008, 34581, 33008, 29406, 33702, 29926, 21266, 24086, 23793)
     + (27687, 33656, 29162, 35752, 42943, 45438, 44128, 36667, 23173, 26424, 27006)
 )
-# What a reader showed that it reads in a second, the way to it included.
-READER_TOKENS_PER_SECOND = 29_000
-# When the second burst begins, in seconds: requests come twice as often.
+# Observed speed of a prefill engine, network delay included.
+ENGINE_TOKENS_PER_SECOND = 29_000
+# Start of the second burst, in seconds; the request rate doubles.
 BURST_SECONDS = 17.0
-# Longest time that an engine takes to change its role, in seconds.
+# Maximum time that an engine takes to change its role, in seconds.
 CHANGE_SECONDS = 6.0
 
 
-def busy_readers() -> list[tuple[float, float]]:
-    """Return by instant how many readers were kept busy."""
+def busy_prefill_engines() -> list[tuple[float, float]]:
+    """Return the number of busy prefill engines at each time."""
     return [
-        (number * STEP_SECONDS, tokens / READER_TOKENS_PER_SECOND)
+        (number * STEP_SECONDS, tokens / ENGINE_TOKENS_PER_SECOND)
         for number, tokens in enumerate(TOKENS_PER_SECOND, start=1)
     ]
--- a/tests/control/test_order_log.py
+++ b/tests/control/test_order_log.py
@@ -1,4 +1,4 @@
-"""Lines that say why no engine is ordered."""
+"""Tests of the log lines on why no engine is ordered."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 import pytest
 
-from jujubeslip.control._order_log import BalanceInputs, NoOrderLog, NoOrderReason
+from jujubeslip.control._order_log import BalanceInputs, BalanceLog, NoOrderReason
 
 INPUTS = BalanceInputs(2, 1, 0, 2, 2, 2, 0.5, 0.1, 0.2, True, 5)
 
 
-class TestNoOrderLog:
-    def note(self, log: NoOrderLog, inputs: BalanceInputs = INPUTS) -> None:
-        log.note("model", NoOrderReason.BALANCED, inputs)
+class TestBalanceLog:
+    def record(self, log: BalanceLog, inputs: BalanceInputs = INPUTS) -> None:
+        log.record("model", NoOrderReason.BALANCED, inputs)
 
-    def test_names_the_reason_and_what_decided_it(
+    def test_names_the_reason_and_the_inputs(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         caplog.set_level("INFO")
-        self.note(NoOrderLog())
+        self.record(BalanceLog())
         [line] = caplog.records
         assert line.getMessage() == "no engine ordered"
         assert line.__dict__["reason"] == "no other balance serves more"
         assert (line.__dict__["reading"], line.__dict__["answering"]) == (2, 1)
 
-    def test_writes_again_only_what_has_changed(
+    def test_logs_again_only_after_a_change(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         caplog.set_level("INFO")
-        log = NoOrderLog()
-        self.note(log)
-        self.note(log, replace(INPUTS, waited=9))
+        log = BalanceLog()
+        self.record(log)
+        self.record(log, replace(INPUTS, waited=9))
         assert len(caplog.records) == 1
-        self.note(log, replace(INPUTS, answering=2))
+        self.record(log, replace(INPUTS, decode_engines=2))
         assert len(caplog.records) == 2
--- a/tests/control/test_orders_across_leads.py
+++ b/tests/control/test_orders_across_leads.py
@@ -1,4 +1,4 @@
-"""What a host that begins to lead knows of orders and of the load before it."""
+"""Tests of what a new leader knows of earlier orders and loads."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from jujubeslip.control._engine_table import EngineTable
 from jujubeslip.control._given_orders import GivenOrders
 from jujubeslip.control._leadership import Fence, Leadership
-from jujubeslip.control._role_balance import BUSY_SECONDS, Engines
-from jujubeslip.control._roles import LOOK_SECONDS, RoleKeeper
+from jujubeslip.control._role_balance import SATURATED_SECONDS, EnginesByRole
+from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleKeeper
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.endpoints import EndpointError
 from jujubeslip.interfaces import EndpointQuestion
@@ -32,18 +32,18 @@
 )
 from jujubeslip.platform._endpoint_answers import read_report
 from jujubeslip.platform._endpoint_calls import ask_report, order_role
-from tests.control.test_roles import Asked, engines, pressure
+from tests.control.test_roles import FakeEngines, engines, pressure
 
 ORDER_LEASE_SECONDS = 3.0
 LEASE_SECONDS = 0.6
 ACCEPTED = 202
 REFUSED = 409
-# How long the log has been led, in milliseconds.
-FOUNDED_MS = 60_000
+# For how long leaders have used the log, in milliseconds.
+LOG_AGE_MS = 60_000
 
 
 class SharedLog:
-    """The log of all hosts: each command is committed once it is proposed."""
+    """The log of all hosts, in which each proposed command is committed at once."""
 
     def __init__(self, engine_table: EngineTable) -> None:
         self.engines = engine_table
@@ -59,21 +59,21 @@
 
 
 class Host:
-    """A control host that leads when a test says so, and knows the log alone."""
+    """A control host that leads when the test says so, and knows only the log."""
 
     def __init__(
         self,
         log: SharedLog,
-        book: EndpointBook,
+        registry: EndpointBook,
         clock: VirtualClock,
         crashed: set[str],
         name: str,
     ) -> None:
-        self.asked = Asked()
-        self.answers_by_id: dict[str, int] = {}
+        self.fake_engines = FakeEngines()
+        self.decodes_by_id: dict[str, int] = {}
         self._crashed = crashed
-        self._book = book
-        self.busy_readers = 0.0
+        self._registry = registry
+        self.busy_prefill_engines = 0.0
         self.commit_seconds = 0.0
         self.has_lease = True
         self.orders = GivenOrders()
@@ -95,53 +95,55 @@
         watches: Any = SimpleNamespace(
             pressure_of=lambda _: pressure(waited=0, prompt_ms=0)
         )
-        self.keeper = RoleKeeper(
+        self.manager = RoleKeeper(
             replica,
             EngineLog(replica),
-            book,
+            registry,
             watches,
             interface,
             ORDER_LEASE_SECONDS,
             lambda: {"model"},
             self.orders,
-            lambda _: self.busy_readers,
+            lambda _: self.busy_prefill_engines,
             lambda: None,
-            lambda _: EngineUse(self.busy_readers, 3 * self.busy_readers),
+            lambda _: EngineUse(
+                self.busy_prefill_engines, 3 * self.busy_prefill_engines
+            ),
             reports_now=lambda item: item.endpoint_id not in crashed,
-            answer_count=lambda item: self.answers_by_id.get(item.endpoint_id, 0),
+            answer_count=lambda item: self.decodes_by_id.get(item.endpoint_id, 0),
         )
-        self.keeper._ask = self._ask  # type: ignore[method-assign]
+        self.manager._ask = self._ask  # type: ignore[method-assign]
 
-    def lead(self, term: int) -> None:
+    def start_leading(self, term: int) -> None:
         """Begin a term."""
         stamp_ms = self._log.last_stamp_ms
         self._leadership = Leadership(term, "replica", 0, stamp_ms)
 
-    def follow(self) -> None:
-        """Lose the lead."""
+    def stop_leading(self) -> None:
+        """Lose the leadership."""
         self._leadership = None
 
     def look(self, seconds: float = 0.0) -> None:
-        """Look once, and again for so long."""
-        self.keeper.look()
-        for _ in range(round(seconds / LOOK_SECONDS)):
-            self._clock.now += LOOK_SECONDS
+        """Scan once, and then repeatedly for this many seconds."""
+        self.manager.look()
+        for _ in range(round(seconds / SCAN_INTERVAL_SECONDS)):
+            self._clock.now += SCAN_INTERVAL_SECONDS
             self._announce_again()
-            self.keeper.look()
+            self.manager.look()
 
     def _announce_again(self) -> None:
-        """Let all engines that stay be heard now."""
+        """Let all engines that are not leaving report now."""
         now = self._clock.now
-        self._book.take(
+        self._registry.take(
             replace(item, sequence=item.sequence + 1, heard_at=now)
-            for item in self._book.endpoints()
+            for item in self._registry.endpoints()
             if item.stays
         )
 
     def _ask(self, endpoint: Endpoint, question: EndpointQuestion) -> tuple[int, bytes]:
         if endpoint.endpoint_id in self._crashed:
             raise EndpointError("connection refused")
-        return self.asked(endpoint, question)
+        return self.fake_engines(endpoint, question)
 
     def _propose(self, command: EngineOrder, deadline: Deadline) -> None:
         waits = min(self.commit_seconds, deadline.remaining())
@@ -165,21 +167,21 @@
 
 
 class Hosts:
-    """Control hosts with one log and one book of engines."""
+    """Control hosts with one log and one registry of engines."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
         self.crashed: set[str] = set()
-        self.book = EndpointBook()
+        self.registry = EndpointBook()
         self.log = SharedLog(EngineTable())
-        # A cluster that was founded a while ago, and records what its leaders do.
+        # A cluster bootstrapped a while ago, whose leaders record their orders.
         self.log.commit(EngineLoads([]), 0)
-        self.log.last_stamp_ms = FOUNDED_MS
-        self.new = partial(Host, self.log, self.book, clock, self.crashed)
+        self.log.last_stamp_ms = LOG_AGE_MS
+        self.new = partial(Host, self.log, self.registry, clock, self.crashed)
 
-    def announce(self, group: Engines) -> None:
-        """Let all engines be heard now."""
-        self.book.take([*group.prefill, *group.decode])
+    def announce(self, group: EnginesByRole) -> None:
+        """Let these engines report now."""
+        self.registry.take([*group.prefill, *group.decode])
 
 
 @pytest.fixture
@@ -189,98 +191,100 @@
 
 
 class TestOrderThatWasRefused:
-    """Guards against an engine that nobody uses for an order that it has refused."""
+    """Guards against an engine that stays unused after it has refused an order."""
 
     def refused(self, hosts: Hosts) -> Host:
-        """Return the leader whose orders the engines have refused."""
+        """Return a leader whose order an engine has refused."""
         hosts.announce(engines(0, 3))
         leader = hosts.new("control-1")
-        leader.lead(1)
-        leader.asked.status = REFUSED
+        leader.start_leading(1)
+        leader.fake_engines.status = REFUSED
         leader.look()
-        assert leader.asked.orders == 1
+        assert leader.fake_engines.orders == 1
         hosts.clock.now += ORDER_LEASE_SECONDS
         return leader
 
-    def test_is_over_for_the_next_leader(self, hosts: Hosts) -> None:
-        self.refused(hosts).follow()
+    def test_is_not_pending_for_the_next_leader(self, hosts: Hosts) -> None:
+        self.refused(hosts).stop_leading()
         successor = hosts.new("control-2")
-        successor.lead(2)
+        successor.start_leading(2)
         successor.look()
         group = engines(0, 3).decode
         assert [successor.orders.role_of(item) for item in group].count(
             EndpointRole.PREFILL
-        ) == successor.asked.orders
+        ) == successor.fake_engines.orders
 
-    def test_is_over_for_the_leader_that_misses_its_lease_for_a_look(
+    def test_is_not_pending_for_the_same_leader_after_a_lease_gap(
         self, hosts: Hosts
     ) -> None:
         leader = self.refused(hosts)
         leader.has_lease = False
         leader.look()
         leader.has_lease = True
-        leader.asked.status = ACCEPTED
+        leader.fake_engines.status = ACCEPTED
         leader.look()
         roles = map(leader.orders.role_of, engines(0, 3).decode)
-        assert list(roles).count(EndpointRole.PREFILL) == leader.asked.orders - 1
+        assert list(roles).count(EndpointRole.PREFILL) == leader.fake_engines.orders - 1
 
-    def test_lets_another_engine_be_the_only_reader(self, hosts: Hosts) -> None:
+    def test_another_engine_may_be_ordered_to_prefill(self, hosts: Hosts) -> None:
         leader = self.refused(hosts)
-        leader.asked.status = ACCEPTED
+        leader.fake_engines.status = ACCEPTED
         leader.look()
-        assert leader.asked.orders == 2
+        assert leader.fake_engines.orders == 2
 
 
 class TestOrderedEngineThatLeaves:
-    """Guards against engines that all answer while the one ordered to read is gone."""
+    """Guards against a service without prefill after the ordered engine has left."""
 
     def leader(self, hosts: Hosts) -> Host:
-        """Return a leader whose only engine ordered to read leaves."""
+        """Return a leader whose only engine ordered to prefill leaves."""
         group = engines(0, 4)
         hosts.announce(group)
         leader = hosts.new("control-1")
-        leader.lead(1)
+        leader.start_leading(1)
         leader.look()
         ordered = next(item for item in group.decode if leader.orders.role_of(item))
-        hosts.book.take([replace(ordered, leaving=True, sequence=2)])
+        hosts.registry.take([replace(ordered, leaving=True, sequence=2)])
         return leader
 
-    def test_is_replaced_at_the_next_look(self, hosts: Hosts) -> None:
+    def test_is_replaced_at_the_next_scan(self, hosts: Hosts) -> None:
         leader = self.leader(hosts)
-        leader.look(LOOK_SECONDS)
-        assert leader.asked.orders == 2
+        leader.look(SCAN_INTERVAL_SECONDS)
+        assert leader.fake_engines.orders == 2
 
-    def test_is_replaced_by_the_same_host_in_a_later_lead(self, hosts: Hosts) -> None:
+    def test_is_replaced_by_the_same_host_in_a_later_term(self, hosts: Hosts) -> None:
         leader = self.leader(hosts)
-        leader.follow()
+        leader.stop_leading()
         leader.look(ORDER_LEASE_SECONDS)
-        leader.lead(3)
+        leader.start_leading(3)
         leader.look()
-        assert leader.asked.orders == 2
+        assert leader.fake_engines.orders == 2
 
 
-class TestOrdersThatWereCarriedOutBeforeTheTakeover:
-    """Guards against a wait for all engines after orders that were carried out."""
+class TestOrdersCarriedOutBeforeTheTakeover:
+    """Guards against a wait for orders that were already carried out."""
 
-    def carried_out(self, hosts: Hosts, group: Engines, role: EndpointRole) -> None:
-        """Let two engines of a role be ordered to it ten seconds ago."""
+    def carried_out(
+        self, hosts: Hosts, group: EnginesByRole, role: EndpointRole
+    ) -> None:
+        """Record that two engines with this role were ordered to it ten seconds ago."""
         stamp_ms = hosts.log.last_stamp_ms
         has_role = group.prefill if role is EndpointRole.PREFILL else group.decode
         for item in has_role[:2]:
             hosts.log.commit(EngineOrder(item.start_id, role), stamp_ms)
         hosts.log.last_stamp_ms += 10_000
 
-    def test_let_another_engine_be_the_only_reader(self, hosts: Hosts) -> None:
+    def test_another_engine_may_be_ordered_to_prefill(self, hosts: Hosts) -> None:
         group = engines(0, 3)
         hosts.announce(group)
         self.carried_out(hosts, group, EndpointRole.DECODE)
         successor = hosts.new("control-2")
-        successor.lead(2)
+        successor.start_leading(2)
         successor.look()
-        assert successor.asked.orders == 1
+        assert successor.fake_engines.orders == 1
 
     @pytest.mark.parametrize("role", [EndpointRole.DECODE, EndpointRole.PREFILL])
-    def test_let_idle_readers_be_ordered(
+    def test_idle_prefill_engines_may_be_ordered(
         self, hosts: Hosts, monkeypatch: pytest.MonkeyPatch, role: EndpointRole
     ) -> None:
         group = engines(6, 3)
@@ -288,125 +292,129 @@
         self.carried_out(hosts, group, role)
         successor = hosts.new("control-2")
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: 1.0, least=lambda _: 0.0
+            record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: 0.0
         )
-        monkeypatch.setattr(successor.keeper, "_load", lambda _: load)
-        successor.lead(2)
+        monkeypatch.setattr(successor.manager, "_prefill_load", lambda _: load)
+        successor.start_leading(2)
         successor.look()
-        assert successor.asked.orders >= 1
+        assert successor.fake_engines.orders >= 1
 
 
-class TestEngineThatHasCrashed:
-    """Guards against orders to an engine that has no answers since it is gone."""
+class TestCrashedEngine:
+    """Guards against orders to an engine that is least busy because it crashed."""
 
-    def test_is_passed_over_for_one_that_answers(self, hosts: Hosts) -> None:
+    def test_is_skipped_for_one_that_responds(self, hosts: Hosts) -> None:
         hosts.announce(engines(0, 3))
         leader = hosts.new("control-1")
-        leader.lead(1)
-        leader.answers_by_id = {"d-0": 4, "d-2": 5}
+        leader.start_leading(1)
+        leader.decodes_by_id = {"d-0": 4, "d-2": 5}
         hosts.crashed.add("d-1")
-        leader.look(2 * LOOK_SECONDS)
-        assert leader.asked.orders == 1
+        leader.look(2 * SCAN_INTERVAL_SECONDS)
+        assert leader.fake_engines.orders == 1
 
 
 class TestLogOfAnEarlierVersion:
-    """Guards against two hosts that order one engine within the lease of orders.
+    """Guards against two hosts that order the same engine within one order lease.
 
-    A leader of an earlier version records no orders, and hands the lead over.
+    A leader of an earlier version records no orders, and hands over the leadership.
     """
 
-    def test_lets_the_next_leader_wait(self, hosts: Hosts) -> None:
+    def test_makes_the_next_leader_wait(self, hosts: Hosts) -> None:
         hosts.announce(engines(0, 3))
         hosts.log.engines = EngineTable()
-        hosts.log.last_stamp_ms = FOUNDED_MS
+        hosts.log.last_stamp_ms = LOG_AGE_MS
         successor = hosts.new("control-2")
-        successor.lead(2)
-        successor.look(ORDER_LEASE_SECONDS - LOOK_SECONDS)
-        assert successor.asked.orders == 0
+        successor.start_leading(2)
+        successor.look(ORDER_LEASE_SECONDS - SCAN_INTERVAL_SECONDS)
+        assert successor.fake_engines.orders == 0
 
 
-class TestFirstLookOfTheNextLeader:
-    """Guards against an order for prompts that one look alone has seen."""
+class TestFirstScanOfTheNextLeader:
+    """Guards against an order for a load that was observed in a single scan only."""
 
-    def test_orders_no_further_reader_for_prompts_of_a_moment(
-        self, hosts: Hosts
-    ) -> None:
+    def test_orders_no_prefill_engine_for_a_short_load(self, hosts: Hosts) -> None:
         hosts.announce(engines(1, 6))
         successor = hosts.new("control-2")
-        successor.lead(2)
-        successor.busy_readers = 2.0
+        successor.start_leading(2)
+        successor.busy_prefill_engines = 2.0
         successor.look()
-        assert successor.asked.orders == 0
+        assert successor.fake_engines.orders == 0
 
-    def test_orders_one_once_prompts_need_it_for_long(self, hosts: Hosts) -> None:
+    def test_orders_one_once_the_load_lasts(self, hosts: Hosts) -> None:
         hosts.announce(engines(1, 6))
         successor = hosts.new("control-2")
-        successor.lead(2)
-        successor.busy_readers = 2.0
-        successor.look(BUSY_SECONDS + LOOK_SECONDS)
-        assert successor.asked.orders >= 1
+        successor.start_leading(2)
+        successor.busy_prefill_engines = 2.0
+        successor.look(SATURATED_SECONDS + SCAN_INTERVAL_SECONDS)
+        assert successor.fake_engines.orders >= 1
 
 
 class TestAgeOfAQuietLog:
-    """Guards against a wait at each takeover while no request is asked for."""
+    """Guards against a wait at each takeover of a service without requests."""
 
-    def test_counts_what_was_led_without_requests(self, hosts: Hosts) -> None:
+    def test_includes_the_time_without_requests(self, hosts: Hosts) -> None:
         hosts.log.last_stamp_ms = 0
         group = engines(1, 3)
         hosts.announce(group)
         leader = hosts.new("control-1")
-        leader.lead(1)
+        leader.start_leading(1)
         leader.look(60.0)
-        leader.follow()
-        reader = hosts.book.find(group.prefill[0].endpoint_id)
-        assert reader is not None
-        hosts.book.take([replace(reader, leaving=True, sequence=reader.sequence + 1)])
+        leader.stop_leading()
+        prefill_engine = hosts.registry.find(group.prefill[0].endpoint_id)
+        assert prefill_engine is not None
+        hosts.registry.take(
+            [
+                replace(
+                    prefill_engine, leaving=True, sequence=prefill_engine.sequence + 1
+                )
+            ]
+        )
         successor = hosts.new("control-2")
-        successor.lead(2)
+        successor.start_leading(2)
         successor.look()
-        assert successor.asked.orders == 1
+        assert successor.fake_engines.orders == 1
 
 
-class TestLoadOfLongAgo:
-    """Guards against orders by a load that is over."""
+class TestOutdatedLoad:
+    """Guards against orders that follow an outdated load."""
 
     def loaded(self, hosts: Hosts) -> Host:
         """Return the leader after some seconds of load."""
         hosts.announce(engines(2, 3))
         leader = hosts.new("control-1")
-        leader.lead(1)
-        leader.busy_readers = 1.5
+        leader.start_leading(1)
+        leader.busy_prefill_engines = 1.5
         leader.look(10.0)
         return leader
 
-    def test_is_forgotten_while_nothing_is_asked_for(self, hosts: Hosts) -> None:
+    def test_is_forgotten_while_there_are_no_requests(self, hosts: Hosts) -> None:
         leader = self.loaded(hosts)
-        leader.busy_readers = 0.0
+        leader.busy_prefill_engines = 0.0
         leader.look(60.0)
-        leader.follow()
+        leader.stop_leading()
         successor = hosts.new("control-2")
-        successor.lead(2)
-        assert successor.keeper._load("model").busiest(hosts.clock.now) is None
+        successor.start_leading(2)
+        assert successor.manager._prefill_load("model").peak(hosts.clock.now) is None
 
-    def test_does_not_last_through_leaders_that_see_none(self, hosts: Hosts) -> None:
-        self.loaded(hosts).follow()
+    def test_does_not_persist_through_leaders_without_load(self, hosts: Hosts) -> None:
+        self.loaded(hosts).stop_leading()
         for term in range(2, 12):
             successor = hosts.new(f"control-{term}")
-            successor.lead(term)
+            successor.start_leading(term)
             successor.look(3.0)
-            successor.follow()
+            successor.stop_leading()
         last = hosts.new("control-12")
-        last.lead(12)
-        assert last.keeper._load("model").busiest(hosts.clock.now) is None
+        last.start_leading(12)
+        assert last.manager._prefill_load("model").peak(hosts.clock.now) is None
 
 
-class TestOrderWhoseRecordIsSlow:
-    """Guards against an order that no look sends while disks are slow."""
+class TestSlowCommitOfAnOrder:
+    """Guards against an order that no scan sends while disks are slow."""
 
-    def test_is_sent_while_the_lease_goes_on(self, hosts: Hosts) -> None:
+    def test_is_sent_while_the_lease_is_renewed(self, hosts: Hosts) -> None:
         hosts.announce(engines(0, 3))
         leader = hosts.new("control-1")
-        leader.lead(1)
+        leader.start_leading(1)
         leader.commit_seconds = 0.4
         leader.look(1.0)
-        assert leader.asked.orders == 1
+        assert leader.fake_engines.orders == 1
--- a/tests/control/test_recovered_orders.py
+++ b/tests/control/test_recovered_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines in the log of a host that goes on alone."""
+"""Tests of engine orders in the log of a host that was recovered as single voter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from jujubeslip.control._commands import Command, NoOp, make_entry
 from jujubeslip.control._engine_log import EngineLog
-from jujubeslip.control._engine_table import ORDER_SECONDS
+from jujubeslip.control._engine_table import ORDER_EXPIRY_SECONDS
 from jujubeslip.control._recovery import recover
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._storage import Storage
@@ -34,7 +34,7 @@
 
 
 def write_log(settings: ControlSettings) -> None:
-    """Leave the log of one of two voters, whose last order is an hour old in it."""
+    """Write the log of one of two voters, with an order after an hour of log time."""
     storage = Storage(settings.data_folder, settings.host_id)
     replica = Replica(settings, storage, Process("test"))
     members = [
@@ -54,10 +54,13 @@
     storage.close()
 
 
-class TestOrderOfBeforeARecovery:
-    """Guards against an engine that gets no order for as long as the old log lasted."""
+class TestOrderBeforeARecovery:
+    """Guards against an engine that gets no order for the duration of the old log.
 
-    def test_ends_as_soon_as_any_other(self, tmp_path: Path) -> None:
+    The log time of the order is then ahead of the time of the recovered log.
+    """
+
+    def test_expires_as_soon_as_any_other(self, tmp_path: Path) -> None:
         settings = settings_in(tmp_path / "data")
         write_log(settings)
         recover(settings, confirmed=True)
@@ -69,6 +72,6 @@
                 replica.write_pending()
             assert replica.fence() is not None
             (pending,) = EngineLog(replica).pending_orders()
-            assert pending.until.remaining() <= ORDER_SECONDS
+            assert pending.until.remaining() <= ORDER_EXPIRY_SECONDS
         finally:
             storage.close()
--- a/tests/control/test_role_balance.py
+++ b/tests/control/test_role_balance.py
@@ -1,4 +1,4 @@
-"""How many engines read prompts and how many answer, replayed on recorded loads."""
+"""Tests of the balance between prefill and decode engines, on recorded loads."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from jujubeslip.admission import EngineNeed, EngineUse
 from jujubeslip.control._role_balance import (
-    BUSY_SECONDS,
-    LEAST_READERS,
+    PREFILL_ENGINES_WITH_SPARE,
+    SATURATED_SECONDS,
     WATCHED_SECONDS,
-    Engines,
-    EngineShares,
-    PromptLoad,
+    EnginesByRole,
+    PrefillLoad,
+    RoleShares,
     allowed_changes,
-    answers_lack_memory,
-    idle_readers,
-    lacks_reader,
-    missing_readers,
-    needed_readers,
-    readers_to_keep,
-    wanted_change,
+    choose_role_change,
+    decode_lacks_memory,
+    idle_prefill_engines,
+    lacks_prefill_engine,
+    missing_prefill_engines,
+    needed_prefill_engines,
+    prefill_engines_to_keep,
 )
 from jujubeslip.peers import EndpointRole, ServicePressure
 from tests.control.loads import bursts_of_prompts as bursts
@@ -28,266 +28,287 @@
 ZONES = ("zone-1", "zone-2", "zone-3")
 
 
-def engines(readers: int, answering: int) -> Engines:
-    """Return engines that are spread over the availability zones in turn."""
-    return Engines(
+def engines(prefill: int, decode: int) -> EnginesByRole:
+    """Return engines that are distributed over the availability zones in turn."""
+    return EnginesByRole(
         tuple(
             engine(f"r-{number}", EndpointRole.PREFILL, ZONES[number % len(ZONES)])
-            for number in range(readers)
+            for number in range(prefill)
         ),
         tuple(
             engine(f"a-{number}", EndpointRole.DECODE, ZONES[number % len(ZONES)])
-            for number in range(answering)
+            for number in range(decode)
         ),
     )
 
 
-def without(group: Engines, ordered: tuple[object, ...]) -> Engines:
-    """Return the engines once these readers answer."""
+def without(group: EnginesByRole, ordered: tuple[object, ...]) -> EnginesByRole:
+    """Return the engines once the ordered prefill engines have changed to decode."""
     staying = tuple(item for item in group.prefill if item not in ordered)
     changed = tuple(item for item in group.prefill if item in ordered)
-    return Engines(staying, group.decode + changed)
+    return EnginesByRole(staying, group.decode + changed)
 
 
-def watched(busiest: float) -> PromptLoad:
-    """Return a load that was watched long enough, with one busiest moment."""
-    load = PromptLoad()
-    load.note(0.05, busiest)
-    load.note(0.1, 0.1)
-    load.note(WATCHED_SECONDS + 0.05, 0.1)
+def observed_load(peak: float) -> PrefillLoad:
+    """Return a load that was observed for a full window, with one peak."""
+    load = PrefillLoad()
+    load.record(0.05, peak)
+    load.record(0.1, 0.1)
+    load.record(WATCHED_SECONDS + 0.05, 0.1)
     return load
 
 
-class TestBurstsOnFewAnsweringEngines:
-    """A burst finds no memory for half of its requests while readers are idle.
+class TestBurstsOnFewDecodeEngines:
+    """Guards against orders that are given only once a burst has caused a shortage.
 
-    Prompts kept one of four readers busy, two in the burst; five engines answered. In
-    the burst grants came at 11.5 a second for 20 requests a second, 37 of 329 streams
-    came late, and `engine ordered` stood in the log five seconds after the burst had
-    begun: the shortage itself was waited for.
+    Prompts kept one of four prefill engines busy, and two in the burst, beside five
+    decode engines. In the burst 11.5 of 20 requests a second got a grant, and 37 of 329
+    streams were late. The engines were ordered five seconds after the burst began.
     """
 
-    def replay(self) -> list[tuple[float, Engines]]:
-        """Return the engines at each instant of the recorded load."""
-        load, group = PromptLoad(), engines(4, 5)
+    def replay(self) -> list[tuple[float, EnginesByRole]]:
+        """Return the engines at each time of the recorded load."""
+        load, group = PrefillLoad(), engines(4, 5)
         seen = []
-        for now, busy in bursts.busy_readers():
-            load.note(now, busy)
-            needed = needed_readers(load, now, lacks_memory=False)
+        for now, busy in bursts.busy_prefill_engines():
+            load.record(now, busy)
+            needed = needed_prefill_engines(load, now, lacks_memory=False)
             if needed is not None:
-                group = without(group, idle_readers(group, needed))
+                group = without(group, idle_prefill_engines(group, needed))
             seen.append((now, group))
         return seen
 
-    def test_seven_answer_before_the_burst(self) -> None:
+    def test_seven_decode_before_the_burst(self) -> None:
         changed_by = bursts.BURST_SECONDS - bursts.CHANGE_SECONDS
         before = [group for now, group in self.replay() if now <= changed_by]
-        assert len(before[-1].prefill) == LEAST_READERS
+        assert len(before[-1].prefill) == PREFILL_ENGINES_WITH_SPARE
         assert len(before[-1].decode) == 7
 
-    def test_no_reader_is_taken_before_the_load_was_watched(self) -> None:
+    def test_none_changes_before_the_load_was_observed(self) -> None:
         early = [group for now, group in self.replay() if now < WATCHED_SECONDS]
         assert all(len(group.prefill) == 4 for group in early)
 
     def test_none_is_ordered_back(self) -> None:
-        load = PromptLoad()
-        for now, busy in bursts.busy_readers():
-            load.note(now, busy)
-            assert not lacks_reader(engines(LEAST_READERS, 7), load.least(now))
+        load = PrefillLoad()
+        for now, busy in bursts.busy_prefill_engines():
+            load.record(now, busy)
+            assert not lacks_prefill_engine(
+                engines(PREFILL_ENGINES_WITH_SPARE, 7), load.sustained(now)
+            )
 
 
-class TestIdleReaders:
-    """Which readers are ordered to answer, at how much load."""
+class TestIdlePrefillEngines:
+    """Which prefill engines change to decode, by load."""
 
     @pytest.mark.parametrize(
-        ("readers", "busiest", "left"),
+        ("prefill", "peak", "left"),
         [(4, 0.2, 2), (4, 1.2, 2), (4, 1.3, 3), (25, 7.6, 15), (2, 0.1, 2), (1, 0, 1)],
     )
-    def test_are_those_beyond_the_busiest_moment(
-        self, readers: int, busiest: float, left: int
+    def test_are_those_beyond_the_peak_load(
+        self, prefill: int, peak: float, left: int
     ) -> None:
-        needed = needed_readers(watched(busiest), WATCHED_SECONDS + 0.2, False)
+        needed = needed_prefill_engines(
+            observed_load(peak), WATCHED_SECONDS + 0.2, False
+        )
         assert needed is not None
-        assert readers - len(idle_readers(engines(readers, 5), needed)) == left
+        assert prefill - len(idle_prefill_engines(engines(prefill, 5), needed)) == left
 
-    @pytest.mark.parametrize(("busiest", "left"), [(1.6, 2), (1.8, 3), (0.5, 2)])
-    def test_are_more_while_answers_lack_memory(
-        self, busiest: float, left: int
-    ) -> None:
-        """Prompts keep 1.6 of three readers busy at most; late answers wait for 15 s.
+    @pytest.mark.parametrize(("peak", "left"), [(1.6, 2), (1.8, 3), (0.5, 2)])
+    def test_are_more_while_decodes_lack_memory(self, peak: float, left: int) -> None:
+        """Guards against a prefill engine kept for bursts while memory is short.
 
-        Kept for a burst, the third reader left them to wait for memory.
+        Prompts kept at most 1.6 of three prefill engines busy, while late requests
+        waited 15 s for decode memory.
         """
-        needed = needed_readers(watched(busiest), WATCHED_SECONDS + 0.2, True)
+        needed = needed_prefill_engines(
+            observed_load(peak), WATCHED_SECONDS + 0.2, True
+        )
         assert needed is not None
-        assert 4 - len(idle_readers(engines(4, 5), needed)) == left
+        assert 4 - len(idle_prefill_engines(engines(4, 5), needed)) == left
 
-    def test_leave_a_reader_in_as_many_zones_as_they_can(self) -> None:
+    def test_leave_prefill_engines_in_as_many_zones_as_possible(self) -> None:
         group = engines(6, 10)
-        staying = set(group.prefill) - set(idle_readers(group, 3))
+        staying = set(group.prefill) - set(idle_prefill_engines(group, 3))
         assert {item.availability_zone for item in staying} == set(ZONES)
 
 
-class TestRequestsThatWaitForReaders:
-    """Fifteen of 25 readers are ordered to answer, and a burst comes.
+class TestRequestsThatWaitForPrefill:
+    """Guards against a wait for prefill that is taken for a shortage of memory.
 
-    Ten readers can't read what comes. Requests wait for them, that looked like a
-    shortage of memory, and one reader after the other was ordered to answer: five more
-    in three seconds, while prompts took 69 s of the readers' time each second.
+    Ten of 25 engines are left for prefill when a burst comes, and prompts need 69 s of
+    their time each second. The waiting requests looked like a shortage of memory, and
+    five more prefill engines were ordered to decode in three seconds.
     """
 
     @pytest.mark.parametrize(
-        ("prompt_ms", "short_for", "expected"),
+        ("prompt_ms", "shortage_seconds", "expected"),
         [(69_343, 6.5, False), (8_000, 6.5, True), (8_000, 1.0, False)],
-        ids=["prompts wait", "memory is short", "a moment"],
+        ids=["prompts wait", "memory is short", "short shortage"],
     )
-    def test_are_no_sign_of_short_memory(
-        self, prompt_ms: int, short_for: float, expected: bool
+    def test_do_not_count_as_short_memory(
+        self, prompt_ms: int, shortage_seconds: float, expected: bool
     ) -> None:
-        told = ServicePressure("model", 283, prompt_ms)
-        assert answers_lack_memory(engines(10, 60), told, short_for) is expected
+        reported = ServicePressure("model", 283, prompt_ms)
+        assert (
+            decode_lacks_memory(engines(10, 60), reported, shortage_seconds) is expected
+        )
 
 
-class TestReadersThatAreLost:
-    """A reader is gone for good, and prompts wait at the one that is left.
+class TestLostPrefillEngines:
+    """Guards against lost prefill engines that are not replaced.
 
-    Answering engines have memory to spare meanwhile, since nothing reaches them.
+    Prompts queue at the remaining prefill engine, while decode engines have memory to
+    spare because no requests reach them.
     """
 
-    def busy(self, seconds: float, readers: float) -> PromptLoad:
-        load = PromptLoad()
+    def busy(self, seconds: float, prefill: float) -> PrefillLoad:
+        load = PrefillLoad()
         steps = int(seconds / bursts.STEP_SECONDS)
         for number in range(steps + 1):
-            load.note(number * bursts.STEP_SECONDS, readers)
+            load.record(number * bursts.STEP_SECONDS, prefill)
         return load
 
-    def test_one_is_ordered_to_read_once_that_lasts(self) -> None:
-        load = self.busy(BUSY_SECONDS, 1.0)
-        assert lacks_reader(engines(1, 7), load.least(BUSY_SECONDS))
+    def test_one_is_replaced_once_the_load_lasts(self) -> None:
+        load = self.busy(SATURATED_SECONDS, 1.0)
+        assert lacks_prefill_engine(engines(1, 7), load.sustained(SATURATED_SECONDS))
 
-    def test_a_moment_is_not_enough(self) -> None:
-        load = self.busy(BUSY_SECONDS, 1.0)
-        load.note(BUSY_SECONDS, 0.5)
-        assert not lacks_reader(engines(1, 7), load.least(BUSY_SECONDS))
+    def test_a_short_load_is_not_enough(self) -> None:
+        load = self.busy(SATURATED_SECONDS, 1.0)
+        load.record(SATURATED_SECONDS, 0.5)
+        assert not lacks_prefill_engine(
+            engines(1, 7), load.sustained(SATURATED_SECONDS)
+        )
 
-    def test_few_that_answer_are_left_to_answer(self) -> None:
-        load = self.busy(BUSY_SECONDS, 1.0)
-        assert not lacks_reader(engines(1, 3), load.least(BUSY_SECONDS))
+    def test_few_decode_engines_keep_their_role(self) -> None:
+        load = self.busy(SATURATED_SECONDS, 1.0)
+        assert not lacks_prefill_engine(
+            engines(1, 3), load.sustained(SATURATED_SECONDS)
+        )
 
     def test_as_many_as_prompts_need_are_ordered(self) -> None:
-        """Twenty of 24 readers crash, and prompts for twelve keep coming.
+        """Guards against replacing lost prefill engines one at a time.
 
-        One engine was ordered to read in thirteen seconds: the burst was over, and most
-        of its requests refused, before the third one read.
+        Twenty of 24 prefill engines crash, and prompts need twelve. With one order in
+        thirteen seconds, the burst was over, and most of its requests were refused,
+        before the third engine had changed.
         """
-        assert missing_readers(engines(4, 46), least=12.0) == 9
-        assert missing_readers(engines(4, 14), least=12.0) == 1
-        assert missing_readers(engines(4, 46), least=3.0) == 0
+        assert missing_prefill_engines(engines(4, 46), sustained=12.0) == 9
+        assert missing_prefill_engines(engines(4, 14), sustained=12.0) == 1
+        assert missing_prefill_engines(engines(4, 46), sustained=3.0) == 0
 
 
-class TestOrdersWithoutAnAnswer:
-    """Engines leave orders unanswered, and carry them out seconds later.
+class TestOrdersWithoutAResponse:
+    """Guards against too many engines that change role at the same time.
 
-    Nobody can use such an engine in either role meanwhile. Of 70 engines 22 were
-    ordered within four seconds, and 15 more could not be.
+    An engine that does not respond to its order may carry it out seconds later, and
+    serves in neither role until then. Of 70 engines 22 were ordered within four
+    seconds, and 15 more could not be.
     """
 
     @pytest.mark.parametrize(
-        ("readers", "answering", "changing", "allowed"),
+        ("prefill", "decode", "changing", "allowed"),
         [(24, 46, 0, 7), (24, 46, 5, 2), (24, 46, 9, 0), (4, 5, 0, 2), (4, 5, 2, 0)],
     )
     def test_are_few_at_a_time(
-        self, readers: int, answering: int, changing: int, allowed: int
+        self, prefill: int, decode: int, changing: int, allowed: int
     ) -> None:
-        assert allowed_changes(engines(readers, answering), changing) == allowed
+        assert allowed_changes(engines(prefill, decode), changing) == allowed
 
 
-class TestLeaderThatIsAskedNothing:
-    """Hosts reach the leader again after seconds in which they decided alone.
+class TestLeaderWithoutRequests:
+    """Guards against a leader that takes a service for idle while hosts can't reach it.
 
-    It saw no prompt meanwhile. Taken for an idle service, its readers would be ordered
-    to answer just before the requests are back.
+    Entry hosts reach the leader again after seconds in which they decided without it.
+    Prefill engines would be ordered to decode just before the requests resume.
     """
 
-    def test_needs_to_see_a_load_first(self) -> None:
-        load = PromptLoad()
-        load.note(0.0, 5.0)
+    def test_needs_to_observe_a_load_first(self) -> None:
+        load = PrefillLoad()
+        load.record(0.0, 5.0)
         now = 0.5
         while now < 3 * WATCHED_SECONDS:
-            load.note(now, 0.0)
+            load.record(now, 0.0)
             now += bursts.STEP_SECONDS
-        assert needed_readers(load, now, lacks_memory=False) is None
+        assert needed_prefill_engines(load, now, lacks_memory=False) is None
 
 
-class TestReadersThatAnswersCanKeepUpWith:
-    """A burst asks for 2.5 of nine engines' time to read, and for eight to answer.
+class TestUsefulPrefillEngines:
+    """Guards against more prefill engines than the decode engines can keep up with.
 
-    Four readers stayed, since prompts come twice as often in a burst; answers lacked
-    memory for half a minute, also between bursts, and readers were idle half the time.
+    A burst needs 2.5 of nine engines for prefill and eight for decode. Four prefill
+    engines were kept because the rate of prompts doubles in a burst. They were idle
+    half the time, and decodes lacked memory for half a minute, also between bursts.
     """
 
-    def shares(self, use: EngineUse, seconds: float = 20.0) -> EngineShares:
-        shares, now = EngineShares(), 0.0
+    def shares(self, use: EngineUse, seconds: float = 20.0) -> RoleShares:
+        shares, now = RoleShares(), 0.0
         while now <= seconds:
-            shares.note(now, use)
+            shares.record(now, use)
             now += 0.5
         return shares
 
-    def test_are_two_of_nine_where_answers_take_four_times_as_long(self) -> None:
+    def test_are_two_of_nine_where_decode_takes_four_times_as_long(self) -> None:
         shares = self.shares(EngineUse(reading=1.0, answering=4.0))
-        assert shares.useful_readers(engines(4, 5), 20.0) == 2
+        assert shares.useful_prefill_engines(engines(4, 5), 20.0) == 2
 
-    def test_do_not_depend_on_how_much_is_asked_for(self) -> None:
+    def test_do_not_depend_on_the_load(self) -> None:
         for times in (0.5, 1.0, 1.7):
             shares = self.shares(EngineUse(1.0 * times, 4.0 * times))
-            assert shares.useful_readers(engines(24, 46), 20.0) == 14
+            assert shares.useful_prefill_engines(engines(24, 46), 20.0) == 14
 
-    def test_are_more_where_prompts_take_longer(self) -> None:
+    def test_are_more_where_prefill_takes_longer(self) -> None:
         shares = self.shares(EngineUse(reading=3.0, answering=3.0))
-        assert shares.useful_readers(engines(4, 5), 20.0) == 4
+        assert shares.useful_prefill_engines(engines(4, 5), 20.0) == 4
 
-    def test_are_not_known_at_first(self) -> None:
+    def test_are_unknown_at_first(self) -> None:
         shares = self.shares(EngineUse(1.0, 0.2), seconds=1.0)
-        assert shares.useful_readers(engines(4, 5), 1.0) is None
-        assert EngineShares().useful_readers(engines(4, 5), 20.0) is None
+        assert shares.useful_prefill_engines(engines(4, 5), 1.0) is None
+        assert RoleShares().useful_prefill_engines(engines(4, 5), 20.0) is None
 
-    def test_are_what_the_first_requests_are_expected_to_need(self) -> None:
+    def test_follow_the_expected_needs_of_the_first_requests(self) -> None:
         need = EngineNeed(reading_seconds=0.1, answering_seconds=0.4)
         shares = self.shares(EngineUse(0.1, 0.0, need), seconds=1.0)
-        assert shares.useful_readers(engines(24, 46), 1.0) == 14
+        assert shares.useful_prefill_engines(engines(24, 46), 1.0) == 14
 
-    def test_are_what_answers_show_once_those_were_watched(self) -> None:
+    def test_follow_the_observed_use_once_known(self) -> None:
         need = EngineNeed(reading_seconds=0.1, answering_seconds=0.4)
         shares = self.shares(EngineUse(3.0, 3.0, need))
-        assert shares.useful_readers(engines(24, 46), 20.0) == 35
+        assert shares.useful_prefill_engines(engines(24, 46), 20.0) == 35
 
     @pytest.mark.parametrize(
         ("needed", "useful", "kept"),
         [(None, None, None), (4, None, 4), (None, 3, 3), (2, 3, 2), (5, 3, 3)],
     )
-    def test_bound_those_that_stay(
+    def test_limit_the_prefill_engines_to_keep(
         self, needed: int | None, useful: int | None, kept: int | None
     ) -> None:
-        assert readers_to_keep(needed, useful) == kept
+        assert prefill_engines_to_keep(needed, useful) == kept
 
-    def test_are_one_of_four_before_another_is_ordered_to_read(self) -> None:
-        """One of five engines leaves and one of two readers crashes.
+    def test_are_one_of_four_before_another_is_ordered_to_prefill(self) -> None:
+        """Guards against orders to prefill while decode memory is already short.
 
-        Prompts kept the other one busy, and answers lacked memory already; two of the
-        three engines that answered were ordered to read, and more were refused.
+        One of five engines leaves and one of two prefill engines crashes. Prompts kept
+        the other one busy; two of the three decode engines were ordered to prefill, and
+        more requests were refused.
         """
         shares = self.shares(EngineUse(reading=1.0, answering=4.0))
-        useful = shares.useful_readers(engines(1, 3), 20.0, least=1)
+        useful = shares.useful_prefill_engines(engines(1, 3), 20.0, minimum=1)
         assert useful == 1
-        assert missing_readers(engines(1, 3), least=1.5, useful=useful) == 0
-        assert shares.useful_readers(engines(2, 2), 20.0) == LEAST_READERS
-
-    def test_bound_what_is_ordered_to_read(self) -> None:
-        """Prompts that take as long as answers want half of the engines."""
-        assert missing_readers(engines(4, 14), least=12.0, useful=9) == 5
-        assert missing_readers(engines(4, 46), least=12.0, useful=4) == 0
-
-    def test_are_not_ordered_to_answer_for_want_of_memory(self) -> None:
+        assert missing_prefill_engines(engines(1, 3), sustained=1.5, useful=useful) == 0
+        assert (
+            shares.useful_prefill_engines(engines(2, 2), 20.0)
+            == PREFILL_ENGINES_WITH_SPARE
+        )
+
+    def test_limit_the_orders_to_prefill(self) -> None:
+        """Prompts that take as long as their decodes need half of the engines."""
+        assert missing_prefill_engines(engines(4, 14), sustained=12.0, useful=9) == 5
+        assert missing_prefill_engines(engines(4, 46), sustained=12.0, useful=4) == 0
+
+    def test_are_not_ordered_to_decode_for_lack_of_memory(self) -> None:
         pressure = ServicePressure("model", 10, 500)
-        assert wanted_change(engines(4, 5), pressure, short_for=2.0) is not None
-        assert wanted_change(engines(4, 5), pressure, 2.0, useful=4) is None
+        assert (
+            choose_role_change(engines(4, 5), pressure, shortage_seconds=2.0)
+            is not None
+        )
+        assert choose_role_change(engines(4, 5), pressure, 2.0, useful=4) is None
--- a/tests/control/test_roles.py
+++ b/tests/control/test_roles.py
@@ -1,4 +1,4 @@
-"""Which engine is ordered to another role, and who may order."""
+"""Tests of which engines are ordered to change role, and which host may order them."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog, PendingOrder
-from jujubeslip.control._engine_table import ORDER_SECONDS
+from jujubeslip.control._engine_table import ORDER_EXPIRY_SECONDS
 from jujubeslip.control._given_orders import GivenOrders
 from jujubeslip.control._leadership import Fence
-from jujubeslip.control._role_balance import SHORT_SECONDS, WATCHED_SECONDS
+from jujubeslip.control._role_balance import MINIMUM_SHORTAGE_SECONDS, WATCHED_SECONDS
 from jujubeslip.control._roles import (
-    FOUNDING_SECONDS,
-    Engines,
+    BOOTSTRAP_MARGIN_SECONDS,
+    EnginesByRole,
     RoleKeeper,
-    wanted_change,
+    choose_role_change,
 )
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.endpoints import EndpointOnHoldError
@@ -35,8 +35,8 @@
 from tests.fakes.engines import engine
 
 
-def engines(prefill: int, decode: int) -> Engines:
-    return Engines(
+def engines(prefill: int, decode: int) -> EnginesByRole:
+    return EnginesByRole(
         tuple(engine(f"p-{number}", EndpointRole.PREFILL) for number in range(prefill)),
         tuple(engine(f"d-{number}", EndpointRole.DECODE) for number in range(decode)),
     )
@@ -47,73 +47,79 @@
 
 
 class TestWantedChange:
-    """Two engines that answer are lost; two that only read prompts have time to spare.
+    """Guards against a lasting shortage of decode memory beside idle prefill engines.
 
-    Half of the summaries are refused for want of memory, for the rest of the day.
+    Two decode engines are lost while two prefill engines have time to spare. Half of
+    the requests are then refused for lack of memory as long as the roles stay.
     """
 
-    def test_engine_that_reads_prompts_is_to_answer(self) -> None:
-        change = wanted_change(engines(2, 2), pressure(), short_for=2.0)
+    def test_prefill_engine_changes_to_decode(self) -> None:
+        change = choose_role_change(engines(2, 2), pressure(), shortage_seconds=2.0)
         assert change is not None
         assert (change[0].endpoint_id, change[1]) == ("p-0", EndpointRole.DECODE)
 
     @pytest.mark.parametrize(
-        ("prefill", "decode", "prompt_ms", "short_for"),
+        ("prefill", "decode", "prompt_ms", "shortage_seconds"),
         [
             (2, 2, 500, 0.5),
             (2, 3, 500, 2.0),
             (1, 2, 500, 2.0),
             (2, 2, 900, 2.0),
         ],
-        ids=["a moment", "would lack prompts", "the last one", "prompts take it all"],
+        ids=["short shortage", "too few left", "last prefill", "prefill saturated"],
     )
-    def test_is_left_where_it_gains_nothing(
-        self, prefill: int, decode: int, prompt_ms: int, short_for: float
+    def test_nothing_changes_without_a_gain(
+        self, prefill: int, decode: int, prompt_ms: int, shortage_seconds: float
     ) -> None:
-        told = pressure(prompt_ms=prompt_ms)
-        assert wanted_change(engines(prefill, decode), told, short_for) is None
+        reported = pressure(prompt_ms=prompt_ms)
+        assert (
+            choose_role_change(engines(prefill, decode), reported, shortage_seconds)
+            is None
+        )
 
-    def test_last_reader_of_prompts_is_replaced(self) -> None:
-        change = wanted_change(engines(0, 3), pressure(waited=0), short_for=0.0)
+    def test_lost_prefill_engines_are_replaced(self) -> None:
+        change = choose_role_change(
+            engines(0, 3), pressure(waited=0), shortage_seconds=0.0
+        )
         assert change is not None and change[1] is EndpointRole.PREFILL
 
 
-class TestEnginesThatChangeToAnswer:
-    """Guards against an order to the only engine that answers meanwhile."""
+class TestEnginesChangingToDecode:
+    """Guards against an order to the only engine that currently decodes."""
 
-    def test_leaves_the_last_one_that_answers(
+    def test_last_decode_engine_is_not_ordered(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 1)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         for changing in group.prefill:
-            keeper._orders.note(changing, EndpointRole.DECODE)
-        keeper.look()
-        assert asked.orders == 0
+            manager._orders.record(changing, EndpointRole.DECODE)
+        manager.look()
+        assert fake_engines.orders == 0
 
 
-class TestEngineWithFewestAnswers:
-    """Guards against prompts that nobody reads until a full engine's answers end."""
+class TestEngineWithFewestDecodes:
+    """Guards against a long wait for prefill until a full engine's decodes end."""
 
-    def test_is_ordered_to_read(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_is_ordered_to_prefill(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(0, 3)
-        book = EndpointBook()
-        book.take(group.decode)
-        answers_by_id = {"d-0": 9, "d-1": 1, "d-2": 4}
-        keeper, _ = role_keeper(
+        registry = EndpointBook()
+        registry.take(group.decode)
+        decodes_by_id = {"d-0": 9, "d-1": 1, "d-2": 4}
+        manager, _ = role_manager(
             monkeypatch,
-            book,
+            registry,
             {"model"},
-            answer_count=lambda item: answers_by_id[item.endpoint_id],
+            answer_count=lambda item: decodes_by_id[item.endpoint_id],
         )
-        keeper.look()
-        assert keeper._orders.role_of(group.decode[1]) is EndpointRole.PREFILL
+        manager.look()
+        assert manager._orders.role_of(group.decode[1]) is EndpointRole.PREFILL
 
 
 class TestOrder:
-    def test_carries_its_fencing_number_and_what_is_known(self) -> None:
+    def test_carries_fencing_number_and_expected_order_count(self) -> None:
         order = RoleOrder("e-1", EndpointRole.DECODE, "control-1", 41, 2)
         question = order_role(order)
         assert json.loads(question.body) == {
@@ -125,13 +131,13 @@
         }
         assert ("Expect-Instance", "e-1") in question.headers
 
-    def test_report_that_lacks_fields_is_refused(self) -> None:
+    def test_report_with_missing_fields_is_refused(self) -> None:
         for body in (b"", b"[]", b"{}", b'{"runs": [[1]]}'):
             assert isinstance(read_report(body), Failure)
 
 
-class Asked:
-    """Stands in for the engines: counts the orders that reach them."""
+class FakeEngines:
+    """Replaces the engines and counts the orders that reach them."""
 
     def __init__(self) -> None:
         self.orders = 0
@@ -147,8 +153,8 @@
         return self.status, b""
 
 
-class NotedOrders(EngineLog):
-    """Stands in for the log's part on engines: holds what an earlier leader wrote."""
+class FakeEngineLog(EngineLog):
+    """Replaces the log of engines and holds the entries of an earlier leader."""
 
     def __init__(
         self, pending: Sequence[PendingOrder] = (), load: EngineLoad | None = None
@@ -157,9 +163,11 @@
         self.commits = True
         self.age = 3600.0
         self._pending = pending
-        self._load = load
+        self._prefill_load = load
 
-    def record_order(self, start_id: str, role: EndpointRole, by: Deadline) -> bool:
+    def record_order(
+        self, start_id: str, role: EndpointRole, deadline: Deadline
+    ) -> bool:
         self.recorded.append(start_id)
         return self.commits
 
@@ -179,7 +187,7 @@
         return self.age
 
     def load_of(self, service_name: str) -> EngineLoad | None:
-        return self._load
+        return self._prefill_load
 
 
 REPORT: dict[str, object] = {
@@ -193,54 +201,54 @@
 }
 
 
-class TestEnginesOfAnotherWriter:
-    """Another program announces three engines of a service that no configuration names.
+class TestEnginesOfUnconfiguredServices:
+    """Guards against orders to engines of a service that is not configured.
 
-    Ordered to take another role, they would do work that nobody asked of them. So would
-    those that say to answer for a service that is configured without engines.
+    Any program may announce engines, also for a service that no configuration names or
+    that is configured without engines. An order would change what they do unasked.
     """
 
-    @pytest.mark.parametrize(("named", "orders"), [(set(), 0), ({"model"}, 1)])
+    @pytest.mark.parametrize(("configured", "orders"), [(set(), 0), ({"model"}, 1)])
     def test_get_orders_only_for_a_configured_service(
-        self, monkeypatch: pytest.MonkeyPatch, named: set[str], orders: int
+        self, monkeypatch: pytest.MonkeyPatch, configured: set[str], orders: int
     ) -> None:
-        book = EndpointBook()
-        book.take(engines(0, 3).decode)
-        keeper, asked = role_keeper(monkeypatch, book, named)
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        keeper.look()
-        assert asked.orders == orders
+        registry = EndpointBook()
+        registry.take(engines(0, 3).decode)
+        manager, fake_engines = role_manager(monkeypatch, registry, configured)
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        manager.look()
+        assert fake_engines.orders == orders
 
 
-class TestReportThatIsNotUsable:
-    """An engine says with a text how many orders it has accepted.
+class TestUnusableReport:
+    """Guards against an order with a wrong expected count.
 
-    Taken for a number, or for none, it would be ordered with a number that is wrong.
+    The engine reports its count of accepted orders as a string instead of a number.
     """
 
-    def test_brings_no_order(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        book = EndpointBook()
-        book.take(engines(0, 3).decode)
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        asked.report = {**REPORT, "seq": "0"}
-        keeper.look()
-        assert asked.orders == 0
-        asked.report = REPORT
-        keeper.look()
-        assert asked.orders == 1
+    def test_prevents_an_order(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        registry = EndpointBook()
+        registry.take(engines(0, 3).decode)
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        fake_engines.report = {**REPORT, "seq": "0"}
+        manager.look()
+        assert fake_engines.orders == 0
+        fake_engines.report = REPORT
+        manager.look()
+        assert fake_engines.orders == 1
 
 
-def role_keeper(
+def role_manager(
     monkeypatch: pytest.MonkeyPatch,
-    book: EndpointBook,
-    named: set[str],
+    registry: EndpointBook,
+    configured: set[str],
     notices: EndpointNotices | None = None,
     reports_now: Callable[[Endpoint], bool] = lambda _: True,
-    engine_log: NotedOrders | None = None,
+    engine_log: FakeEngineLog | None = None,
     answer_count: Callable[[Endpoint], int] = lambda _: 0,
-) -> tuple[RoleKeeper, Asked]:
-    """Return a keeper of these services' roles, and what engines are asked by it."""
+) -> tuple[RoleKeeper, FakeEngines]:
+    """Return a role manager of these services, and the engines that it calls."""
     watches: Any = SimpleNamespace(pressure_of=lambda name: pressure())
     replica: Any = SimpleNamespace(
         settings=SimpleNamespace(host_id="control-1"),
@@ -250,14 +258,14 @@
     interface: Any = SimpleNamespace(
         ask_report=ask_report, read_report=read_report, order_role=order_role
     )
-    keeper = RoleKeeper(
+    manager = RoleKeeper(
         replica,
-        engine_log or NotedOrders(),
-        book,
+        engine_log or FakeEngineLog(),
+        registry,
         watches,
         interface,
         3.0,
-        lambda: named,
+        lambda: configured,
         GivenOrders(),
         lambda _: 0.0,
         lambda: None,
@@ -266,153 +274,157 @@
         reports_now,
         answer_count,
     )
-    asked = Asked()
-    monkeypatch.setattr(keeper, "_ask", asked)
-    return keeper, asked
+    fake_engines = FakeEngines()
+    monkeypatch.setattr(manager, "_ask", fake_engines)
+    return manager, fake_engines
 
 
-class TestOrderThatIsNotSent:
-    """The leader's lease is about to end when an engine is to be ordered.
+class TestOrderDuringExpiringLease:
+    """Guards against an engine that waits thirteen seconds for an order never sent.
 
-    The order waits for the next lease, a moment later. Counted as given, it would keep
-    the engine from answering for another thirteen seconds.
+    The leader's lease is about to expire when an engine is to be ordered. The order is
+    postponed until the lease is renewed, and must not count as given before that.
     """
 
-    def test_is_given_at_the_next_look(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_is_sent_at_the_next_scan(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(2, 2)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_short_for", lambda name, told: 2.0)
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
         leases = [Deadline.after(0.1), Deadline.after(10), Deadline.after(10)]
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, leases.pop(0)))
-        keeper.look()
-        assert asked.orders == 0
-        keeper.look()
-        assert asked.orders == 1
-        keeper.look()
-        assert asked.orders == 1
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, leases.pop(0)))
+        manager.look()
+        assert fake_engines.orders == 0
+        manager.look()
+        assert fake_engines.orders == 1
+        manager.look()
+        assert fake_engines.orders == 1
 
 
 class TestOrderAcrossARestart:
-    """An engine starts again between the announcement and the order.
+    """Guards against an order to another start of the engine than it was meant for.
 
-    Its next start answers for the report by the same id, with no orders accepted. The
-    order was weighed for the role of the start before, and would be carried out.
+    An engine restarts between its announcement and the order. The new start responds
+    under the same id, with no orders accepted, and would carry out an order that was
+    decided for the role of the previous start.
     """
 
     @pytest.mark.parametrize(("reports", "orders"), [(5, 1), (9, 0), (None, 1)])
-    def test_start_that_was_not_weighed_is_not_ordered(
+    def test_another_start_is_not_ordered(
         self, monkeypatch: pytest.MonkeyPatch, reports: int | None, orders: int
     ) -> None:
         ordered = engine("p-0", EndpointRole.PREFILL, started_at_ms=5)
-        book = EndpointBook()
-        book.take([ordered, *engines(0, 2).decode, *engines(2, 0).prefill[1:]])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        asked.report = REPORT if reports is None else {**REPORT, "born": reports}
-        monkeypatch.setattr(keeper, "_short_for", lambda name, told: 2.0)
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        keeper.look()
-        assert asked.orders == orders
+        registry = EndpointBook()
+        registry.take([ordered, *engines(0, 2).decode, *engines(2, 0).prefill[1:]])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        fake_engines.report = REPORT if reports is None else {**REPORT, "born": reports}
+        monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        manager.look()
+        assert fake_engines.orders == orders
 
 
-class TestReadersThatWouldBeIdle:
-    """Two of four readers are idle; each order is given once, and weighed as done.
+class TestIdlePrefillEngines:
+    """Guards against orders that leave no prefill engine.
 
-    Given to a third and a fourth reader, while the first two still change, orders would
-    leave nobody who reads.
+    Two of four prefill engines are idle and are ordered to decode. While they change,
+    they must count in their new role, or the other two would be ordered as well.
     """
 
-    def keeper(
-        self, monkeypatch: pytest.MonkeyPatch, readers: int
-    ) -> tuple[RoleKeeper, Asked]:
-        """Return a keeper that may order, of readers of which one is busy."""
-        group = engines(readers, 5)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
+    def manager(
+        self, monkeypatch: pytest.MonkeyPatch, prefill: int
+    ) -> tuple[RoleKeeper, FakeEngines]:
+        """Return a manager of this many prefill engines, of which one is busy."""
+        group = engines(prefill, 5)
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: 1.0, least=lambda _: 0.0
+            record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: 0.0
         )
-        monkeypatch.setattr(keeper, "_load", lambda _: load)
-        return keeper, asked
+        monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
+        return manager, fake_engines
 
     def test_are_ordered_once(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        keeper, asked = self.keeper(monkeypatch, readers=4)
+        manager, fake_engines = self.manager(monkeypatch, prefill=4)
         for _ in range(3):
-            keeper.look()
-        assert asked.orders == 2
+            manager.look()
+        assert fake_engines.orders == 2
 
-    def test_are_weighed_anew_after_a_refusal(
+    def test_are_ordered_again_after_a_refusal(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        keeper, asked = self.keeper(monkeypatch, readers=3)
-        asked.status = 409
-        keeper.look()
-        asked.status = 202
-        keeper.look()
-        keeper.look()
-        assert asked.orders == 2
+        manager, fake_engines = self.manager(monkeypatch, prefill=3)
+        fake_engines.status = 409
+        manager.look()
+        fake_engines.status = 202
+        manager.look()
+        manager.look()
+        assert fake_engines.orders == 2
 
     def test_are_ordered_few_at_a_time(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """An engine works in neither role until it is known to have changed."""
-        keeper, asked = self.keeper(monkeypatch, readers=6)
-        keeper.look()
-        keeper.look()
-        assert asked.orders == 2
+        """An engine serves in neither role until it is known to have changed."""
+        manager, fake_engines = self.manager(monkeypatch, prefill=6)
+        manager.look()
+        manager.look()
+        assert fake_engines.orders == 2
 
-    def test_are_ordered_on_once_the_first_have_changed(
+    def test_more_are_ordered_once_the_first_have_changed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        keeper, asked = self.keeper(monkeypatch, readers=6)
-        keeper.look()
-        assert asked.orders == 2
+        manager, fake_engines = self.manager(monkeypatch, prefill=6)
+        manager.look()
+        assert fake_engines.orders == 2
         group = engines(6, 5)
         for changed in group.prefill[:2]:
-            keeper._book.take([replace(changed, role=EndpointRole.DECODE, sequence=9)])
-        keeper.look()
-        assert asked.orders == 4
+            manager._registry.take(
+                [replace(changed, role=EndpointRole.DECODE, sequence=9)]
+            )
+        manager.look()
+        assert fake_engines.orders == 4
 
 
-class TestReaderThatIsBackWhileAnotherChanges:
-    """One of two readers crashes, and an engine that answers is ordered to read.
+class TestPrefillEngineThatRestartsDuringAChange:
+    """Guards against an order to the only working prefill engine.
 
-    Half a second later the crashed one is back. With three readers by their orders, the
-    one that was left was ordered to answer. For 26.7 s no prompt was granted a reader,
-    and 215 of the day's 573 attempts were refused for want of memory.
+    One of two prefill engines crashes, and a decode engine is ordered to prefill. Half
+    a second later the crashed one is back. If all three count as prefill engines, the
+    only one that works is ordered to decode: no prompt was granted a prefill engine for
+    26.7 s, and 215 of 573 attempts were refused for lack of memory.
     """
 
     @pytest.mark.parametrize(("changes", "orders"), [(True, 1), (False, 2)])
-    def test_leaves_the_readers_that_read(
+    def test_working_prefill_engines_are_not_ordered(
         self, monkeypatch: pytest.MonkeyPatch, changes: bool, orders: int
     ) -> None:
         group = engines(1, 6)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         busy = [1.0]
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: 1.0, least=lambda _: busy[0]
+            record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: busy[0]
         )
-        monkeypatch.setattr(keeper, "_load", lambda _: load)
-        keeper.look()
-        assert asked.orders == 1
+        monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
+        manager.look()
+        assert fake_engines.orders == 1
         busy[0] = 0.0
         back = engine("back", EndpointRole.PREFILL)
-        book.take([replace(back, address="127.0.0.1:2")])
+        registry.take([replace(back, address="127.0.0.1:2")])
         if not changes:
             ordered = next(
-                item for item in group.decode if keeper._orders.role_of(item)
+                item for item in group.decode if manager._orders.role_of(item)
             )
-            book.take([replace(ordered, role=EndpointRole.PREFILL, sequence=9)])
-        keeper.look()
-        assert asked.orders == orders
+            registry.take([replace(ordered, role=EndpointRole.PREFILL, sequence=9)])
+        manager.look()
+        assert fake_engines.orders == orders
 
 
-class TestReaderThatHasCrashed:
-    """Guards against an order to the last reader beside one that is only remembered."""
+class TestCrashedPrefillEngine:
+    """Guards against an order to the last prefill engine beside a crashed one."""
 
     @pytest.mark.parametrize(("reports", "orders"), [(True, 1), (False, 0)])
     def test_does_not_count_as_one_that_stays(
@@ -420,216 +432,222 @@
     ) -> None:
         group = engines(3, 9)
         crashed = group.prefill[2].start_id
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(
             monkeypatch,
-            book,
+            registry,
             {"model"},
             reports_now=lambda item: reports or item.start_id != crashed,
         )
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: 1.0, least=lambda _: 0.0
+            record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: 0.0
         )
-        monkeypatch.setattr(keeper, "_load", lambda _: load)
-        keeper.look()
-        assert asked.orders == orders
+        monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
+        manager.look()
+        assert fake_engines.orders == orders
 
 
-class TestReadersThatAreMissing:
-    """One engine was ordered to read, and takes ten seconds to begin.
+class TestMissingPrefillEngines:
+    """Guards against scans that choose the same engine again while it changes.
 
-    Prompts need one more by then. The leader wrote "prompts need a further reader" at
-    eight looks in a row, each time for the engine that was ordered already.
+    One engine was ordered to prefill and takes ten seconds to change, while prompts
+    need another one. Eight scans in a row logged "prompts need a further prefill
+    engine", each for the engine that was already ordered.
     """
 
     def test_are_ordered_beside_one_that_still_changes(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 12)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        least = [2.0]
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        sustained = [2.0]
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: None, least=lambda _: least[0]
+            record=lambda *_: None,
+            peak=lambda _: None,
+            sustained=lambda _: sustained[0],
         )
-        monkeypatch.setattr(keeper, "_load", lambda _: load)
-        keeper.look()
-        assert asked.orders == 1
-        keeper.look()
-        assert asked.orders == 1
-        least[0] = 4.0
-        keeper.look()
-        assert asked.orders == 2
+        monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
+        manager.look()
+        assert fake_engines.orders == 1
+        manager.look()
+        assert fake_engines.orders == 1
+        sustained[0] = 4.0
+        manager.look()
+        assert fake_engines.orders == 2
 
 
-class TestLeadThatComesBack:
-    """A control host leads, loses its lease in a network partition, and leads again.
+class TestRegainedLeadership:
+    """Guards against orders based on the load of an earlier term.
 
-    What it saw before says nothing of the load now; in between it saw none at all.
+    A control host leads, loses its lease in a network partition, and leads again. In
+    between it observed no load at all.
     """
 
-    def test_begins_to_watch_anew(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        book = EndpointBook()
-        book.take([*engines(6, 5).prefill, *engines(6, 5).decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        keeper._load("model").note(0.0, 1.0)
-        monkeypatch.setattr(keeper._replica, "fence", lambda: None)
-        keeper.look()
-        assert keeper._load("model").busiest(WATCHED_SECONDS) is None
-        assert asked.orders == 0
+    def test_starts_a_new_observation(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        registry = EndpointBook()
+        registry.take([*engines(6, 5).prefill, *engines(6, 5).decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        manager._prefill_load("model").record(0.0, 1.0)
+        monkeypatch.setattr(manager._replica, "fence", lambda: None)
+        manager.look()
+        assert manager._prefill_load("model").peak(WATCHED_SECONDS) is None
+        assert fake_engines.orders == 0
 
 
 class TestEngineThatLeavesOrAskedForBackoff:
-    """Guards against orders to engines that said they leave, or asked for backoff."""
+    """Guards against calls to engines that are leaving or have asked for backoff."""
 
     def test_is_given_no_order(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(0, 3)
-        book, notices = EndpointBook(), EndpointNotices()
-        book.take(group.decode)
+        registry, notices = EndpointBook(), EndpointNotices()
+        registry.take(group.decode)
         for leaving in group.decode:
             head = read_head(200, [("Server-Leaving", "1")])
             notices.note_other_answer(leaving, head)
-        keeper, asked = role_keeper(monkeypatch, book, {"model"}, notices)
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        keeper.look()
-        assert asked.orders == 0
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"}, notices)
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        manager.look()
+        assert fake_engines.orders == 0
 
-    def test_is_asked_nothing(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_is_not_called(self, monkeypatch: pytest.MonkeyPatch) -> None:
         notices, refusing = EndpointNotices(), engine("refusing")
         notices.note_other_answer(refusing, read_head(503, [("Retry-After", "9")]))
-        keeper, _ = role_keeper(monkeypatch, EndpointBook(), {"model"}, notices)
+        manager, _ = role_manager(monkeypatch, EndpointBook(), {"model"}, notices)
         monkeypatch.undo()
         with pytest.raises(EndpointOnHoldError):
-            keeper._ask(refusing, ask_report("refusing"))
+            manager._ask(refusing, ask_report("refusing"))
 
 
-class TestChosenEngineThatStillChanges:
-    """Guards against an earlier order that keeps another engine from being ordered."""
+class TestEngineThatStillChanges:
+    """Guards against a pending order that prevents an order to another engine."""
 
-    def keeper(
-        self, monkeypatch: pytest.MonkeyPatch, group: Engines
-    ) -> tuple[RoleKeeper, Asked]:
-        """Return a keeper whose first engine that reads is ordered to answer."""
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        keeper._orders.note(group.prefill[0], EndpointRole.DECODE)
-        return keeper, asked
+    def manager(
+        self, monkeypatch: pytest.MonkeyPatch, group: EnginesByRole
+    ) -> tuple[RoleKeeper, FakeEngines]:
+        """Return a manager whose first prefill engine is ordered to decode."""
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        manager._orders.record(group.prefill[0], EndpointRole.DECODE)
+        return manager, fake_engines
 
-    def test_another_one_replaces_the_last_reader(
+    def test_another_one_replaces_the_last_prefill_engine(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        keeper, asked = self.keeper(monkeypatch, engines(1, 2))
+        manager, fake_engines = self.manager(monkeypatch, engines(1, 2))
         for _ in range(2):
-            keeper.look()
-        assert asked.orders == 1
+            manager.look()
+        assert fake_engines.orders == 1
 
-    def test_another_one_is_the_further_reader_that_prompts_need(
+    def test_another_one_is_ordered_when_prompts_need_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        keeper, asked = self.keeper(monkeypatch, engines(3, 12))
+        manager, fake_engines = self.manager(monkeypatch, engines(3, 12))
         load = SimpleNamespace(
-            note=lambda *_: None, busiest=lambda _: None, least=lambda _: 2.0
+            record=lambda *_: None, peak=lambda _: None, sustained=lambda _: 2.0
         )
-        monkeypatch.setattr(keeper, "_load", lambda _: load)
+        monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
         for _ in range(2):
-            keeper.look()
-        assert asked.orders == 1
+            manager.look()
+        assert fake_engines.orders == 1
 
 
-class TestShortageThatBeganBeforeTheHostMayOrder:
+class TestShortageBeforeTakeover:
     """Guards against a shortage that counts only from the end of a takeover."""
 
-    def test_is_answered_at_the_first_look_that_may_order(
+    def test_is_handled_at_the_first_scan_that_may_order(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 2)
-        book = EndpointBook()
-        book.take([*group.prefill, *group.decode])
-        keeper, asked = role_keeper(monkeypatch, book, {"model"})
+        registry = EndpointBook()
+        registry.take([*group.prefill, *group.decode])
+        manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         now = steady_seconds()
         monkeypatch.setattr("jujubeslip.control._roles.steady_seconds", lambda: now)
-        monkeypatch.setattr(keeper, "_fence", lambda: None)
-        keeper.look()
-        now += 2 * SHORT_SECONDS
-        monkeypatch.setattr(keeper, "_fence", lambda: Fence(1, Deadline.after(10)))
-        keeper.look()
-        assert asked.orders == 1
+        monkeypatch.setattr(manager, "_fence", lambda: None)
+        manager.look()
+        now += 2 * MINIMUM_SHORTAGE_SECONDS
+        monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
+        manager.look()
+        assert fake_engines.orders == 1
 
 
 class TestNextLeader:
-    """Guards against a next leader that waits, or repeats orders of the last one."""
-
-    def keeper(
-        self, monkeypatch: pytest.MonkeyPatch, engine_log: NotedOrders
-    ) -> tuple[RoleKeeper, Asked]:
-        """Return the keeper of a host that has led for a moment, of three engines."""
-        book = EndpointBook()
-        book.take(engines(0, 3).decode)
-        keeper, asked = role_keeper(monkeypatch, book, {"model"}, engine_log=engine_log)
-        return keeper, asked
-
-    def test_orders_at_its_first_look(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        keeper, asked = self.keeper(monkeypatch, NotedOrders())
-        keeper.look()
-        assert asked.orders == 1
-
-    def test_leaves_an_engine_that_was_ordered(
+    """Guards against a new leader that waits, or repeats the previous one's orders."""
+
+    def manager(
+        self, monkeypatch: pytest.MonkeyPatch, engine_log: FakeEngineLog
+    ) -> tuple[RoleKeeper, FakeEngines]:
+        """Return the manager of a new leader, with three decode engines."""
+        registry = EndpointBook()
+        registry.take(engines(0, 3).decode)
+        manager, fake_engines = role_manager(
+            monkeypatch, registry, {"model"}, engine_log=engine_log
+        )
+        return manager, fake_engines
+
+    def test_orders_at_its_first_scan(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        manager, fake_engines = self.manager(monkeypatch, FakeEngineLog())
+        manager.look()
+        assert fake_engines.orders == 1
+
+    def test_skips_an_engine_that_was_ordered(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        until = Deadline.after(ORDER_SECONDS)
+        until = Deadline.after(ORDER_EXPIRY_SECONDS)
         pending = PendingOrder("d-0", EndpointRole.PREFILL, Deadline.after(0), until)
-        keeper, asked = self.keeper(monkeypatch, NotedOrders([pending]))
-        keeper.look()
-        assert asked.orders == 0
+        manager, fake_engines = self.manager(monkeypatch, FakeEngineLog([pending]))
+        manager.look()
+        assert fake_engines.orders == 0
 
-    def test_leaves_it_though_it_has_the_role(
+    def test_skips_it_even_if_it_has_the_role(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Two hosts must not order one engine within the lease of orders."""
-        until = Deadline.after(ORDER_SECONDS)
+        """Two hosts must not order the same engine within one order lease."""
+        until = Deadline.after(ORDER_EXPIRY_SECONDS)
         pending = [
             PendingOrder(f"d-{number}", EndpointRole.DECODE, Deadline.after(0), until)
             for number in range(3)
         ]
-        keeper, asked = self.keeper(monkeypatch, NotedOrders(pending))
-        keeper.look()
-        assert asked.orders == 0
+        manager, fake_engines = self.manager(monkeypatch, FakeEngineLog(pending))
+        manager.look()
+        assert fake_engines.orders == 0
 
     def test_sends_no_order_that_is_not_in_the_log(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        engine_log = NotedOrders()
+        engine_log = FakeEngineLog()
         engine_log.commits = False
-        keeper, asked = self.keeper(monkeypatch, engine_log)
-        keeper.look()
-        assert engine_log.recorded and asked.orders == 0
+        manager, fake_engines = self.manager(monkeypatch, engine_log)
+        manager.look()
+        assert engine_log.recorded and fake_engines.orders == 0
 
-    def test_waits_where_the_log_was_founded_anew(
+    def test_waits_after_the_log_was_bootstrapped(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        engine_log = NotedOrders()
-        keeper, asked = self.keeper(monkeypatch, engine_log)
+        engine_log = FakeEngineLog()
+        manager, fake_engines = self.manager(monkeypatch, engine_log)
         engine_log.age = 3.0
-        keeper.look()
-        assert asked.orders == 0
-        engine_log.age = 3.0 + FOUNDING_SECONDS
-        keeper.look()
-        assert asked.orders == 1
+        manager.look()
+        assert fake_engines.orders == 0
+        engine_log.age = 3.0 + BOOTSTRAP_MARGIN_SECONDS
+        manager.look()
+        assert fake_engines.orders == 1
 
-    def test_knows_the_load_that_the_last_one_saw(
+    def test_starts_with_the_load_of_the_previous_leader(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         load = EngineLoad("model", 0.7, 0.1, 1.9)
-        keeper, _ = self.keeper(monkeypatch, NotedOrders(load=load))
-        keeper.look()
+        manager, _ = self.manager(monkeypatch, FakeEngineLog(load=load))
+        manager.look()
         now = steady_seconds()
-        assert keeper._load("model").busiest(now) == load.busiest_readers
-        assert keeper._shares("model").reading_share(now) == pytest.approx(
+        assert manager._prefill_load("model").peak(now) == load.busiest_readers
+        assert manager._role_shares("model").prefill_share(now) == pytest.approx(
             load.reading / (load.reading + load.answering), abs=0.01
         )
