--- a/src/jujubeslip/control/_account_keeper.py
+++ b/src/jujubeslip/control/_account_keeper.py
@@ -1,4 +1,4 @@
-"""The limits of client accounts, on the control host that leads."""
+"""The limits of client accounts, as the leading control host keeps them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from dataclasses import dataclass
 
 from jujubeslip.accounts import ClientAccounts, LedgerAnswer, LimitBounds, RateLimit
-from jujubeslip.control._limit_keeper import FREE, LimitKeeper
+from jujubeslip.control._limit_keeper import NOT_LIMITED, LimitManager
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.peers import AccountSpending, AccountState, AccountUse
 
 logger = logging.getLogger(__name__)
 
-# How long a charged request is remembered, in seconds: longer than clients wait for an
-# answer, so that one that asks again, or for a further engine, is not charged twice.
+# How long a charged request is remembered, in seconds: longer than clients wait for a
+# response, so that a retry, or a request for a further engine, is not charged twice.
 CHARGED_SECONDS = 30.0
-# What is answered to a charge that counts already: the host goes on asking.
-CHARGED = LedgerAnswer(0.0, near_limit=True)
+# The answer to a repeated charge. It is near the limit, so that the host keeps asking
+# before each request.
+ALREADY_CHARGED = LedgerAnswer(0.0, near_limit=True)
 
 
 @dataclass(frozen=True)
@@ -28,34 +29,34 @@
     at: float
 
 
-class AccountKeeper(LimitKeeper):
-    """Charges requests before they run, and takes what hosts have let run."""
+class AccountLimitManager(LimitManager):
+    """Charges requests before they run, and settles those that hosts have run."""
 
     def __init__(
         self,
         bounds: LimitBounds,
         accounts: Callable[[], ClientAccounts | None],
-        lead_began_at: Callable[[], float | None],
+        leadership_began_at: Callable[[], float | None],
         heard_share: Callable[[], float] = lambda: 1.0,
     ) -> None:
-        super().__init__(bounds, lead_began_at, heard_share)
+        super().__init__(bounds, leadership_began_at, heard_share)
         self._accounts = accounts
         self._charged_by_id: OrderedDict[str, _Charged] = OrderedDict()
 
     def charge_once(self, request_id: str, spending: AccountSpending) -> float:
-        """Charge a request; return when it may come back, 0 where it may run."""
+        """Charge a request; return the seconds until a retry, 0 if it may run."""
         with self._lock:
             return self._charge_once(request_id, spending).wait
 
     def _charge_once(
         self, charge_id: str | None, spending: AccountSpending
     ) -> LedgerAnswer:
-        """Charge what was not charged under this id before; hosts may send none."""
+        """Charge a request unless this id was charged before; the id is optional."""
         ledger = self._current_ledger()
         now = steady_seconds()
-        self._forget_old(now)
+        self._remove_old_charges(now)
         if charge_id in self._charged_by_id:
-            return CHARGED
+            return ALREADY_CHARGED
         name, cost = spending.account_name, spending.amount
         answer = self._charge(ledger, name, cost, now)
         if answer.wait == 0 and charge_id:
@@ -63,7 +64,7 @@
         return answer
 
     def give_back(self, request_id: str) -> None:
-        """Take back the charge of a request that will not run."""
+        """Refund the charge of a request that will not run."""
         with self._lock:
             charged = self._charged_by_id.pop(request_id, None)
             if charged is None:
@@ -75,13 +76,13 @@
                 )
 
     def charge(self, spending: AccountSpending) -> AccountState:
-        """Charge a request of a host that asks for this alone."""
+        """Charge a request of a host that asks for nothing but the charge."""
         with self._lock:
             answer = self._charge_once(spending.charge_id, spending)
         return _state(spending.account_name, answer)
 
     def settle(self, spent: Sequence[AccountSpending]) -> list[AccountState]:
-        """Take what a host has let run since it told last."""
+        """Settle the requests that a host has run since its last report."""
         with self._lock:
             ledger, now = self._current_ledger(), steady_seconds()
             states = []
@@ -90,21 +91,22 @@
                 answer = (
                     ledger.settle(item.account_name, limit, item.amount, now)
                     if limit is not None
-                    else FREE
+                    else NOT_LIMITED
                 )
                 states.append(_state(item.account_name, answer))
         return states
 
-    def charge_alone(
+    def charge_without_leader(
         self, host_id: str, entry_hosts: int, spending: AccountSpending
     ) -> bool:
-        """Charge a request of a host that finds no leader; say whether it may run.
+        """Charge a request of a host without a leader; return whether it may run.
 
-        The host lends its parts with that; without an amount it does nothing else.
+        The call also adds the host's share of the limits to the pool. Without an
+        amount, it does nothing else.
         """
         name, cost = spending.account_name, spending.amount
         with self._lock:
-            may_run = self._charge_alone(host_id, entry_hosts, name, cost)
+            may_run = self._charge_without_leader(host_id, entry_hosts, name, cost)
         if not cost:
             return True
         extra = {
@@ -117,7 +119,7 @@
         return may_run
 
     def uses(self) -> list[AccountUse]:
-        """Return what is left of each account's limit, of those that asked."""
+        """Return what is left of the limits of the accounts that sent requests."""
         with self._lock:
             ledger, now = self._current_ledger(), steady_seconds()
             limit_by_name = {name: self._limit_of(name) for name in ledger.names}
@@ -129,7 +131,7 @@
                 if limit is not None
             ]
 
-    def _log_used(
+    def _log_exceeded(
         self, name: str, limit: RateLimit, cost: float, left: float, wait: float
     ) -> None:
         extra = {
@@ -146,10 +148,10 @@
         account = accounts.by_name.get(name) if accounts is not None else None
         return account.limit if account is not None else None
 
-    def _note_new_lead(self) -> None:
+    def _on_new_leadership(self) -> None:
         self._charged_by_id.clear()
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_old_charges(self, now: float) -> None:
         while self._charged_by_id:
             request_id, charged = next(iter(self._charged_by_id.items()))
             if charged.at > now - CHARGED_SECONDS:
--- a/src/jujubeslip/control/_claims.py
+++ b/src/jujubeslip/control/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of (client, key): who runs a request that must run at most once."""
+"""Claims of (client, key), which decide who runs a request that runs at most once."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
     KeyStatus,
 )
 
-# How long a claim is kept, in log time; a resend after that runs again.
+# How long a claim is kept, in milliseconds of log time; a later resend runs again.
 CLAIM_RETENTION_MS = 24 * 3600 * 1000
-# New claims beyond these are refused, since dropping old ones could run a key twice.
+# New claims beyond this number are refused, since dropping old ones could let a request
+# run twice.
 MAXIMUM_CLAIMS = 50_000
-# Longer outcomes, and the oldest beyond the total, are dropped; their claims are not.
+# Longer outcomes, and the oldest beyond the total, are dropped; their claims are kept.
 MAXIMUM_OUTCOME_BYTES = 64 * 1024
 MAXIMUM_TOTAL_OUTCOME_BYTES = 4 * 1024 * 1024
 DIGEST_BYTES = 16
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True)
 class ClaimsFull:
-    """The answer to a claim for which there is no room before `retry_after_ms`."""
+    """The reply to a claim that the full table can't take before `retry_after_ms`."""
 
     retry_after_ms: int
 
@@ -55,8 +56,8 @@
 class _PackedClaims:
     """Claims by digest, each packed into one byte string.
 
-    A claim as an object with its fields takes about three times the memory, and a
-    control host has little.
+    A claim stored as an object takes about three times the memory, and control hosts
+    have little of it.
     """
 
     # Stamp, outcome number, finished, abandoned, fingerprint, lengths of two texts.
@@ -98,8 +99,8 @@
 
     def items(self) -> Iterator[tuple[bytes, Claim]]:
         """Return all claims in order, as they were when called."""
-        # A copied dict is one block of memory; a list of pairs would be many small
-        # ones, between which the claims that stay are scattered.
+        # A copied dict is one block of memory. A list of pairs would be many small
+        # blocks, which fragment the memory between the claims that are kept.
         packed_by_digest = self._packed_by_digest.copy()
         return (
             (digest, self._unpack(packed))
@@ -138,10 +139,10 @@
         return len(self._claim_by_digest)
 
     def claim(self, claim: KeyClaim, stamp_ms: int) -> KeyReply | ClaimsFull:
-        """Give the key to the first that claims it; answer the others what became.
+        """Give the key to the first claimant; tell the others its state or outcome.
 
         The same request id and owner gets FIRST again while it runs, so that a claim
-        can be sent again after a lost answer.
+        can be sent again after a lost reply.
         """
         known = self.find(claim, stamp_ms)
         if known is not None:
@@ -159,16 +160,16 @@
         return KeyReply(KeyStatus.FIRST, claim.request_id, claim.owner, None)
 
     def pass_time(self, from_ms: int, to_ms: int) -> None:
-        """Free the memory of expired claims at each whole interval of log time.
+        """Remove the expired claims at each full interval of log time.
 
-        All replicas do so at the same entry, since what is freed decides which
-        outcomes are dropped.
+        All replicas do so at the same entry, since the removal affects which outcomes
+        are dropped.
         """
         if from_ms // REMOVAL_INTERVAL_MS != to_ms // REMOVAL_INTERVAL_MS:
             self._remove_expired(to_ms)
 
     def find(self, claim: KeyClaim, now_ms: int) -> KeyReply | None:
-        """Return what is known of the key, None when it may be claimed."""
+        """Return the state of the key, None when it may be claimed."""
         found = self._claim_by_digest.get(_digest(claim))
         if found is None or _has_expired(found, now_ms):
             return None
@@ -179,10 +180,10 @@
         return KeyReply(status, found.request_id, found.owner, outcome)
 
     def abandon(self, command: AbandonCommand) -> None:
-        """Let another request have the key; only its holder can give it up.
+        """Release the key for another request; only its holder can do so.
 
-        The claim itself stays for its own request id: a late copy of that claim,
-        from a connection that was given up, must not take the key again.
+        The claim itself is kept for its request id: a late copy of that claim, from an
+        abandoned connection, must not take the key again.
         """
         digest = _digest(command.claim)
         found = self._claim_by_digest.get(digest)
@@ -192,7 +193,7 @@
             self._claim_by_digest.put(digest, replace(found, abandoned=True))
 
     def finish(self, command: FinishCommand) -> None:
-        """Record the outcome for the request that holds the claim; the first stays."""
+        """Record the outcome of the claim's holder; a first outcome is final."""
         digest = _digest(command.claim)
         found = self._claim_by_digest.get(digest)
         if found is None or found.finished:
@@ -210,7 +211,7 @@
         return (_to_record(digest, claim) for digest, claim in claims)
 
     def load(self, record: ClaimRecord) -> None:
-        """Take over a claim from a snapshot, in order."""
+        """Load a claim from a snapshot, in order."""
         outcome = record.outcome or b""
         claim = Claim(
             record.request_id,
--- a/src/jujubeslip/control/_configurations.py
+++ b/src/jujubeslip/control/_configurations.py
@@ -1,4 +1,4 @@
-"""Accepted configurations, and the answers that each change got."""
+"""Accepted configurations, and the reply to each change."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     VersionedCommand,
 )
 
-# How many answers to changes are kept for resends.
+# How many replies to changes are kept for resends.
 MAXIMUM_CHANGES = 10_000
 # How many configurations are kept, and how many bytes of them. The bytes are counted
 # before compression, whose result may differ between two hosts' libraries: all
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class ChangeIdReused:
-    """The answer to a change whose id an earlier, different change has used."""
+    """The reply to a change whose id an earlier, different change has used."""
 
     change_id: str
 
@@ -56,7 +56,7 @@
 
 
 class ConfigurationTable:
-    """The configuration in force, its history, and one answer for each change id."""
+    """The configuration in force, its history, and one reply for each change id."""
 
     def __init__(self) -> None:
         self.current = Configuration(0, "", "", "")
@@ -65,10 +65,10 @@
         self._history_bytes = 0
 
     def apply(self, request: ApplyRequest) -> ApplyReply | ChangeIdReused:
-        """Accept the change if it was made from the current revision.
+        """Accept the change if it is based on the current revision.
 
-        A change id that was answered before gets that answer again. This guards
-        against a resend after a lost answer, which would lose against itself.
+        A change id that was answered before gets the same reply again. Otherwise a
+        resend after a lost reply would conflict with its own first copy.
         """
         answered = self.find_answer(request)
         if answered is not None:
@@ -91,16 +91,15 @@
     def put(self, command: VersionedCommand) -> int:
         """Put a configuration in force if its version is the highest.
 
-        Returns the version in force then. One that is not higher changes nothing, not
-        even when its content differs: a version that was read once never means
-        something else later.
+        Returns the version then in force. A version that is not higher changes nothing,
+        even if its content differs, so that the content of a version never changes.
         """
         if command.version > self.current.revision:
             self._store(Configuration(command.version, command.content, "", ""))
         return int(self.current.revision)
 
     def find_answer(self, request: ApplyRequest) -> ApplyReply | ChangeIdReused | None:
-        """Return what this change was answered before, None if it was not."""
+        """Return the earlier reply to this change, None without one."""
         answer = self._answer_by_change_id.get(request.change_id)
         if answer is None:
             return None
@@ -120,7 +119,7 @@
         return list(self._stored_by_revision.values())
 
     def changes(self) -> Iterator[ChangeRecord]:
-        """Return the kept answers in order, as they were when called."""
+        """Return the kept replies in order, as they were when called."""
         answers = self._answer_by_change_id.copy()
         return (
             ChangeRecord(change_id, answer.digest, answer.accepted, answer.revision)
@@ -136,16 +135,16 @@
         )
 
     def load_configuration(self, configuration: Configuration) -> None:
-        """Take over a configuration from a snapshot, in order."""
+        """Load a configuration from a snapshot, in order."""
         self._store(configuration)
 
     def load_change(self, record: ChangeRecord) -> None:
-        """Take over an answer from a snapshot, in order."""
+        """Load a reply from a snapshot, in order."""
         answer = _Answer(record.digest, record.accepted, record.revision)
         self._remember(record.change_id, answer)
 
     def _reply(self, answer: _Answer) -> ApplyReply:
-        """Return the answer with the change that holds its revision."""
+        """Return the reply with the change that created its revision."""
         stored = self._stored_by_revision.get(answer.revision)
         if stored is None:
             return ApplyReply(answer.accepted, answer.revision, "", "", "")
--- a/src/jujubeslip/control/_endpoint_limit_keeper.py
+++ b/src/jujubeslip/control/_endpoint_limit_keeper.py
@@ -1,4 +1,4 @@
-"""The limits that endpoints have named, on the control host that leads."""
+"""The rate limits that endpoints announce, as the leading control host keeps them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from jujubeslip.accounts import ENDPOINT_BOUNDS, RateLimit, endpoint_limit
-from jujubeslip.control._limit_keeper import LimitKeeper
+from jujubeslip.control._limit_keeper import LimitManager
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.notices import NamedLimit
 from jujubeslip.peers import EndpointLimitState, EndpointSpending
@@ -16,25 +16,25 @@
 MILLISECONDS = 1000
 
 
-class EndpointLimitKeeper(LimitKeeper):
-    """Charges requests to endpoints with a limit; hosts tell it of each limit.
+class EndpointLimitManager(LimitManager):
+    """Charges requests to endpoints whose limit hosts have reported.
 
-    Of two hosts the one counts whose endpoint's answer came later.
+    If hosts report different limits, the one from the endpoint's latest response wins.
     """
 
     def __init__(
         self,
-        lead_began_at: Callable[[], float | None],
+        leadership_began_at: Callable[[], float | None],
         heard_share: Callable[[], float] = lambda: 1.0,
     ) -> None:
-        super().__init__(ENDPOINT_BOUNDS, lead_began_at, heard_share)
+        super().__init__(ENDPOINT_BOUNDS, leadership_began_at, heard_share)
         self._named_by_start: dict[str, NamedLimit] = {}
 
     def charge(self, spending: EndpointSpending) -> EndpointLimitState:
-        """Charge a request before it is sent; without an amount, only take the news."""
+        """Charge a request before it is sent; without an amount, store the limit."""
         start_id = spending.start_id
         with self._lock:
-            named = self._take(spending)
+            named = self._update_limit(spending)
             ledger = self._current_ledger()
             now = steady_seconds()
             wait = 0.0
@@ -43,42 +43,43 @@
         named_ago_ms = int((now - named.named_at) * MILLISECONDS)
         return EndpointLimitState(start_id, named.per_second, named_ago_ms, wait)
 
-    def charge_alone(
+    def charge_without_leader(
         self, host_id: str, entry_hosts: int, spending: EndpointSpending
     ) -> bool:
-        """Charge a request of a host that finds no leader; say whether it may be sent.
+        """Charge a request of a host without a leader; return whether it may be sent.
 
-        The host lends its parts with that; without an amount it does nothing else.
+        The call also adds the host's share of the limits to the pool. Without an
+        amount, it does nothing else.
         """
         start_id, cost = spending.start_id, spending.amount
         with self._lock:
             if start_id:
-                self._take(spending)
-            may_send = self._charge_alone(host_id, entry_hosts, start_id, cost)
+                self._update_limit(spending)
+            may_send = self._charge_without_leader(host_id, entry_hosts, start_id, cost)
         if cost:
             extra = {"host_id": host_id, "start_id": start_id, "may_send": may_send}
-            logger.info("send charged without a leader", extra=extra)
+            logger.info("request to endpoint charged without a leader", extra=extra)
         return may_send
 
     def forget_old(self) -> None:
-        """Drop limits that no host has told of for long."""
+        """Remove limits that no host has reported for a long time."""
         with self._lock:
             for start_id, named in list(self._named_by_start.items()):
                 if named.forgotten_at.expired:
                     del self._named_by_start[start_id]
                     self._forget(start_id)
 
-    def _take(self, spending: EndpointSpending) -> NamedLimit:
-        """Take what the host knows of the limit, if it is newer; return the newest."""
+    def _update_limit(self, spending: EndpointSpending) -> NamedLimit:
+        """Store the limit that the host reports if it is newer; return the newest."""
         named_at = steady_seconds() - (spending.named_ago_ms or 0) / MILLISECONDS
-        told = NamedLimit(spending.per_second or 0.0, named_at)
+        reported = NamedLimit(spending.per_second or 0.0, named_at)
         known = self._named_by_start.get(spending.start_id)
-        if known is not None and known.named_at >= told.named_at:
+        if known is not None and known.named_at >= reported.named_at:
             return known
-        self._named_by_start[spending.start_id] = told
-        if not told.per_second:
+        self._named_by_start[spending.start_id] = reported
+        if not reported.per_second:
             self._forget(spending.start_id)
-        return told
+        return reported
 
     def _limit_of(self, name: str) -> RateLimit | None:
         named = self._named_by_start.get(name)
@@ -86,7 +87,7 @@
             return None
         return endpoint_limit(named.per_second)
 
-    def _log_used(
+    def _log_exceeded(
         self, name: str, limit: RateLimit, cost: float, left: float, wait: float
     ) -> None:
         extra = {
@@ -95,7 +96,7 @@
             "left": round(left, 2),
             "wait_ms": int(wait * MILLISECONDS),
         }
-        logger.info("endpoint's limit is used", extra=extra)
+        logger.info("request exceeds the endpoint's limit", extra=extra)
 
-    def _note_new_lead(self) -> None:
-        """Keep what endpoints have named: it doesn't belong to a lead."""
+    def _on_new_leadership(self) -> None:
+        """Keep the limits of endpoints, which don't depend on the leadership."""
--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -1,4 +1,4 @@
-"""The ControlPeer service: what entry hosts, operators and replicas call."""
+"""The ControlPeer service, called by entry hosts, operators and replicas."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from typing import Any
 
 from jujubeslip.admission import AdmissionHome
-from jujubeslip.control._account_keeper import AccountKeeper
+from jujubeslip.control._account_keeper import AccountLimitManager
 from jujubeslip.control._changes import MembershipChanges
 from jujubeslip.control._claims import ClaimsFull
 from jujubeslip.control._commands import NoOp
 from jujubeslip.control._configurations import ChangeIdReused
-from jujubeslip.control._endpoint_limit_keeper import EndpointLimitKeeper
+from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
 from jujubeslip.control._joining import own_description
 from jujubeslip.control._receiver import Receiver
 from jujubeslip.control._replica import Replica
@@ -74,12 +74,12 @@
         changes: MembershipChanges,
         watches: Watches,
         admissions: AdmissionHome | None = None,
-        accounts: AccountKeeper | None = None,
-        crash_book: CrashBook | None = None,
-        endpoint_limits: EndpointLimitKeeper | None = None,
+        accounts: AccountLimitManager | None = None,
+        crash_registry: CrashBook | None = None,
+        endpoint_limits: EndpointLimitManager | None = None,
     ) -> None:
         self._endpoint_limits = endpoint_limits
-        self._crash_book = crash_book or CrashBook()
+        self._crash_registry = crash_registry or CrashBook()
         self._accounts = accounts
         self._replica = replica
         self._receiver = receiver
@@ -106,8 +106,8 @@
             held = self._current()
         if held.revision > known_revision:
             return held
-        # Nothing new. With the text, each idle poll of each entry host would bring
-        # the whole declaration: 49 KB a second for one of 98 KB.
+        # Nothing newer. With the text, each idle poll of each entry host would transfer
+        # the whole declaration: 49 KB per second for a declaration of 98 KB.
         return Configuration(held.revision, "", held.change_id, held.operator_name)
 
     def get_packed_configuration(self, known_revision: int) -> PackedConfiguration:
@@ -119,7 +119,7 @@
         return PackedConfiguration(held.revision, b"")
 
     def apply_configuration(self, request: ApplyRequest) -> ApplyReply:
-        """Accept or refuse a change of the configuration, once and for all."""
+        """Accept or refuse a change of the configuration; the decision is final."""
         replica = self._replica
         with replica.lock:
             replica.require_leader()
@@ -133,8 +133,8 @@
     def put_version(self, command: VersionedCommand, remaining_ms: int) -> int:
         """Commit a configuration that its operator has numbered.
 
-        One that is not higher than what is in force is answered without a write, so
-        that resends after lost answers cost no disk.
+        A version that is not higher than the one in force is answered without a write,
+        so that resends after lost replies cause no disk writes.
         """
         check_version(command)
         replica = self._replica
@@ -149,7 +149,7 @@
         return version
 
     def record_removal(self, removal: EndpointRemoval, remaining_ms: int) -> None:
-        """Commit that an endpoint has left; one that is known costs no write."""
+        """Commit that an endpoint has left; a known removal causes no write."""
         check_removal(removal)
         replica = self._replica
         with replica.lock:
@@ -165,30 +165,30 @@
 
     def admit(self, request: AdmissionRequest) -> AdmissionReply:
         """See AdmissionHome.admit; only the leader grants engines."""
-        return self._leading_admissions().admit(request)
+        return self._leader_admissions().admit(request)
 
-    def tell_admissions(self, news: list[AdmissionNews]) -> None:
+    def tell_admissions(self, updates: list[AdmissionNews]) -> None:
         """See AdmissionHome.take."""
-        self._leading_admissions().take(news)
+        self._leader_admissions().take(updates)
 
     def charge_account(self, spending: AccountSpending) -> AccountState:
-        """See AccountKeeper.charge; only the leader knows what is left."""
-        return self._leading_accounts().charge(spending)
+        """See AccountLimitManager.charge; only the leader knows what is left."""
+        return self._leader_accounts().charge(spending)
 
     def settle_accounts(self, spent: list[AccountSpending]) -> list[AccountState]:
-        """See AccountKeeper.settle."""
-        return self._leading_accounts().settle(spent)
+        """See AccountLimitManager.settle."""
+        return self._leader_accounts().settle(spent)
 
     def charge_alone(
         self, host_id: str, entry_hosts: int, spending: AccountSpending
     ) -> bool:
-        """See AccountKeeper.charge_alone; any control host answers."""
+        """See AccountLimitManager.charge_without_leader; any control host answers."""
         if self._accounts is None:
             raise _limits_not_kept()
-        return self._accounts.charge_alone(host_id, entry_hosts, spending)
+        return self._accounts.charge_without_leader(host_id, entry_hosts, spending)
 
     def charge_endpoint(self, spending: EndpointSpending) -> EndpointLimitState:
-        """See EndpointLimitKeeper.charge; only the leader knows what is left."""
+        """See EndpointLimitManager.charge; only the leader knows what is left."""
         if self._endpoint_limits is None or self._replica.fence() is None:
             raise self._replica.not_leader()
         return self._endpoint_limits.charge(spending)
@@ -196,24 +196,26 @@
     def charge_endpoint_alone(
         self, host_id: str, entry_hosts: int, spending: EndpointSpending
     ) -> bool:
-        """See EndpointLimitKeeper.charge_alone; any control host answers."""
+        """See EndpointLimitManager.charge_without_leader; any control host answers."""
         if self._endpoint_limits is None:
             raise _limits_not_kept()
-        return self._endpoint_limits.charge_alone(host_id, entry_hosts, spending)
+        return self._endpoint_limits.charge_without_leader(
+            host_id, entry_hosts, spending
+        )
 
-    def _leading_accounts(self) -> AccountKeeper:
-        """Return what keeps accounts' limits, or raise NotLeader.
+    def _leader_accounts(self) -> AccountLimitManager:
+        """Return the manager of account limits, or raise NotLeader.
 
-        Without a valid lease another host may lead, and let run as much once more.
+        Without a valid lease another host may lead, and let the same amount run again.
         """
         if self._accounts is None or self._replica.fence() is None:
             raise self._replica.not_leader()
         return self._accounts
 
-    def _leading_admissions(self) -> AdmissionHome:
-        """Return what grants engines, or raise NotLeader.
+    def _leader_admissions(self) -> AdmissionHome:
+        """Return the home that grants engines, or raise NotLeader.
 
-        Without a valid lease another host may lead, and grant the same room.
+        Without a valid lease another host may lead, and grant the same capacity.
         """
         if self._admissions is None or self._replica.fence() is None:
             raise self._replica.not_leader()
@@ -239,22 +241,24 @@
         self._replica.propose(command, Deadline.from_remaining_ms(remaining_ms))
 
     def abandon_key(self, claim: KeyClaim, remaining_ms: int) -> None:
-        """Free a claim whose request surely did not run."""
+        """Release a claim whose request surely did not run."""
         check_claim(claim)
         command = AbandonCommand(claim)
         self._replica.propose(command, Deadline.from_remaining_ms(remaining_ms))
 
-    def tell_crashes(self, teller: str, crashes: list[CrashRecord]) -> None:
-        """Take over crashes that an entry host has seen; any control host answers."""
-        self._crash_book.take(usable_histories(teller, crashes))
+    def tell_crashes(self, sender: str, crashes: list[CrashRecord]) -> None:
+        """Record crashes that an entry host has seen; any control host answers."""
+        self._crash_registry.take(usable_histories(sender, crashes))
 
     def quarantined(self) -> list[CrashRecord]:
-        """Return the contents that are held back, as this host knows them."""
-        return [to_crash_record(history) for history in self._crash_book.held_back()]
+        """Return the quarantined contents that this host knows."""
+        return [
+            to_crash_record(history) for history in self._crash_registry.held_back()
+        ]
 
     def lift_quarantine(self, fingerprint: str) -> bool:
-        """Let a content run again; return False where no crash of it is known."""
-        return self._crash_book.clear(fingerprint)
+        """Let a content run again; return False if no crash of it is known."""
+        return self._crash_registry.clear(fingerprint)
 
     def history(self, limit: int) -> list[Configuration]:
         """Return the newest configurations applied here, newest first."""
@@ -331,7 +335,7 @@
         return self._replica.machine.configurations.current
 
     def _ensure_reads_are_current(self) -> None:
-        """Commit an entry first when the lease alone does not prove the lead."""
+        """Commit an entry first if the lease alone does not prove the leadership."""
         with self._replica.lock:
             self._replica.require_leader()
             if self._replica.reads_are_current():
@@ -366,7 +370,7 @@
 def _limits_not_kept() -> PeerRefusal:
     return PeerRefusal(
         "limits_not_kept",
-        "This host keeps no limits that hosts share.",
+        "This host does not manage limits that hosts share.",
         "Ask another control host.",
         0,
     )
@@ -382,8 +386,8 @@
 def _(outcome: ChangeIdReused) -> Any:
     raise PeerRefusal(
         "change_id_reused",
-        f"Another change has used the id {outcome.change_id!r}.",
-        "Give each change an id of its own.",
+        f"The change id {outcome.change_id!r} was already used by another change.",
+        "Give each change a unique id.",
         0,
     )
 
@@ -392,7 +396,7 @@
 def _(outcome: ClaimsFull) -> Any:
     raise PeerRefusal(
         "claims_full",
-        "There is no room for another claim; the request was not run.",
-        "Ask again later, or let fewer requests be not repeatable.",
+        "The table of claims is full; the request was not run.",
+        "Retry later, or mark fewer requests as not repeatable.",
         outcome.retry_after_ms,
     )
--- a/src/jujubeslip/control/_meters.py
+++ b/src/jujubeslip/control/_meters.py
@@ -1,4 +1,4 @@
-"""The metrics of a control host; docs/reference/metrics.md lists them."""
+"""The metrics of a control host, listed in docs/reference/metrics.md."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def observe_replica(
-    replica: Replica, book: EndpointBook, crash_book: CrashBook
+    replica: Replica, registry: EndpointBook, crash_registry: CrashBook
 ) -> None:
-    """Offer the replica's state as gauges, read whenever the metrics are."""
+    """Register gauges of the replica's state, which are read with the metrics."""
     meter = metrics.get_meter("jujubeslip.control")
     meter.create_observable_gauge(
         "jujubeslip.control.leads",
@@ -27,34 +27,34 @@
     meter.create_observable_gauge(
         "jujubeslip.control.term",
         [observed(lambda: replica.term)],
-        description="Term of the replicated log, one for each leader.",
+        description="Term of the replicated log; each leader has its own.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.commit_index",
         [observed(lambda: replica.commit_index)],
-        description="Entries of the log that a majority has synced.",
+        description="Index of the newest log entry that a majority has synced.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.configuration_version",
         [observed(lambda: replica.machine.configurations.current.revision)],
-        description="Version of the configuration that is applied here.",
+        description="Version of the configuration applied on this host.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.failed",
         [observed(lambda: int(bool(replica.failure)))],
-        description="1 once a write has failed and nothing is promised any more.",
+        description="1 once a write failed and this replica confirms nothing more.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.control.quarantined_contents",
-        [observed(lambda: len(crash_book.held_back()))],
-        description="Contents of requests that are held back, as they crash endpoints.",
+        [observed(lambda: len(crash_registry.held_back()))],
+        description="Quarantined contents of requests, which crash endpoints.",
     )
 
     def endpoints(_: CallbackOptions) -> Iterable[Observation]:
         known = Counter(
             (item.service_name, item.role.name.lower(), str(not item.stays).lower())
-            for item in book.endpoints()
+            for item in registry.endpoints()
         )
         return [
             Observation(count, {"service": name, "role": role, "leaving": leaving})
@@ -64,5 +64,5 @@
     meter.create_observable_gauge(
         "jujubeslip.control.endpoints",
         [endpoints],
-        description="Endpoints that are known, by service, role and leaving.",
+        description="Known endpoints, by service, role and whether they are leaving.",
     )
--- a/src/jujubeslip/control/_removal_log.py
+++ b/src/jujubeslip/control/_removal_log.py
@@ -1,4 +1,4 @@
-"""Removals of endpoints between the log and this host's book."""
+"""Transfer of endpoint removals between the log and this host's registry."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 logger = logging.getLogger(__name__)
 
-# How long to wait for the next removal before looking again, in seconds.
+# Maximum wait for the next removal before the log is checked again, in seconds.
 WAIT_SECONDS = 5.0
 
 
 class RemovalLog:
-    """Records removals before they are acknowledged, and tells the book of all."""
+    """Records removals in the log, and applies those of the log to the registry."""
 
     def __init__(
-        self, replica: Replica, book: EndpointBook, client: ControlClient
+        self, replica: Replica, registry: EndpointBook, client: ControlClient
     ) -> None:
         self._replica = replica
-        self._book = book
+        self._registry = registry
         self._client = client
         self._machine: StateMachine | None = None
-        self._told_version = 0
+        self._applied_version = 0
 
     def record(self, removal: Removal, deadline: Deadline) -> None:
         """Return once the removal is in the log of a majority.
 
-        Raises PeerUnavailableError when that is not known by the deadline. This host's
-        book keeps the removal all the same.
+        Raises PeerUnavailableError when that is not known by the deadline. The registry
+        of this host keeps the removal in any case.
         """
         record = to_removal_record(removal)
         replica = self._replica
@@ -51,12 +51,12 @@
         self._client.record_removal(record, deadline)
 
     def load(self) -> None:
-        """Tell the book what the data folder holds, before the first announcement.
+        """Apply the removals in the data folder, before the first announcement.
 
-        An entry that is not known to be committed counts, too: its endpoint has signed
-        off in any case.
+        Entries that are not known to be committed are applied as well, since their
+        endpoints have signed off in any case.
         """
-        self._tell_news()
+        self._apply_new_removals()
         replica = self._replica
         with replica.lock:
             entries = replica.log.entries_from(replica.applied_index + 1)
@@ -66,36 +66,36 @@
             for entry in entries
             if entry.kind == EntryKind.ENDPOINT_REMOVAL
         ]
-        self._book.take_removals(_removals(pending, now_ms))
+        self._registry.take_removals(_removals(pending, now_ms))
 
     def follow(self) -> None:
-        """Tell the book of each removal that is applied, until the process stops."""
+        """Apply each new removal to the registry until the process stops."""
         replica = self._replica
         while not replica.process.stopped.is_set():
             with replica.lock:
-                if not self._has_news():
+                if not self._has_new_removals():
                     replica.removals_changed.wait(WAIT_SECONDS)
-            self._tell_news()
+            self._apply_new_removals()
 
-    def _has_news(self) -> bool:
+    def _has_new_removals(self) -> bool:
         machine = self._replica.machine
-        is_same = machine is self._machine
-        return not is_same or machine.removals.version > self._told_version
+        is_same_machine = machine is self._machine
+        return not is_same_machine or machine.removals.version > self._applied_version
 
-    def _tell_news(self) -> None:
+    def _apply_new_removals(self) -> None:
         with self._replica.lock:
             machine = self._replica.machine
-            # An installed snapshot brings another machine, which counts anew.
-            known = self._told_version if machine is self._machine else 0
+            # An installed snapshot replaces the machine, whose versions start anew.
+            known = self._applied_version if machine is self._machine else 0
             records = machine.removals.since(known)
             now_ms = machine.stamp_ms
-            self._machine, self._told_version = machine, machine.removals.version
-        self._book.take_removals(_removals(records, now_ms))
+            self._machine, self._applied_version = machine, machine.removals.version
+        self._registry.take_removals(_removals(records, now_ms))
 
 
 def _removals(
     records: Iterable[EndpointRemovalRecord], now_ms: int
 ) -> Iterable[Removal]:
-    """Return removals as old as log time says: it never runs ahead of other clocks."""
+    """Return removals with their age in log time, which never runs ahead of clocks."""
     for record in records:
         yield removal_from_record(record.removal, max(0, now_ms - record.stamp_ms))
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -1,4 +1,4 @@
-"""The control process: puts the parts together and hands over on a planned stop."""
+"""The process of a control host, which hands over its leadership on a planned stop."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     MemoryOptions,
     WaitingOptions,
 )
-from jujubeslip.control._account_keeper import AccountKeeper
+from jujubeslip.control._account_keeper import AccountLimitManager
 from jujubeslip.control._changes import MembershipChanges
 from jujubeslip.control._client import ControlClient
 from jujubeslip.control._disk_probe import PROBE_SECONDS, DiskProbe
 from jujubeslip.control._election import Elections
-from jujubeslip.control._endpoint_limit_keeper import EndpointLimitKeeper
+from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._gateway import LeaderGateway
 from jujubeslip.control._given_orders import GivenOrders
@@ -31,7 +31,7 @@
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._replication import Replication
 from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleKeeper
-from jujubeslip.control._routes_in_force import RoutesInForce
+from jujubeslip.control._routes_in_force import ActiveRoutes
 from jujubeslip.control._stopping import step_aside
 from jujubeslip.control._storage import Storage
 from jujubeslip.control._upkeep import Upkeep
@@ -55,10 +55,10 @@
 logger = logging.getLogger(__name__)
 
 MEMBERSHIP_CHECK_SECONDS = 0.2
-# How often contents and limits that count no more are looked for, in seconds.
-FORGET_SECONDS = 10.0
-# Calls over HTTP that are served at a time: announcements that wait for confirmation,
-# and up to eight orders of an operator.
+# How often expired crash histories, limits and notices are removed, in seconds.
+CLEANUP_INTERVAL_SECONDS = 10.0
+# Maximum number of concurrent HTTP calls: announcements that wait for confirmation, and
+# up to eight calls of an operator.
 HTTP_THREADS = 24
 
 
@@ -68,7 +68,7 @@
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
         self._process = Process("control")
-        # Before the instruments are made: one that is made earlier records nothing.
+        # Before the instruments are created: earlier ones would record nothing.
         self._telemetry = configure_telemetry(
             settings.telemetry, settings.host_id, settings.availability_zone
         )
@@ -76,11 +76,11 @@
         self._replica = Replica(settings, storage, self._process)
         self._clients = ReplicaClients(settings)
         self._changes = MembershipChanges(self._replica)
-        self._book = EndpointBook()
-        self._notices = EndpointNotices(self._book)
-        self._crash_book = CrashBook(on_news=self._book.wake)
+        self._registry = EndpointBook()
+        self._notices = EndpointNotices(self._registry)
+        self._crash_registry = CrashBook(on_news=self._registry.wake)
         self._watches = Watches(
-            self._replica, self._book, self._control_addresses, self._crash_book
+            self._replica, self._registry, self._control_addresses, self._crash_registry
         )
         self._identity = PeerIdentity(
             settings.host_id, new_incarnation(), settings.peer_secret
@@ -88,18 +88,18 @@
         self._followers = ControlFollowers(
             self._process,
             self._identity,
-            self._book,
-            self._pass_over,
+            self._registry,
+            self._ignore_configuration,
             settings.peer_address,
-            crash_book=self._crash_book,
+            crash_book=self._crash_registry,
         )
         self._orders = GivenOrders()
-        self._routes = RoutesInForce(
+        self._routes = ActiveRoutes(
             lambda: self._replica.machine.configurations, self._read_routes
         )
-        self._accounts = self._build_accounts()
-        self._endpoint_limits = EndpointLimitKeeper(
-            self._lead_began_at, self._watches.heard_share
+        self._account_limits = self._build_account_limits()
+        self._endpoint_limits = EndpointLimitManager(
+            self._leadership_began_at, self._watches.heard_share
         )
         self._admissions = self._build_admissions()
         handler = ControlHandler(
@@ -108,8 +108,8 @@
             self._changes,
             self._watches,
             self._admissions,
-            self._accounts,
-            self._crash_book,
+            self._account_limits,
+            self._crash_registry,
             self._endpoint_limits,
         )
         self._server = PeerServer(
@@ -120,18 +120,21 @@
             self._process,
         )
         self._client = self._build_client()
-        self._removals = RemovalLog(self._replica, self._book, self._client)
+        self._removals = RemovalLog(self._replica, self._registry, self._client)
         self._http = self._build_http()
 
     def _read_routes(self, content: str) -> Result[RouteTable, str]:
-        """Read a configuration by this host's interface, asked for at first use.
+        """Parse a configuration with this host's interface, looked up at first use.
 
-        The product's own interface is none of the registered ones, and has no routes.
+        The product's own interface is not among the registered ones and has no routes.
         """
         return interfaces.get(self._settings.interface).read_routes(content)
 
-    def _build_accounts(self) -> AccountKeeper | None:
-        """Return what keeps accounts' limits, where operators number configurations."""
+    def _build_account_limits(self) -> AccountLimitManager | None:
+        """Return the manager of account limits, None without an HTTP interface.
+
+        Account limits need configurations that operators number, which come over HTTP.
+        """
         settings = self._settings
         if settings.http_address is None:
             return None
@@ -140,33 +143,33 @@
             settings.limit_overage,
             settings.limit_slack,
         )
-        return AccountKeeper(
+        return AccountLimitManager(
             bounds,
             self._routes.accounts,
-            self._lead_began_at,
+            self._leadership_began_at,
             self._watches.heard_share,
         )
 
     def _build_admissions(self) -> AdmissionHome | None:
-        """Return the home of admissions, where endpoints announce themselves here."""
+        """Return the home of admissions, if endpoints announce themselves here."""
         settings = self._settings
         if settings.http_address is None or not settings.grants_engines:
             return None
         return AdmissionHome(
             self._process,
-            self._book,
+            self._registry,
             interfaces.get(settings.interface),
             MemoryOptions(settings.memory_margin, settings.memory_caution),
             lambda: self._replica.fence() is not None,
             self._routes.engine_services,
             self._orders.role_of,
-            self._accounts,
+            self._account_limits,
             WaitingOptions(settings.passed_ms / 1000, settings.reader_wait_ms / 1000),
             self._notices,
         )
 
     def _build_client(self) -> ControlClient:
-        """Return what reaches the leader, this host itself if it leads."""
+        """Return the client that reaches the leader, which may be this host."""
         settings = self._settings
         own = PeerAddress(settings.host_id, settings.peer_address)
         client = ControlClient(
@@ -180,7 +183,7 @@
         if settings.http_address is None:
             return None
         gateway = LeaderGateway(
-            self._client, self._book, self._watches, self._removals.record
+            self._client, self._registry, self._watches, self._removals.record
         )
         app = interfaces.get(settings.interface).control_app(gateway)
         options = HttpServerOptions(settings.http_address, threads=HTTP_THREADS)
@@ -190,7 +193,7 @@
         """Run until SIGTERM; does not return."""
         process = self._process
         process.catch_signals()
-        observe_replica(self._replica, self._book, self._crash_book)
+        observe_replica(self._replica, self._registry, self._crash_registry)
         serve_metrics(self._settings.telemetry, self._telemetry, process)
         self._server.start()
         upkeep = Upkeep(self._replica)
@@ -203,16 +206,16 @@
         process.start_task(self._watches.follow_leader)
         process.repeat(MEMBERSHIP_CHECK_SECONDS, self._changes.promote_learners)
         process.repeat(PROBE_SECONDS, DiskProbe(self._replica).look)
-        process.repeat(FORGET_SECONDS, self._crash_book.forget_old)
-        process.repeat(FORGET_SECONDS, self._endpoint_limits.forget_old)
-        process.repeat(FORGET_SECONDS, self._notices.forget_old)
+        process.repeat(CLEANUP_INTERVAL_SECONDS, self._crash_registry.forget_old)
+        process.repeat(CLEANUP_INTERVAL_SECONDS, self._endpoint_limits.forget_old)
+        process.repeat(CLEANUP_INTERVAL_SECONDS, self._notices.forget_old)
         if self._http is not None:
             self._removals.load()
             process.start_task(self._removals.follow)
             self._followers.learn(self._settings.seed_addresses)
             process.repeat(MEMBERSHIP_CHECK_SECONDS, self._follow_members)
             self._http.start(process)
-            self._start_role_keeper()
+            self._start_role_manager()
         if self._admissions is not None:
             self._admissions.start()
         logger.info(
@@ -224,15 +227,15 @@
         )
         process.run(self._stop)
 
-    def _start_role_keeper(self) -> None:
+    def _start_role_manager(self) -> None:
         settings = self._settings
         if not settings.changes_roles:
             return
         admissions = self._admissions
-        keeper = RoleKeeper(
+        manager = RoleKeeper(
             self._replica,
             EngineLog(self._replica),
-            self._book,
+            self._registry,
             self._watches,
             interfaces.get(settings.interface),
             settings.order_lease_ms / 1000,
@@ -245,11 +248,11 @@
             admissions.reports_now if admissions else lambda _: True,
             admissions.answer_count if admissions else lambda _: 0,
         )
-        self._process.repeat(SCAN_INTERVAL_SECONDS, keeper.look)
+        self._process.repeat(SCAN_INTERVAL_SECONDS, manager.look)
 
-    def _lead_began_at(self) -> float | None:
-        """Return since when this host leads, None while it doesn't."""
-        # Without the replica's lock: who asks holds one of its own.
+    def _leadership_began_at(self) -> float | None:
+        """Return the time since which this host leads, None while it doesn't."""
+        # Without the replica's lock: callers hold locks of their own.
         leadership = self._replica.leadership
         return leadership.started_at if leadership is not None else None
 
@@ -263,8 +266,8 @@
     def _follow_members(self) -> None:
         self._followers.learn(self._control_addresses())
 
-    def _pass_over(self, news: News) -> None:
-        """Leave configurations to the log: it brings them to every replica."""
+    def _ignore_configuration(self, news: News) -> None:
+        """Ignore configurations, which reach every replica through the log."""
 
     def _stop(self) -> None:
         step_aside(self._replica, self._clients)
--- a/src/jujubeslip/control/_validation.py
+++ b/src/jujubeslip/control/_validation.py
@@ -1,14 +1,14 @@
-"""Checks of requests before they are proposed.
+"""Validation of requests before they are proposed.
 
-Every replica applies what is in the log: a request that can't be applied must be
-refused before it gets there, or each replica would fail on it for ever.
+Every replica applies the entries of the log. A request that can't be applied must be
+refused before it is appended, or each replica would fail on it permanently.
 """
 
 from __future__ import annotations
 
 from returns.result import Failure
 
-# Imported so that their checks of a declaration register themselves.
+# Imported so that the rules register their checks of declarations.
 from jujubeslip import rules as rules
 from jujubeslip.declaration import parse_declaration
 from jujubeslip.discovery import removal_problem
@@ -22,22 +22,22 @@
 )
 
 MAXIMUM_DECLARATION_BYTES = 1024 * 1024
-# What fits into one call between hosts with room to spare; 350 routes need 0.1 MB.
+# Fits into one call between hosts with a wide margin; 350 routes need 0.1 MB.
 MAXIMUM_VERSIONED_BYTES = 8 * 1024 * 1024
 MAXIMUM_NAME_LENGTH = 1024
 REMEDY = "Correct it and run `jujubeslip check` before `jujubeslip apply`."
 
 
 def check_declaration(request: ApplyRequest) -> None:
-    """Raise PeerRefusal when the change must not be proposed at all."""
+    """Raise PeerRefusal if the change must not be proposed."""
     if not _are_names((request.change_id, request.operator_name)):
-        raise _invalid("A change needs a change_id and an operator's name.")
+        raise _invalid("The change_id or operator's name is missing or too long.")
     if request.base_revision is None or request.base_revision < 0:
-        raise _invalid("A change needs the revision that it was made from.")
+        raise _invalid("The change does not name the revision that it is based on.")
     if request.declaration is None:
-        raise _invalid("A change needs a declaration.")
+        raise _invalid("The change has no declaration.")
     if len(request.declaration.encode()) > MAXIMUM_DECLARATION_BYTES:
-        raise _invalid(f"It is longer than {MAXIMUM_DECLARATION_BYTES} bytes.")
+        raise _invalid(f"The declaration exceeds {MAXIMUM_DECLARATION_BYTES} bytes.")
     parsed = parse_declaration(request.declaration)
     if isinstance(parsed, Failure):
         raise _invalid(" ".join(str(problem) for problem in parsed.failure()))
@@ -51,20 +51,20 @@
 
 
 def check_version(command: VersionedCommand) -> None:
-    """Raise PeerRefusal when a numbered configuration must not be proposed.
+    """Raise PeerRefusal if a numbered configuration must not be proposed.
 
-    What it says was checked by the interface that took it from its operator.
+    The interface that received it from its operator has validated its content.
     """
     if command.version is None or command.version < 1:
-        raise _invalid("A configuration needs a version of 1 or more.")
+        raise _invalid("The configuration's version is missing or less than 1.")
     if command.content is None:
-        raise _invalid("A configuration needs its content.")
+        raise _invalid("The configuration has no content.")
     if len(command.content.encode()) > MAXIMUM_VERSIONED_BYTES:
-        raise _invalid(f"It is longer than {MAXIMUM_VERSIONED_BYTES} bytes.")
+        raise _invalid(f"The configuration exceeds {MAXIMUM_VERSIONED_BYTES} bytes.")
 
 
 def check_claim(claim: KeyClaim) -> None:
-    """Raise PeerRefusal when the claim must not be proposed at all."""
+    """Raise PeerRefusal if the claim must not be proposed."""
     names = (claim.client, claim.key, claim.request_id, claim.owner, claim.fingerprint)
     if not _are_names(names):
         raise PeerRefusal(
@@ -77,7 +77,7 @@
 
 
 def check_removal(removal: EndpointRemoval) -> None:
-    """Raise PeerRefusal when the removal must not be proposed at all."""
+    """Raise PeerRefusal if the removal must not be proposed."""
     problem = removal_problem(removal)
     if problem or removal.scope is None:
         raise PeerRefusal(
--- a/src/jujubeslip/control/_watches.py
+++ b/src/jujubeslip/control/_watches.py
@@ -1,4 +1,4 @@
-"""What this control host tells the hosts that watch it, and which of them know it."""
+"""Watches by which other hosts follow the state of this control host."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 logger = logging.getLogger(__name__)
 
 MAXIMUM_WAIT_SECONDS = 5.0
-# A watcher asks about once a second. One that has not asked for this long is cut off
-# or gone, and is neither counted nor waited for, in seconds.
-WATCHER_SECONDS = 3.0
-# For how long an entry host that is not heard counts as cut off, in seconds; after that
-# it was taken away.
-KNOWN_SECONDS = 600.0
+# Timeout after which a silent watcher counts as disconnected or stopped, in seconds; it
+# is then neither counted nor waited for. A watcher asks about once a second.
+WATCHER_TIMEOUT_SECONDS = 3.0
+# How long an entry host that is not heard from counts as cut off, in seconds; after
+# that it counts as removed.
+ENTRY_HOST_RETENTION_SECONDS = 600.0
 
 
 @dataclass(frozen=True)
@@ -52,8 +52,8 @@
 NO_LEADER = _Leader("", 0)
 
 
-class _ToldPressure(StrictModel):
-    """The fields of a load, none of which Thrift itself insists on."""
+class _PressureFields(StrictModel):
+    """The required fields of a load, none of which Thrift itself requires."""
 
     service_name: Text
     waited: Whole
@@ -61,57 +61,57 @@
 
 
 def usable_pressures(
-    watcher_id: str, told: Sequence[ServicePressure]
+    watcher_id: str, reported: Sequence[ServicePressure]
 ) -> list[ServicePressure]:
-    """Return the loads that can be summed; each other one is logged.
+    """Return the valid loads, and log each invalid one.
 
-    A host of another version may leave a field out. The sum over all hosts would fail,
-    and no engine of any service be ordered to another role.
+    A host of another version may omit a field. The sum over all hosts would then fail,
+    and no engine of any service would be ordered to change role.
     """
     usable = []
-    for pressure in told:
-        read = read_fields(_ToldPressure, vars(pressure))
+    for pressure in reported:
+        read = read_fields(_PressureFields, vars(pressure))
         if isinstance(read, Success):
             usable.append(pressure)
             continue
         extra = {"watcher_id": watcher_id, "problem": read.failure()}
-        logger.info("host's load not usable", extra=extra)
+        logger.info("load reported by host not valid", extra=extra)
     return usable
 
 
 class Watches:
-    """Answers watches of this host's book of endpoints and its configuration."""
+    """Answers watches of this host's endpoints, configuration, crashes and leader."""
 
     def __init__(
         self,
         replica: Replica,
-        book: EndpointBook,
+        registry: EndpointBook,
         addresses: Callable[[], list[str]],
-        crash_book: CrashBook | None = None,
+        crash_registry: CrashBook | None = None,
     ) -> None:
-        self._crash_book = crash_book or CrashBook()
+        self._crash_registry = crash_registry or CrashBook()
         self._replica = replica
-        self._book = book
+        self._registry = registry
         self._addresses = addresses
         self._watcher_by_id: dict[str, _Watcher] = {}
         self._entry_asked_at_by_host: dict[str, float] = {}
         self._changed = threading.Condition()
 
     def answer(self, request: WatchRequest) -> WatchReply:
-        """Wait for news, and tell them; another call confirms the answer before.
+        """Wait for changes and return them; each call confirms the previous reply.
 
-        A watcher that names an older start of this host, or none, is told all.
+        A watcher that names an older start of this host, or none, gets everything.
         """
-        is_same_start = request.book_id == self._book.book_id
+        is_same_start = request.book_id == self._registry.book_id
         known = (request.known_version or 0) if is_same_start else 0
         known_crashes = (request.known_crash_version or 0) if is_same_start else 0
-        self._note(request, known)
-        told = usable_histories(request.watcher_id, request.crashes or ())
-        self._crash_book.take(told)
+        self._record_watcher(request, known)
+        reported = usable_histories(request.watcher_id, request.crashes or ())
+        self._crash_registry.take(reported)
         wait = Deadline.from_remaining_ms(request.wait_ms or 0)
         known_configuration = request.known_configuration_version or 0
         known_leader = self._known_leader(request)
-        self._book.wait_for_news(
+        self._registry.wait_for_news(
             known,
             lambda: (
                 self._configuration_version() > known_configuration
@@ -120,17 +120,17 @@
             ),
             wait.earlier_of(Deadline.after(MAXIMUM_WAIT_SECONDS)),
         )
-        version, changed = self._book.changes_since(known)
-        removals = [] if request.is_entry_host else self._book.removals_since(known)
+        version, changed = self._registry.changes_since(known)
+        removals = [] if request.is_entry_host else self._registry.removals_since(known)
         crash_version, crashes = (
-            self._crash_book.changes_for_entry_host(known_crashes)
+            self._crash_registry.changes_for_entry_host(known_crashes)
             if request.is_entry_host
-            else self._crash_book.changes_since(known_crashes)
+            else self._crash_registry.changes_since(known_crashes)
         )
         with self._replica.lock:
             leader = self._leader()
         return WatchReply(
-            self._book.book_id,
+            self._registry.book_id,
             version,
             [to_record(endpoint) for endpoint in changed],
             self._configuration_version(),
@@ -144,15 +144,15 @@
         )
 
     def _crash_version(self, request: WatchRequest) -> int:
-        """Return the version of the newest crash that the watcher is told of at once.
+        """Return the version of the newest crash that the watcher must get at once.
 
-        Entry hosts hear of others with the next answer.
+        Entry hosts get other crashes with the next reply.
         """
-        book = self._crash_book
-        return book.suspects_version if request.is_entry_host else book.version
+        registry = self._crash_registry
+        return registry.suspects_version if request.is_entry_host else registry.version
 
     def follow_configuration(self) -> None:
-        """Wake those who wait whenever a newer configuration is applied here."""
+        """Wake the waiting watches whenever a newer configuration is applied here."""
         replica = self._replica
         known = 0
         while not replica.process.stopped.is_set():
@@ -162,10 +162,10 @@
                     MAXIMUM_WAIT_SECONDS,
                 )
             known = self._configuration_version()
-            self._book.wake()
+            self._registry.wake()
 
     def follow_leader(self) -> None:
-        """Wake those who wait whenever this host hears of another leader."""
+        """Wake the waiting watches whenever this host learns of another leader."""
         replica = self._replica
         known = NO_LEADER
         while not replica.process.stopped.is_set():
@@ -173,27 +173,27 @@
                 if self._leader() == known:
                     replica.role_changed.wait(MAXIMUM_WAIT_SECONDS)
                 known = self._leader()
-            self._book.wake()
+            self._registry.wake()
 
     def _known_leader(self, request: WatchRequest) -> _Leader:
-        """Return the leader that the watcher knows, by its own word if it gives one."""
+        """Return the leader that the watcher reports, else the one known here."""
         if request.known_leader_term is None:
             return self._leader()
         return _Leader(request.known_leader_address or "", request.known_leader_term)
 
     def wait_until_told(self, version: int, deadline: Deadline) -> bool:
-        """Wait until each live watcher has confirmed this version of the book.
+        """Wait until each live watcher has confirmed this version of the registry.
 
-        An endpoint that leaves is acknowledged after that: every host that this one
-        can reach sends it nothing more by then. A host that can't be reached is not
-        waited for longer than the deadline.
+        The removal of a leaving endpoint is acknowledged after that: by then, no host
+        that this one can reach sends requests to it. The wait for a host that can't be
+        reached ends at the deadline.
         """
         with self._changed:
             return self._changed.wait_for(
-                lambda: self._all_know(version), deadline.remaining()
+                lambda: self._all_confirmed(version), deadline.remaining()
             )
 
-    def _note(self, request: WatchRequest, known_version: int) -> None:
+    def _record_watcher(self, request: WatchRequest, known_version: int) -> None:
         pressures = usable_pressures(request.watcher_id, request.pressures or ())
         with self._changed:
             self._watcher_by_id[request.watcher_id] = _Watcher(
@@ -203,28 +203,28 @@
                 tuple(pressures),
             )
             if request.is_entry_host:
-                # Each start of a process watches under another name.
+                # Each start of a host's process watches under another id.
                 host_id = request.watcher_id.partition("/")[0]
                 self._entry_asked_at_by_host[host_id] = steady_seconds()
             self._changed.notify_all()
 
     def heard_share(self) -> float:
-        """Return the share of the entry hosts known that are heard now."""
+        """Return the share of the known entry hosts that are currently heard from."""
         now = steady_seconds()
         with self._changed:
             asked_at_by_host = self._entry_asked_at_by_host
             for host_id, asked_at in list(asked_at_by_host.items()):
-                if asked_at < now - KNOWN_SECONDS:
+                if asked_at < now - ENTRY_HOST_RETENTION_SECONDS:
                     del asked_at_by_host[host_id]
             if not asked_at_by_host:
                 return 1.0
             asked = asked_at_by_host.values()
-            return sum(at > now - WATCHER_SECONDS for at in asked) / len(asked)
+            return sum(at > now - WATCHER_TIMEOUT_SECONDS for at in asked) / len(asked)
 
     def pressure_of(self, service_name: str) -> ServicePressure:
-        """Return the sum of what all live entry hosts met at a service's engines."""
+        """Return the sum of the loads that live entry hosts report for a service."""
         with self._changed:
-            told = [
+            reported = [
                 pressure
                 for watcher in self._live()
                 for pressure in watcher.pressures
@@ -232,15 +232,15 @@
             ]
         return ServicePressure(
             service_name,
-            sum(pressure.waited for pressure in told),
-            sum(pressure.prompt_ms_per_second for pressure in told),
+            sum(pressure.waited for pressure in reported),
+            sum(pressure.prompt_ms_per_second for pressure in reported),
         )
 
-    def _all_know(self, version: int) -> bool:
+    def _all_confirmed(self, version: int) -> bool:
         return all(watcher.known_version >= version for watcher in self._live())
 
     def _live(self) -> list[_Watcher]:
-        oldest = steady_seconds() - WATCHER_SECONDS
+        oldest = steady_seconds() - WATCHER_TIMEOUT_SECONDS
         for watcher_id, watcher in list(self._watcher_by_id.items()):
             if watcher.asked_at < oldest:
                 del self._watcher_by_id[watcher_id]
@@ -251,7 +251,7 @@
             return sum(watcher.is_entry_host for watcher in self._live())
 
     def _leader(self) -> _Leader:
-        # Without the replica's lock, as below; an answer is made with it.
+        # Without the replica's lock, as below; replies are built while holding it.
         replica = self._replica
         if not replica.hears_leader:
             return NO_LEADER
@@ -259,5 +259,6 @@
         return _Leader(contact.address, contact.term) if contact.address else NO_LEADER
 
     def _configuration_version(self) -> int:
-        # Without the replica's lock: those who wait ask this inside the book's.
+        # Without the replica's lock: waiting watches call this while they hold the
+        # registry's lock.
         return int(self._replica.machine.configurations.current.revision)
--- a/tests/control/test_leader_news.py
+++ b/tests/control/test_leader_news.py
@@ -1,4 +1,4 @@
-"""Watchers are told who leads, with real processes."""
+"""Tests that watchers learn of a new leader, with real processes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from jujubeslip.peers import WatchReply, WatchRequest
 from tests.control.cluster import ControlCluster, ControlHost
 
-# How long an entry host lets a watch wait, in milliseconds.
+# How long a watch of an entry host may wait, in milliseconds.
 WAIT_MS = 4000
-# What a request may wait for a leader, in seconds: told later, hosts ask in vain.
-KNOWN_SECONDS = 0.25
+# Maximum time to learn of the new leader, in seconds: a request waits no longer for a
+# leader, so hosts that learn of it later call the old one without success.
+LEADER_KNOWN_SECONDS = 0.25
 
 
 def watch(host: ControlHost, known: WatchReply | None = None) -> WatchReply:
-    """Watch as an entry host does that knows what it was told before."""
+    """Watch as an entry host that knows the given earlier reply."""
     request = WatchRequest(
         known.book_id if known else 0,
         known.version if known else 0,
@@ -34,10 +35,10 @@
 
 
 class TestElection:
-    """Guards against requests that go on to a leader that was replaced."""
+    """Guards against requests that are still sent to a replaced leader."""
 
     @pytest.mark.parametrize("takeovers", [1, 2])
-    def test_is_told_at_once(self, tmp_path: Path, takeovers: int) -> None:
+    def test_is_announced_at_once(self, tmp_path: Path, takeovers: int) -> None:
         with ControlCluster(tmp_path, 5) as cluster:
             cluster.apply(1, 0)
             for host in cluster.hosts:
@@ -49,11 +50,13 @@
         frozen = cluster.leader()
         others = [host for host in cluster.others(frozen) if host.running]
         with ThreadPoolExecutor(len(others)) as threads:
-            told = [(host, watch(host)) for host in others]
-            waiting = [threads.submit(watch, host, known) for host, known in told]
+            earlier_replies = [(host, watch(host)) for host in others]
+            waiting = [
+                threads.submit(watch, host, known) for host, known in earlier_replies
+            ]
             frozen.kill()
             leader = cluster.leader(others)
             elected = time.monotonic()
             replies = [item.result() for item in waiting]
-            assert time.monotonic() - elected < KNOWN_SECONDS
+            assert time.monotonic() - elected < LEADER_KNOWN_SECONDS
         assert {reply.leader_address for reply in replies} == {leader.address}
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of changes and claims as operators and entry hosts send them."""
+"""Tests of configuration changes and claims from operators and entry hosts."""
 
 from __future__ import annotations
 
@@ -35,8 +35,10 @@
 
 
 class TestRacingOperators:
-    def test_exactly_one_of_equal_base_wins(self, cluster: ControlCluster) -> None:
-        """Operators change the rules at the same time from the same revision."""
+    def test_exactly_one_change_of_a_revision_wins(
+        self, cluster: ControlCluster
+    ) -> None:
+        """Several operators change the rules concurrently from the same revision."""
         base = current_revision(cluster)
         barrier = threading.Barrier(6)
 
@@ -77,7 +79,9 @@
 
 
 class TestFollowing:
-    def test_followers_push_what_they_apply(self, cluster: ControlCluster) -> None:
+    def test_followers_return_new_revisions_at_once(
+        self, cluster: ControlCluster
+    ) -> None:
         base = current_revision(cluster)
         followers = cluster.others(cluster.leader())
         with ThreadPoolExecutor(len(followers)) as pool:
@@ -91,11 +95,11 @@
             pushed = [future.result(BOUND_SECONDS) for future in waiting]
         assert [item.revision for item in pushed] == [base + 1, base + 1]
 
-    def test_client_leaves_a_replica_that_has_no_news(self, tmp_path: Path) -> None:
-        """An entry host keeps an old configuration though two replicas are newer.
+    def test_client_switches_from_an_outdated_replica(self, tmp_path: Path) -> None:
+        """Guards against an entry host that keeps an outdated configuration.
 
-        The replica that it polls is cut off from the leader and answers each poll,
-        always with the old revision.
+        The replica that it polls is cut off from the leader and answers each poll with
+        the old revision, while the other two replicas have a newer one.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -112,11 +116,13 @@
             assert polls[0] == 1
             assert 2 in polls
 
-    def test_a_poll_without_news_brings_no_text(self, cluster: ControlCluster) -> None:
-        """Hundreds of entry hosts poll all day; few of their polls bring a change.
+    def test_poll_of_an_unchanged_revision_has_no_text(
+        self, cluster: ControlCluster
+    ) -> None:
+        """Guards against transferring an unchanged declaration with each poll.
 
-        With the whole text in each answer, control and the links between zones are
-        busy with a declaration that nobody needs.
+        Hundreds of entry hosts poll all the time, and few polls return a change. The
+        full text would load control hosts and the links between zones for nothing.
         """
         newest = cluster.client.get_configuration(-1, 0)
         unchanged = cluster.client.get_configuration(newest.revision, 0)
@@ -132,7 +138,10 @@
 
 class TestClaims:
     def test_many_entry_hosts_claim_one_key(self, cluster: ControlCluster) -> None:
-        """A school's cover request reaches all entry hosts at once."""
+        """Guards against a request that runs several times.
+
+        One request reaches all entry hosts at the same time.
+        """
 
         def claim(number: int) -> KeyReply:
             request = make_claim("cover-request", f"request-{number}")
@@ -153,22 +162,20 @@
         assert (reply.status, reply.outcome) == (KeyStatus.FINISHED, b"confirmed")
 
     @pytest.mark.parametrize("key", ["", "k" * 2000])
-    def test_claim_that_can_not_be_applied_is_refused(
-        self, cluster: ControlCluster, key: str
-    ) -> None:
+    def test_invalid_claim_is_refused(self, cluster: ControlCluster, key: str) -> None:
         with pytest.raises(PeerRefusal) as refused:
             cluster.claim(key)
         assert refused.value.error_id == "claim_invalid"
 
     def test_client_gives_up_by_its_deadline(self, tmp_path: Path) -> None:
-        with ControlCluster(tmp_path, 3) as alone:
-            alone.apply(1, 0)
-            leader = alone.leader()
-            for host in alone.others(leader):
+        with ControlCluster(tmp_path, 3) as own_cluster:
+            own_cluster.apply(1, 0)
+            leader = own_cluster.leader()
+            for host in own_cluster.others(leader):
                 host.kill()
             deadline = Deadline.after(1.5)
             with pytest.raises(PeerUnavailableError):
-                alone.client.claim_key(make_claim("key"), deadline)
+                own_cluster.client.claim_key(make_claim("key"), deadline)
             assert deadline.expired
             assert not Deadline(deadline.instant + 1.0).expired
 
--- a/tests/control/test_removal_table.py
+++ b/tests/control/test_removal_table.py
@@ -1,4 +1,4 @@
-"""Removals of endpoints in the log, and what a host that starts finds there."""
+"""Tests of endpoint removals in the replicated state and its snapshots."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class TestRecordedRemovals:
-    """Guards against a removal that is forgotten, or kept for all time."""
+    """Guards against a removal that is lost, or kept forever."""
 
     def test_are_kept_by_start(self) -> None:
         later = removal(start=START + 1)
@@ -52,15 +52,15 @@
         assert starts(loaded) == starts(machine)
         assert len(starts(loaded)) == count
 
-    def test_end_by_log_time(self) -> None:
-        kept_ms = _removal_table.KEPT_MS
-        machine = applied((0, removal("a")), (kept_ms, removal("b")))
+    def test_expire_by_log_time(self) -> None:
+        retention_ms = _removal_table.RETENTION_MS
+        machine = applied((0, removal("a")), (retention_ms, removal("b")))
         assert starts(machine) == [("a", START), ("b", START)]
-        machine = applied((0, removal("a")), (kept_ms + 1, removal("b")))
+        machine = applied((0, removal("a")), (retention_ms + 1, removal("b")))
         assert starts(machine) == [("b", START)]
 
-    def test_are_so_many_at_most(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(_removal_table, "MAXIMUM_KEPT", 2)
+    def test_are_limited_in_number(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        monkeypatch.setattr(_removal_table, "MAXIMUM_REMOVALS", 2)
         machine = applied(*((n, removal(f"e-{n}")) for n in range(3)))
         assert starts(machine) == [("e-1", START), ("e-2", START)]
 
@@ -70,7 +70,7 @@
         [record] = machine.removals.records()
         assert record.removal.scope == RemovalScope.NAMED_START
 
-    def test_since_a_version_are_the_new_ones(self) -> None:
+    def test_added_since_a_version_are_returned(self) -> None:
         machine = applied((0, removal("a")))
         version = machine.removals.version
         machine.apply(make_entry(2, 1, 1, removal("b")))
@@ -80,7 +80,7 @@
 
 
 class TestRepeatedRemoval:
-    """Guards against a write for each announcement of an endpoint that leaves."""
+    """Guards against a disk write for each announcement of a leaving endpoint."""
 
     @pytest.mark.parametrize(
         ("scope", "after_ms", "is_held"),
@@ -92,7 +92,7 @@
             (RemovalScope.ANY_START, 100_000, False),
         ],
     )
-    def test_is_held_while_it_says_nothing_new(
+    def test_is_held_while_it_adds_nothing(
         self, scope: RemovalScope, after_ms: int, is_held: bool
     ) -> None:
         machine = applied((0, removal(scope=scope)))
--- a/tests/control/test_watches.py
+++ b/tests/control/test_watches.py
@@ -1,4 +1,4 @@
-"""What a control host makes of the watches of other hosts."""
+"""Tests of the watches by which other hosts follow a control host."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 import pytest
 
 from jujubeslip.control import _watches
-from jujubeslip.control._watches import KNOWN_SECONDS, WATCHER_SECONDS, Watches
+from jujubeslip.control._watches import (
+    ENTRY_HOST_RETENTION_SECONDS,
+    WATCHER_TIMEOUT_SECONDS,
+    Watches,
+)
 from jujubeslip.discovery import EndpointBook
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import ServicePressure, WatchRequest
@@ -29,9 +33,9 @@
 
 @pytest.fixture
 def watches() -> Watches:
-    """Return the watches of a host that knows one endpoint."""
-    book = EndpointBook()
-    book.take([engine("a")])
+    """Return the watches of a control host that knows one endpoint."""
+    registry = EndpointBook()
+    registry.take([engine("a")])
     current = SimpleNamespace(revision=3)
     replica: Any = SimpleNamespace(
         machine=SimpleNamespace(configurations=SimpleNamespace(current=current)),
@@ -39,26 +43,26 @@
         leadership=None,
         hears_leader=False,
     )
-    return Watches(replica, book, lambda: ["10.0.0.1:7000"])
+    return Watches(replica, registry, lambda: ["10.0.0.1:7000"])
 
 
 def ask(watches: Watches, *pressures: ServicePressure, **fields: Any) -> int:
-    """Ask as a host that knows nothing; return how many endpoints it is told of."""
+    """Watch as a host without any state; return how many endpoints it receives."""
     request = WatchRequest(0, 0, 0, True, "entry-1/1", 0, list(pressures))
     for name, value in fields.items():
         setattr(request, name, value)
     return len(watches.answer(received(request)).endpoints)
 
 
-class TestBrokenLoad:
-    """An entry host of another version tells of its load without one of the fields.
+class TestInvalidLoad:
+    """Guards against an invalid load of one host that stops all role changes.
 
-    The sum over all hosts would fail, and with it the look at the engines of every
-    service: no engine is ordered to another role while that host watches.
+    An entry host of another version reports its load without one of the fields. The sum
+    over all hosts would fail, and with it the scan of the engines of every service.
     """
 
     @pytest.mark.parametrize("broken", BROKEN, ids=repr)
-    def test_is_left_out_of_the_sum(
+    def test_is_excluded_from_the_sum(
         self, watches: Watches, broken: ServicePressure
     ) -> None:
         sound = ServicePressure("model", 4, 500)
@@ -66,23 +70,24 @@
         assert watches.pressure_of("model") == sound
 
 
-class TestWatchThatLacksFields:
+class TestWatchWithMissingFields:
     @pytest.mark.parametrize(
         "name",
         ["known_version", "wait_ms", "known_configuration_version", "pressures"],
     )
-    def test_is_told_all_and_holds_nobody_up(self, watches: Watches, name: str) -> None:
+    def test_gets_everything_without_a_wait(self, watches: Watches, name: str) -> None:
         assert ask(watches, **{name: None}) == 1
         assert not watches.wait_until_told(1, Deadline.after(0))
 
 
-class TestHostsThatAreNotHeard:
-    """A zone of hosts is cut off, and spends its part of accounts' limits by itself.
+class TestUnreportedHosts:
+    """Guards against a leader that grants the whole rate while hosts are cut off.
 
-    A leader that let run the whole rate meanwhile would break the limits' bound.
+    The hosts of a cut-off availability zone spend their share of the account limits
+    without the leader, so the accounts would exceed their limits.
     """
 
-    def test_lower_the_share_until_they_are_back(
+    def test_lower_the_share_until_they_report_again(
         self, watches: Watches, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         clock = Clock()
@@ -90,7 +95,7 @@
         assert watches.heard_share() == 1
         for host in ("near", "far"):
             ask(watches, watcher_id=f"{host}/1")
-        clock.now += WATCHER_SECONDS - 0.5
+        clock.now += WATCHER_TIMEOUT_SECONDS - 0.5
         ask(watches, watcher_id="near/1")
         assert watches.heard_share() == 1
         clock.now += 1
@@ -99,29 +104,33 @@
         ask(watches, watcher_id="far/2")
         assert watches.heard_share() == 1
 
-    def test_are_forgotten_when_they_were_taken_away(
+    def test_are_forgotten_once_they_count_as_removed(
         self, watches: Watches, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         clock = Clock()
         monkeypatch.setattr(_watches, "steady_seconds", clock.steady_seconds)
         ask(watches, watcher_id="removed/1")
-        clock.now += KNOWN_SECONDS + 1
+        clock.now += ENTRY_HOST_RETENTION_SECONDS + 1
         ask(watches, watcher_id="near/1")
         assert watches.heard_share() == 1
 
-    def test_do_not_count_control_hosts(self, watches: Watches) -> None:
+    def test_do_not_include_control_hosts(self, watches: Watches) -> None:
         ask(watches, watcher_id="control/1", is_entry_host=False)
         assert watches.heard_share() == 1
 
 
-class TestCrashOfOneContent:
-    """Guards against a content that another host saw run, and was not asked about."""
+class TestFirstCrashOfAContent:
+    """Guards against a crash that entry hosts don't learn of.
 
-    def test_is_told_to_entry_hosts(self, watches: Watches) -> None:
-        crash_book = CrashBook()
-        watches._crash_book = crash_book
+    Another host may have seen the same content run to completion, which it reports only
+    if it learns of the crash.
+    """
+
+    def test_is_sent_to_entry_hosts(self, watches: Watches) -> None:
+        crash_registry = CrashBook()
+        watches._crash_registry = crash_registry
         crash = Crash("start-1", 0.0, 1.0)
-        crash_book.take([CrashHistory("f" * 16, (crash,))])
+        crash_registry.take([CrashHistory("f" * 16, (crash,))])
         request = WatchRequest(0, 0, 0, True, "entry-1/1", 0, [])
         reply = watches.answer(received(request))
         assert [record.fingerprint for record in reply.crashes] == ["f" * 16]
