--- a/src/jujubeslip/control/_claims.py
+++ b/src/jujubeslip/control/_claims.py
@@ -129,7 +129,7 @@
 
     def __init__(self, maximum_claims: int = MAXIMUM_CLAIMS) -> None:
         self._maximum_claims = maximum_claims
-        # In order of stamps: a key that is claimed anew moves to the end.
+        # In order of stamps: a key that is claimed again moves to the end.
         self._claim_by_digest = _PackedClaims()
         self._outcomes_by_number: deque[tuple[int, bytes]] = deque()
         self._outcome_bytes = 0
@@ -139,7 +139,7 @@
         return len(self._claim_by_digest)
 
     def claim(self, claim: KeyClaim, stamp_ms: int) -> KeyReply | ClaimsFull:
-        """Give the key to the first claimant; tell the others its state or outcome.
+        """Give the key to its first claimant; return its state or outcome to others.
 
         The same request id and owner gets FIRST again while it runs, so that a claim
         can be sent again after a lost reply.
--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -91,7 +91,7 @@
         """Return the configuration applied here, once it is newer than the known one.
 
         Any replica answers, since a caller only ever moves to a higher revision. With
-        a negative known_revision the leader alone answers, with the newest one. When
+        a negative known_revision only the leader answers, with the newest one. When
         there is nothing newer, the answer has the revision without the text.
         """
         if known_revision < 0:
--- a/src/jujubeslip/control/_removal_log.py
+++ b/src/jujubeslip/control/_removal_log.py
@@ -85,7 +85,7 @@
     def _apply_new_removals(self) -> None:
         with self._replica.lock:
             machine = self._replica.machine
-            # An installed snapshot replaces the machine, whose versions start anew.
+            # An installed snapshot replaces the machine, whose versions start again.
             known = self._applied_version if machine is self._machine else 0
             records = machine.removals.since(known)
             now_ms = machine.stamp_ms
--- a/src/jujubeslip/control/_role_balance.py
+++ b/src/jujubeslip/control/_role_balance.py
@@ -221,12 +221,12 @@
     useful: int | None = None,
     orderable: EnginesByRole | None = None,
 ) -> tuple[Endpoint, EndpointRole] | None:
-    """Return the engine to order and its new role, None if all is well.
+    """Return the engine to order and its new role, None if no change is needed.
 
-    `shortage_seconds` is how long decodes have lacked memory. Once `useful`, the useful
-    number of prefill engines, is known, a shortage orders none here: excess prefill
-    engines change role for being idle. Only engines in `orderable`, which are not
-    carrying out an order, are chosen, in the order given.
+    `shortage_seconds` is how long decodes have lacked memory. Once the `useful` number
+    of prefill engines is known, a shortage orders none of them, since those beyond that
+    number are ordered anyway. Only engines in `orderable`, which are not carrying out
+    an order, are chosen, the first ones before others.
     """
     orderable = orderable or engines
     if not engines.prefill and len(engines.decode) > 2:
--- a/tests/control/test_roles.py
+++ b/tests/control/test_roles.py
@@ -205,7 +205,7 @@
     """Guards against orders to engines of a service that is not configured.
 
     Any program may announce engines, also for a service that no configuration names or
-    that is configured without engines. An order would change what they do unasked.
+    that is configured without engines. An order would change their role unexpectedly.
     """
 
     @pytest.mark.parametrize(("configured", "orders"), [(set(), 0), ({"model"}, 1)])
