--- a/src/jujubeslip/control/__init__.py
+++ b/src/jujubeslip/control/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log on the hosts with a disk, and the state that it carries."""
+"""The replicated log of the control hosts and the state machine built from it."""
 
 from jujubeslip.control._client import ControlClient
 from jujubeslip.control._errors import (
--- a/src/jujubeslip/control/_changes.py
+++ b/src/jujubeslip/control/_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the membership, one replica at a time, by the leader."""
+"""Membership changes by the leader, one replica at a time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     without_replica,
 )
 from jujubeslip.control._replica import Replica
-from jujubeslip.control._succession import Succession, is_spare
+from jujubeslip.control._succession import MembershipPlanner, is_surplus_voter
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import (
     Member,
@@ -27,32 +27,36 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a joining replica waits for its change, in seconds: an election and a commit.
+# How long a joining replica waits for its membership change, in seconds: enough for an
+# election and a commit.
 CHANGE_SECONDS = 5.0
-# The same for one step of the leader's own, which is tried again at the next look.
+# The same for a change that the leader makes by itself, which is retried in the next
+# periodic pass.
 STEP_SECONDS = 1.0
-# A replacement takes two steps; the rest waits for the next look.
+# Limit on the steps in one pass; further steps wait for the next pass. A replacement
+# takes two steps.
 MAXIMUM_STEPS = 4
 RETRY_AFTER_MS = 500
 POLL_SECONDS = 0.05
-# One more than is planned for, so that a host can be added before one is removed.
+# One more than the largest supported cluster, so that a host can be added before
+# another is removed.
 MAXIMUM_HOSTS = 6
 
 
 class MembershipChanges:
     """Adds and removes replicas through the log.
 
-    Each change waits for the one before it: with only one replica of difference, any
-    majority before shares a replica with any majority after, so that two leaders
-    can't be elected by two memberships.
+    Each change waits until the previous one is committed. As consecutive memberships
+    differ by one replica only, any majority of one shares a replica with any majority
+    of the other, so that the two can't elect two leaders.
     """
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
-        self._succession = Succession(replica)
+        self._planner = MembershipPlanner(replica)
 
     def join(self, joining: ReplicaDescription) -> None:
-        """Take in a replica as a learner; it gets entries but no vote."""
+        """Add a replica as a learner, which receives entries but has no vote."""
 
         def learner_added(membership: Membership) -> Membership:
             if find_member(membership, joining.replica_id) is not None:
@@ -66,7 +70,7 @@
         self._change(learner_added, Deadline.after(CHANGE_SECONDS))
 
     def add_host(self, host_id: str, deadline: Deadline) -> None:
-        """Let a new host join with an empty data folder."""
+        """Admit a new host, which then may join with an empty data folder."""
 
         def admitted(membership: Membership) -> Membership:
             if members_of_host(membership, host_id):
@@ -83,80 +87,84 @@
         self._change(admitted, deadline)
 
     def remove_host(self, host_id: str, deadline: Deadline) -> None:
-        """Remove a host's replicas, unless the others would be without a quorum."""
+        """Remove a host's replicas, unless the others would have no quorum."""
 
         def removed(membership: Membership) -> Membership:
-            left = without_host(membership, host_id)
-            if not voters(left):
+            remaining = without_host(membership, host_id)
+            if not voters(remaining):
                 raise _no_quorum_left()
-            return left
+            return remaining
 
         self._change(removed, deadline)
 
     def leave(self, replica_id: str) -> None:
-        """Remove a replica that is about to stop, if the others are enough."""
+        """Remove a replica that is about to stop, if enough voters remain."""
 
-        def left(membership: Membership) -> Membership:
-            if not is_spare(membership, replica_id, self._replica.settings):
+        def remaining(membership: Membership) -> Membership:
+            if not is_surplus_voter(membership, replica_id, self._replica.settings):
                 return membership
             return without_replica(membership, replica_id)
 
-        self._change(left, Deadline.after(STEP_SECONDS))
+        self._change(remaining, Deadline.after(STEP_SECONDS))
 
     def promote_learners(self) -> None:
-        """Promote learners and remove who is gone, one step right after the other.
+        """Promote learners and remove unresponsive voters, in consecutive steps.
 
-        Between the removal of a replica and the promotion of its successor each
-        majority needs all that are left: that state is kept as short as it can be.
+        Between the removal of a replica and the promotion of its successor a majority
+        may need all remaining voters, so the steps follow each other without a pause.
         """
         try:
             for _ in range(MAXIMUM_STEPS):
                 deadline = Deadline.after(STEP_SECONDS)
-                if not self._change(self._succession.next_step, deadline):
+                if not self._change(self._planner.next_step, deadline):
                     return
         except (NotLeader, PeerRefusal) as refusal:
-            logger.debug("no membership step", extra={"reason": str(refusal)})
+            logger.debug("membership step refused", extra={"reason": str(refusal)})
 
     def _change(
-        self, next_of: Callable[[Membership], Membership], deadline: Deadline
+        self, change: Callable[[Membership], Membership], deadline: Deadline
     ) -> bool:
-        """Commit the next membership; False if it equals the current one."""
+        """Commit the next membership; return False if it equals the current one."""
         replica = self._replica
         with replica.lock:
-            patience = self._succession.gone_seconds
-            settling = deadline.earlier_of(Deadline.after(patience))
-            following = self._settle(next_of, settling)
-            if following is None:
+            unresponsive_seconds = self._planner.unresponsive_seconds
+            committable_deadline = deadline.earlier_of(
+                Deadline.after(unresponsive_seconds)
+            )
+            next_membership = self._wait_until_committable(change, committable_deadline)
+            if next_membership is None:
                 return False
-            logger.warning("changing the replicas", extra={"to": str(following)})
-            waiting = replica.submit(following)
+            logger.warning(
+                "changing the membership", extra={"to": str(next_membership)}
+            )
+            waiting = replica.submit(next_membership)
         replica.wait_for(waiting, deadline)
         with replica.lock:
-            # Who stops after its change may be needed to have it told.
+            # A replica that stops after its change may still be needed to confirm it.
             replica.role_changed.wait_for(
-                lambda: replica.is_settled or replica.leadership is None,
+                lambda: replica.is_membership_settled or replica.leadership is None,
                 deadline.remaining(),
             )
         return True
 
-    def _settle(
-        self, next_of: Callable[[Membership], Membership], deadline: Deadline
+    def _wait_until_committable(
+        self, change: Callable[[Membership], Membership], deadline: Deadline
     ) -> Membership | None:
         """Wait until a majority of the next voters answers; return the membership.
 
-        A change that can't commit would leave the log without any quorum, since the
-        newest membership counts from the moment that it is in the log. A host that
-        died a moment ago shows only by not answering what is sent from now on.
+        The newest membership takes effect as soon as it is in the log, so a change that
+        can't commit would leave the log without a quorum. Only replies to requests that
+        are sent from now on count, since a host may have failed a moment ago.
         """
         replica = self._replica
         started = steady_seconds()
         while True:
             leadership = replica.require_leader()
-            following = next_of(replica.membership)
-            if following == replica.membership:
+            next_membership = change(replica.membership)
+            if next_membership == replica.membership:
                 return None
-            # Also the leader's first entry: before it commits, an earlier leader's
-            # change could still be in force elsewhere.
+            # The leader's first entry has to be committed as well: until then a change
+            # by an earlier leader could still be in effect on other replicas.
             newest = max(replica.memberships.current_index, leadership.first_index)
             if newest > replica.commit_index:
                 raise _refusal(
@@ -164,8 +172,8 @@
                     "Another change of the replicas is not committed yet.",
                     "Ask again in a second.",
                 )
-            if leadership.quorum_instant(following) >= started:
-                return following
+            if leadership.quorum_acknowledged_at(next_membership) >= started:
+                return next_membership
             if deadline.expired:
                 raise _no_quorum_left()
             replica.role_changed.wait(POLL_SECONDS)
@@ -186,7 +194,8 @@
                 f"Run `jujubeslip replica add {joining.host_id}` first.",
             )
         if any(
-            member.voter and not self._succession.is_gone(member) for member in known
+            member.voter and not self._planner.is_unresponsive(member)
+            for member in known
         ):
             raise _refusal(
                 "replica_still_answers",
--- a/src/jujubeslip/control/_commands.py
+++ b/src/jujubeslip/control/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log: each is a Thrift struct, and has an entry kind."""
+"""Commands of the replicated log: Thrift structs, each with its own entry kind."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class NoOp:
-    """Changes nothing; a new leader commits it to learn what is committed."""
+    """Changes nothing; a new leader commits it, and with it all earlier entries."""
 
 
 Command: TypeAlias = (
@@ -56,7 +56,7 @@
 @singledispatch
 def kind_of(command: object) -> EntryKind:
     """Return the kind of entry that carries the command."""
-    raise TypeError(f"{type(command).__name__} is no command of the log")
+    raise TypeError(f"{type(command).__name__} is not a command of the log")
 
 
 @kind_of.register
--- a/src/jujubeslip/control/_disk_probe.py
+++ b/src/jujubeslip/control/_disk_probe.py
@@ -1,4 +1,4 @@
-"""Ends a process whose disk had failed, once the disk takes writes again."""
+"""Ends a process whose disk had failed, once the disk accepts writes again."""
 
 from __future__ import annotations
 
@@ -13,38 +13,39 @@
 logger = logging.getLogger(__name__)
 
 PROBE_NAME = "probe"
-# As much as the log and a snapshot need at once, so that the next write after the
-# restart does not fail again.
+# Size of the test write: as much as the log and a snapshot need at once, so that the
+# next write after the restart does not fail again.
 PROBE_BYTES = 4 * 1024 * 1024
-# How often a failed disk is tried, in seconds: soon, since until then the other
-# replicas bear one loss less.
+# Interval of the test writes to a failed disk, in seconds. It is short, since until the
+# restart the cluster tolerates one loss less.
 PROBE_SECONDS = 0.4
 
 
 class DiskProbe:
-    """Watches for a failed write or sync, and for the disk's return.
+    """After a failed write or sync, detects that the disk works again.
 
-    After a failure it is unknown what is durable, so the replica promises nothing until
-    it has read back what the disk holds. Its supervisor starts the process again, but
-    only when it ends: two disks that were full for some seconds, one after the other,
-    would leave three replicas without a majority for good.
+    After a failure it is unknown which data is durable, so the replica acknowledges
+    nothing until it has read back the data folder. The process has to end for that, as
+    its supervisor starts it again only then. If it kept running, two disks that were
+    full for some seconds, one after the other, would leave three replicas without a
+    majority for good.
     """
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     def look(self) -> None:
-        """End the process if its disk had failed and takes writes again."""
+        """End the process if its disk had failed and accepts writes again."""
         if not self._replica.failure or not self._takes_writes():
             return
-        self._replica.process.end_to_start_anew("the disk takes writes again")
+        self._replica.process.end_to_start_anew("the disk accepts writes again")
 
     def _takes_writes(self) -> bool:
         path = self._replica.storage.folder / PROBE_NAME
         try:
             _write(path)
         except (StorageFailedError, OSError) as error:
-            logger.debug("the disk still fails", extra={"error": str(error)})
+            logger.debug("disk still refuses writes", extra={"error": str(error)})
             return False
         finally:
             path.unlink(missing_ok=True)
--- a/src/jujubeslip/control/_election.py
+++ b/src/jujubeslip/control/_election.py
@@ -1,4 +1,4 @@
-"""Elections: one task that campaigns when no leader is heard, and gives up a lead."""
+"""The election task: campaigns without a leader, steps down without a quorum."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from jujubeslip.control._fresh_election import FreshElection
+from jujubeslip.control._fresh_election import ColdStartElection
 from jujubeslip.control._leadership import Role
 from jujubeslip.control._members import VoteQuorum, other_voters, vote_quorum
 from jujubeslip.control._peers import ReplicaClients
@@ -24,14 +24,14 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a campaign waits for pre-votes, which cost the voters no disk, as a share of
-# the election timeout.
+# How long a campaign waits for pre-votes, as a share of the election timeout. Voters
+# answer them without a write to disk.
 PRE_VOTE_SHARE = 0.5
 IDLE_SECONDS = 1.0
 
 
-class Ballot:
-    """Votes that come in from the tasks that ask for them; the candidate's is one."""
+class VoteTally:
+    """Counts the votes that the asking tasks collect, the candidate's own included."""
 
     def __init__(self, quorum: VoteQuorum) -> None:
         self._quorum = quorum
@@ -45,19 +45,22 @@
             self._votes += 1
             self._changed.notify_all()
 
-    def note_lost(self, replica_id: str) -> None:
-        """Note a voter whose disk is lost."""
+    def add_lost(self, replica_id: str) -> None:
+        """Record a voter whose disk is lost."""
         with self._changed:
             self._lost_ids.add(replica_id)
             self._changed.notify_all()
 
-    def won(self, deadline: Deadline) -> bool:
-        """Wait until the votes are enough; False when the deadline passes first."""
+    def wait_until_won(self, deadline: Deadline) -> bool:
+        """Wait for enough votes; return False when the deadline passes first."""
         with self._changed:
             return self._changed.wait_for(self._is_won, deadline.remaining())
 
-    def needless_ids(self) -> set[str]:
-        """Return the voters with lost disks without whom alone it is won."""
+    def excluded_lost_ids(self) -> set[str]:
+        """Return the lost voters that had to be left out for these votes to suffice.
+
+        Empty if the votes are a majority of all voters.
+        """
         with self._changed:
             is_majority = self._votes >= self._quorum.votes_needed(0)
             return set() if is_majority else set(self._lost_ids)
@@ -67,8 +70,8 @@
 
 
 @dataclass(frozen=True)
-class Question:
-    """What a candidate asks one voter."""
+class AddressedVoteRequest:
+    """A vote request and the voter that it goes to."""
 
     voter: Member
     request: VoteRequest
@@ -76,14 +79,14 @@
 
 @dataclass(frozen=True)
 class Campaign:
-    """What a candidate asks the others: a pre-vote changes nothing at the voter."""
+    """One round of vote requests; a pre-vote changes nothing at the voter."""
 
     term: int
-    questions: tuple[Question, ...]
+    vote_requests: tuple[AddressedVoteRequest, ...]
     pre_vote: bool
     quorum: VoteQuorum
     until: Deadline
-    """How long votes are waited for."""
+    """Deadline for the votes."""
 
 
 class Elections:
@@ -95,12 +98,14 @@
 
     def run(self) -> None:
         """Run until the process stops."""
-        FreshElection(self._replica, self._clients, self.campaign_fresh).run()
+        ColdStartElection(
+            self._replica, self._clients, self.campaign_after_cold_start
+        ).run()
         while not self._replica.process.stopped.is_set():
-            if self._wait():
+            if self._wait_until_due():
                 self._campaign()
 
-    def _wait(self) -> bool:
+    def _wait_until_due(self) -> bool:
         """Wait for the next deadline; say whether it is time to campaign."""
         replica = self._replica
         with replica.lock:
@@ -109,7 +114,7 @@
                 replica.role_changed.wait(deadline.remaining())
                 return False
             if replica.leadership is not None:
-                # Cut off from a majority, which may have another leader by now.
+                # A majority that can't be reached may have elected another leader.
                 replica.step_down("no quorum has answered")
                 return False
             if not replica.may_campaign:
@@ -128,10 +133,11 @@
         return replica.election_deadline
 
     def _campaign(self) -> None:
-        """Ask for pre-votes, then for votes, and lead if a majority gives them.
+        """Ask for pre-votes, then for votes, and lead if a majority grants them.
 
-        The pre-vote guards against a replica that was cut off: its term would grow
-        with each try, and on its return it would depose a leader that works.
+        The pre-vote guards against a replica that was partitioned from the others:
+        without it, its term would grow with each campaign, and on its return it would
+        depose a working leader.
         """
         with self._replica.lock:
             transfer, self._replica.transferring = self._replica.transferring, False
@@ -139,9 +145,9 @@
             self._replica.election_deadline = next_campaign
             until = Deadline.after(self._replica.election_seconds * PRE_VOTE_SHARE)
             term = self._replica.term + 1
-            pre_vote = self._prepare(term, True, transfer, until)
+            pre_vote = self._build_campaign(term, True, transfer, until)
             logger.info("no leader heard", extra={"term": self._replica.term})
-        if not transfer and self._win(pre_vote) is None:
+        if not transfer and self._gather_votes(pre_vote) is None:
             return
         try:
             pre_voted = None if transfer else term
@@ -150,8 +156,8 @@
             return
         self._lead_if_won(campaign)
 
-    def campaign_fresh(self, start_by_id: Mapping[str, int]) -> None:
-        """Campaign without a wait: all voters have told that they just started."""
+    def campaign_after_cold_start(self, start_by_id: Mapping[str, int]) -> None:
+        """Campaign at once, after all voters reported that they just started."""
         with self._replica.lock:
             next_campaign = self._replica.random_election_deadline()
             self._replica.election_deadline = next_campaign
@@ -161,7 +167,7 @@
             return
         self._lead_if_won(campaign)
 
-    def _prepare(
+    def _build_campaign(
         self,
         term: int,
         pre_vote: bool,
@@ -170,13 +176,13 @@
         start_by_id: Mapping[str, int] | None = None,
     ) -> Campaign:
         replica = self._replica
-        questions = []
+        vote_requests = []
         for member in other_voters(replica.membership, replica.replica_id):
             request = replica.vote_request(member.replica_id, term, transfer)
             request.fresh_start = (start_by_id or {}).get(member.replica_id)
-            questions.append(Question(member, request))
+            vote_requests.append(AddressedVoteRequest(member, request))
         quorum = vote_quorum(replica.memberships)
-        return Campaign(term, tuple(questions), pre_vote, quorum, until)
+        return Campaign(term, tuple(vote_requests), pre_vote, quorum, until)
 
     def _begin_term(
         self,
@@ -185,25 +191,26 @@
         pre_voted_term: int | None = None,
         start_by_id: Mapping[str, int] | None = None,
     ) -> Campaign | None:
-        """Vote for itself in the next term, durably before anyone is asked.
+        """Vote for itself in the next term, durably before any voter is asked.
 
-        Votes are waited for until the next campaign. A voter saves its vote first,
-        which takes long on a busy disk; left earlier, each campaign would ask for
-        another term to be saved, and none would be won.
+        Votes are accepted until the next campaign. A voter saves its vote before it
+        replies, which takes long on a busy disk. With a shorter wait each campaign
+        would make the voters save another term, and none would be won.
 
-        None where it comes too late. A campaign by the starts of all voters does once
-        this replica has answered a leader, whose lease a vote for itself would break;
-        one by pre-votes once it is in a later term. It may have voted in that one, and
-        would depose who was elected a moment ago.
+        Returns None if the campaign has become invalid. A campaign after a cold start
+        is invalid once this replica has answered a leader, since a vote for itself
+        would break that leader's lease. A campaign by pre-votes is invalid once this
+        replica is in a later term: it may have voted in that term, and would depose
+        the leader that was just elected.
         """
         replica = self._replica
-        with replica.disk_lock, replica.lock, replica.promising():
-            if start_by_id is not None and not replica.is_fresh:
+        with replica.disk_lock, replica.lock, replica.requiring_working_disk():
+            if start_by_id is not None and not replica.no_leader_since_start:
                 return None
             term = replica.term + 1
             if pre_voted_term not in (None, term):
                 extra = {"pre_voted_term": pre_voted_term, "term": replica.term}
-                logger.info("campaign given up", extra=extra)
+                logger.info("campaign abandoned; term has changed", extra=extra)
                 return None
             replica.write_pending()
             replica.save_metadata(
@@ -211,22 +218,28 @@
             )
             replica.role = Role.CANDIDATE
             logger.info("campaigning", extra={"term": term})
-            return self._prepare(term, False, transfer, next_campaign, start_by_id)
+            return self._build_campaign(
+                term, False, transfer, next_campaign, start_by_id
+            )
 
     def _lead_if_won(self, campaign: Campaign | None) -> None:
-        ballot = self._win(campaign) if campaign is not None else None
-        if campaign is not None and ballot is not None:
-            self._lead(campaign.term, ballot.needless_ids())
-
-    def _win(self, campaign: Campaign) -> Ballot | None:
-        """Ask for votes; return the ballot if it is won."""
-        ballot = Ballot(campaign.quorum)
-        for question in campaign.questions:
-            self._replica.process.start_task(self._ask, campaign, question, ballot)
-        return ballot if ballot.won(campaign.until) else None
-
-    def _ask(self, campaign: Campaign, question: Question, ballot: Ballot) -> None:
-        member, request = question.voter, question.request
+        tally = self._gather_votes(campaign) if campaign is not None else None
+        if campaign is not None and tally is not None:
+            self._lead(campaign.term, tally.excluded_lost_ids())
+
+    def _gather_votes(self, campaign: Campaign) -> VoteTally | None:
+        """Ask for votes; return the tally if they suffice."""
+        tally = VoteTally(campaign.quorum)
+        for addressed in campaign.vote_requests:
+            self._replica.process.start_task(
+                self._request_vote, campaign, addressed, tally
+            )
+        return tally if tally.wait_until_won(campaign.until) else None
+
+    def _request_vote(
+        self, campaign: Campaign, addressed: AddressedVoteRequest, tally: VoteTally
+    ) -> None:
+        member, request = addressed.voter, addressed.request
         timeout = campaign.until.remaining()
         method = "pre_vote" if campaign.pre_vote else "request_vote"
         try:
@@ -234,23 +247,28 @@
                 lambda client: getattr(client, method)(request), timeout
             )
         except (PeerUnavailableError, PeerRefusal) as error:
-            logger.debug("no vote", extra={"member": member.replica_id, "why": error})
+            logger.debug(
+                "vote request failed",
+                extra={"member": member.replica_id, "why": error},
+            )
             if isinstance(error, PeerRefusal) and error.error_id == WRONG_REPLICA:
-                self._note_if_lost(member, campaign, ballot)
+                self._record_if_lost(member, campaign, tally)
             return
         if reply.granted:
-            ballot.grant()
+            tally.grant()
             return
         try:
             self._replica.observe_term(reply.term)
         except PeerRefusal:
             return
 
-    def _note_if_lost(self, member: Member, campaign: Campaign, ballot: Ballot) -> None:
-        """Count a voter out if its own host answers from another disk.
+    def _record_if_lost(
+        self, member: Member, campaign: Campaign, tally: VoteTally
+    ) -> None:
+        """Record a voter as lost if its own host answers with another disk id.
 
-        The host answers at the voter's address, where only one of its processes can
-        listen: the disk that the voter wrote to is used no more.
+        Only one process of the host can listen at the voter's address, so a different
+        disk id there shows that the voter's disk is no longer in use.
         """
         try:
             found = self._clients.to_member(member).call(
@@ -262,7 +280,7 @@
             return
         extra = {"member": member.replica_id, "answers_as": found.replica_id}
         logger.info("voter has lost its disk", extra=extra)
-        ballot.note_lost(member.replica_id)
+        tally.add_lost(member.replica_id)
 
     def _lead(self, term: int, lost_ids: Collection[str]) -> None:
         replica = self._replica
--- a/src/jujubeslip/control/_entries.py
+++ b/src/jujubeslip/control/_entries.py
@@ -1,4 +1,4 @@
-"""The log in memory: what is behind the trim, up to the newest entry."""
+"""The log in memory: the entries that have not been trimmed, up to the newest one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from jujubeslip.peers import LogEntry
 
-# What one message carries at most, unless its first entry alone is longer.
+# Limits of one message, except that its first entry may exceed MAXIMUM_BATCH_BYTES.
 MAXIMUM_BATCH_ENTRIES = 500
 MAXIMUM_BATCH_BYTES = 512 * 1024
 ENTRY_OVERHEAD_BYTES = 64
@@ -15,7 +15,7 @@
 class EntryLog:
     """Entries by index; `base_index` is the index before the first one.
 
-    `base_term` is None when the entry before the first one is not known any more.
+    `base_term` is the term at `base_index`, None if it is not known.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         return self._entries[index - self.base_index - 1]
 
     def batch_from(self, index: int) -> list[LogEntry]:
-        """Return entries from the index on, as many as one message carries."""
+        """Return entries from the index on, as many as fit into one message."""
         start = index - self.base_index - 1
         batch: list[LogEntry] = []
         size = 0
@@ -63,8 +63,11 @@
         """Return all entries from the index on."""
         return self._entries[index - self.base_index - 1 :]
 
-    def first_within(self, last_index: int, count: int, size: int) -> int:
-        """Return where to begin to keep at most so many entries and bytes up to one."""
+    def first_index_within(self, last_index: int, count: int, size: int) -> int:
+        """Return the first index of a range that ends at `last_index`.
+
+        The range is the longest one with at most `count` entries and `size` bytes.
+        """
         index = last_index + 1
         while index - 1 > self.base_index and last_index - index + 1 < count:
             size -= len(self.entry(index - 1).payload) + ENTRY_OVERHEAD_BYTES
@@ -79,11 +82,11 @@
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entry with this index and all behind it."""
+        """Remove the entry with this index and all later ones."""
         del self._entries[index - self.base_index - 1 :]
 
     def trim_before(self, index: int) -> None:
-        """Forget the entries before the index."""
+        """Drop the entries before the index."""
         if index <= self.base_index + 1:
             return
         term = self.term_at(index - 1)
@@ -91,7 +94,7 @@
         self.base_index, self.base_term = index - 1, term
 
     def reset(self, index: int, term: int) -> None:
-        """Forget all entries: a snapshot up to the index has taken their place."""
+        """Drop all entries, since a snapshot up to the index replaces them."""
         self._entries.clear()
         self.base_index, self.base_term = index, term
 
--- a/src/jujubeslip/control/_errors.py
+++ b/src/jujubeslip/control/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control host: its disk, its folder, and its proposals."""
+"""Errors of a control host: its disk, its data folder, and its proposals."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class StorageDamagedError(JujubeslipError):
-    """A file of the data folder does not hold what was synced to it."""
+    """A file of the data folder does not hold the data that was synced to it."""
 
     error_id = "storage_damaged"
     default_remedy = (
-        "Move the data folder away and start the replica with an empty one: it comes "
-        "back as a learner. docs/how-to/replace-a-lost-disk.md describes it."
+        "Move the data folder away and start the replica with an empty one: it joins "
+        "as a learner. docs/how-to/replace-a-lost-disk.md describes it."
     )
 
 
 class StorageFailedError(JujubeslipError):
-    """A write or sync that failed; nothing may be promised after it."""
+    """A write or sync failed; the replica may acknowledge nothing after it."""
 
     error_id = "storage_failed"
     default_remedy = "Free space on the disk or replace it, then restart the process."
@@ -30,7 +30,7 @@
 
 
 class LeadershipLostError(JujubeslipError):
-    """A proposal whose outcome this replica can't tell, since it leads no more."""
+    """The outcome of a proposal is unknown, since this replica no longer leads."""
 
     error_id = "leadership_lost"
     default_remedy = "Send the same request again to the new leader; it is idempotent."
--- a/src/jujubeslip/control/_fresh_election.py
+++ b/src/jujubeslip/control/_fresh_election.py
@@ -1,9 +1,10 @@
-"""An election without a wait, where all replicas have just started.
+"""Immediate election after a cold start, when all replicas have just started.
 
-The load that it answers: all hosts lose power at once, or all control hosts are killed.
-A replica that starts waits before it votes, since it may have answered a leader whose
-lease lasts on. Where each voter says that it has just started, has heard no leader
-since and leads nothing, that leader has started anew, too, and its lease has ended.
+It covers a power loss of all hosts and the restart of all control processes. A replica
+that starts normally waits before it votes, since it may have acknowledged a leader
+whose lease is still valid. If every voter reports that it has just started and has
+neither led nor heard from a leader since, the former leader has restarted too, and its
+lease has ended.
 """
 
 from __future__ import annotations
@@ -21,14 +22,15 @@
 
 logger = logging.getLogger(__name__)
 
-# Between two tries, in seconds; each replica draws its own, so that one is the first.
+# Pause between two rounds, in seconds. Each replica draws its own from this range, so
+# that one of them campaigns first.
 LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS = 0.02, 0.12
-# How long a voter may take to answer, in seconds: it needs a millisecond or two.
+# Timeout for a voter's answer, in seconds; an answer takes a millisecond or two.
 ANSWER_SECONDS = 0.2
 
 
-class FreshElection:
-    """Asks all voters until one of them has met a leader, or waits have ended."""
+class ColdStartElection:
+    """Asks all voters until one has heard from a leader or the start-up wait ends."""
 
     def __init__(
         self,
@@ -41,33 +43,33 @@
         self._campaign = campaign
 
     def run(self) -> None:
-        """Return once the usual elections are to go on."""
+        """Run until regular elections take over."""
         pause = random.uniform(LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
-        while self._may_go_on() and not self._replica.process.stopped.wait(pause):
+        while self._may_continue() and not self._replica.process.stopped.wait(pause):
             start_by_id = self._ask_all()
-            if start_by_id is not None and self._may_go_on():
+            if start_by_id is not None and self._may_continue():
                 extra = {"term": self._replica.term, "voters": len(start_by_id) + 1}
                 logger.info("all voters have just started", extra=extra)
                 self._campaign(start_by_id)
 
-    def _may_go_on(self) -> bool:
+    def _may_continue(self) -> bool:
         replica = self._replica
         with replica.lock:
-            waits = not replica.heard_leader_until.expired
+            awaits_lease_end = not replica.heard_leader_until.expired
             others = other_voters(replica.membership, replica.replica_id)
-            may_lead = replica.is_fresh and replica.may_campaign
-            return bool(may_lead and waits and others)
+            may_lead = replica.no_leader_since_start and replica.may_campaign
+            return bool(may_lead and awaits_lease_end and others)
 
     def _ask_all(self) -> dict[str, int] | None:
-        """Return the start of each other voter, None if any has not just started."""
+        """Return each other voter's start number, None if any has not just started."""
         replica = self._replica
         with replica.lock:
             members = other_voters(replica.membership, replica.replica_id)
         with ThreadPoolExecutor(len(members)) as executor:
-            told = list(executor.map(self._ask, members))
+            starts = list(executor.map(self._ask, members))
         start_by_id = {
             member.replica_id: start
-            for member, start in zip(members, told, strict=True)
+            for member, start in zip(members, starts, strict=True)
             if start is not None
         }
         return start_by_id if len(start_by_id) == len(members) else None
@@ -82,7 +84,7 @@
             )
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"member": member.replica_id, "why": str(error)}
-            logger.debug("voter not reached after the start", extra=extra)
+            logger.debug("voter not reached after cold start", extra=extra)
             return None
         start: int | None = reply.fresh_start
         return start
--- a/src/jujubeslip/control/_joining.py
+++ b/src/jujubeslip/control/_joining.py
@@ -1,4 +1,4 @@
-"""How a replica finds, founds, or comes back to its cluster."""
+"""How a replica bootstraps its cluster, joins it, or joins it again."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
 
 RETRY_SECONDS = 0.3
 CALL_SECONDS = 1.0
-# A member that has heard no leader for this many election timeouts asks to be taken
-# in: it may have been replaced while it was away.
-UNHEARD_TIMEOUTS = 2.0
+# A member that has heard from no leader for this many election timeouts asks to join,
+# since it may have been removed while it was not reachable.
+LEADERLESS_TIMEOUTS = 2.0
 CLUSTER_ID_BYTES = 8
 
 
 class Joining:
-    """Runs as long as the process: a member can be removed while it is away.
+    """Bootstraps or joins the cluster; runs until the process stops.
 
-    A cluster is founded only when all hosts of the settings answer that their folders
-    are empty. A majority would not do: two hosts that lost their disks could found a
-    new one while the third, cut off, holds everything that was accepted.
+    It does not end with the first join, since a member can be removed while it is not
+    reachable. A cluster is bootstrapped only when all hosts of the settings answer that
+    their folders are empty. A majority is not enough: two hosts that lost their disks
+    could bootstrap a new cluster while the third, partitioned from them, holds all
+    accepted changes.
     """
 
     def __init__(self, replica: Replica, clients: ReplicaClients) -> None:
@@ -43,18 +45,18 @@
     def run(self) -> None:
         """Run until the process stops."""
         replica = self._replica
-        # Taken in again while it stops, it would leave a vote behind.
+        # Joining again while the process stops would leave a voter without a process.
         while not replica.process.stopping.is_set():
-            if self._is_outside():
+            if self._needs_to_join():
                 self._try_once()
             with replica.lock:
                 replica.role_changed.wait(RETRY_SECONDS)
 
-    def _is_outside(self) -> bool:
-        """Say whether this replica has no cluster, or none that still knows it.
+    def _needs_to_join(self) -> bool:
+        """Say whether this replica is in no cluster, or may have been removed from it.
 
-        One that has heard no leader since its start may have been removed before; a
-        member that asks in vain changes nothing.
+        A replica that has heard from no leader since its start may have been removed
+        before. The request of one that is still a member has no effect.
         """
         replica = self._replica
         with replica.lock:
@@ -62,14 +64,14 @@
                 return True
             if replica.leadership is None and not replica.leader.replica_id:
                 return True
-            unheard = replica.heard_leader_until.overdue()
-            limit = UNHEARD_TIMEOUTS * replica.election_seconds
-            return replica.leadership is None and unheard > limit
+            leaderless_seconds = replica.heard_leader_until.overdue()
+            limit = LEADERLESS_TIMEOUTS * replica.election_seconds
+            return replica.leadership is None and leaderless_seconds > limit
 
     def _try_once(self) -> None:
-        others = self._clients.others()
+        others = self._clients.other_addresses()
         if self._replica.cluster_id:
-            # Members first: seeds may be gone, and each costs a timeout then.
+            # Members first: seeds may no longer exist, and each then costs a timeout.
             self._join([*self._member_addresses(), *others])
             return
         known: list[ReplicaDescription] = []
@@ -79,16 +81,18 @@
             if item is None:
                 missing.append(address)
             elif item.cluster_id:
-                # Asked first, and no other is described before: each seed that is
-                # gone for good would hold the successor up for CALL_SECONDS.
+                # It is asked first, before the remaining seeds are described: each seed
+                # that no longer exists would delay the join by CALL_SECONDS.
                 self._join([address, *others])
                 return
             else:
                 known.append(item)
         if missing:
-            logger.info("waiting to found the cluster", extra={"missing": missing})
-        elif self._founds(known):
-            self._found(known)
+            logger.info(
+                "waiting for hosts to bootstrap the cluster", extra={"missing": missing}
+            )
+        elif self._should_bootstrap(known):
+            self._bootstrap(known)
 
     def _member_addresses(self) -> list[str]:
         replica = self._replica
@@ -106,10 +110,10 @@
         except (PeerUnavailableError, PeerRefusal):
             return None
 
-    def _founds(self, others: list[ReplicaDescription]) -> bool:
+    def _should_bootstrap(self, others: list[ReplicaDescription]) -> bool:
         """Say whether this is the one host that writes the first entry.
 
-        A host that its settings' seeds don't name waits for the seeds to found.
+        A host that is not among the seeds of its settings leaves it to the seeds.
         """
         settings = self._replica.settings
         if not settings.may_found:
@@ -118,7 +122,7 @@
             return False
         return all(settings.host_id < item.host_id for item in others)
 
-    def _found(self, others: list[ReplicaDescription]) -> None:
+    def _bootstrap(self, others: list[ReplicaDescription]) -> None:
         replica = self._replica
         cluster_id = secrets.token_hex(CLUSTER_ID_BYTES)
         members = [
@@ -130,7 +134,7 @@
             if replica.cluster_id or replica.membership.members:
                 return
             try:
-                with replica.promising():
+                with replica.requiring_working_disk():
                     replica.save_metadata(ReplicaMetadata(cluster_id, 1, ""))
                     replica.append_entry(make_entry(1, 1, 0, membership))
                     replica.write_pending()
@@ -138,17 +142,17 @@
                 return
             replica.election_deadline = Deadline.after(0)
             replica.role_changed.notify_all()
-        logger.info("cluster founded", extra={"members": len(members)})
+        logger.info("cluster bootstrapped", extra={"members": len(members)})
 
     def _join(self, addresses: list[str]) -> None:
-        """Ask for the leader until one takes this replica in.
+        """Ask the addresses in turn until the leader adds this replica.
 
-        The leader may be a host that no seed names: a replica that is asked names it.
+        The leader may be a host that is no seed; a replica that is asked names it.
         """
-        left = list(dict.fromkeys(addresses))
+        pending = list(dict.fromkeys(addresses))
         asked: set[str] = set()
-        while left:
-            address = left.pop(0)
+        while pending:
+            address = pending.pop(0)
             if address in asked:
                 continue
             asked.add(address)
@@ -156,10 +160,10 @@
             if leader is None:
                 return
             if leader:
-                left.insert(0, leader)
+                pending.insert(0, leader)
 
     def _ask_to_join(self, address: str) -> str | None:
-        """Return None once taken in, else the leader's address or nothing."""
+        """Return None if this replica joined, else the leader's address or ''."""
         description = own_description(self._replica)
         client = self._clients.to_address(address)
         try:
@@ -171,12 +175,12 @@
             return ""
         except PeerRefusal as refusal:
             extra = {"error_id": refusal.error_id, "reason": refusal.message}
-            logger.warning("not taken in yet", extra=extra)
+            logger.warning("join request refused", extra=extra)
             return ""
 
 
 def own_description(replica: Replica) -> ReplicaDescription:
-    """Return what this replica tells one that has no cluster yet."""
+    """Return this replica's description for a bootstrap or a join."""
     return ReplicaDescription(
         replica.replica_id,
         replica.settings.host_id,
--- a/src/jujubeslip/control/_leadership.py
+++ b/src/jujubeslip/control/_leadership.py
@@ -1,4 +1,4 @@
-"""Roles, and what a leader knows for one term: followers, lease, proposals."""
+"""Roles, and a leader's state for one term: followers, lease, pending proposals."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 @dataclass(frozen=True)
 class LeaderContact:
-    """The leader that a follower last heard."""
+    """The leader from which a follower last received a message."""
 
     replica_id: str = ""
     address: str = ""
     term: int = 0
-    """The term in which it leads; the replica's own may be higher."""
+    """The term in which it leads; the follower's own term may be higher."""
 
 
 @dataclass
 class Progress:
-    """How far a follower is; `acknowledged_at` is when its last answer was asked for.
+    """Replication progress of a follower.
 
-    For a lease the instant of asking counts, not that of the answer, `heard_at`: the
-    follower may have answered at any time after it, and its promise not to vote began
-    no earlier.
+    `acknowledged_at` is when the last answered request was sent, `heard_at` when its
+    reply arrived. A lease counts from the send time: the follower's promise not to
+    vote began at an unknown time between the two.
     """
 
     next_index: int
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True)
 class Fence:
-    """What an order carries: a number that grows with each leader, and its lease.
+    """A leader's fencing number, which grows with each leader, and its lease.
 
-    An order whose answer could come after the lease must not be sent.
+    An order whose reply could arrive after the end of the lease must not be sent.
     """
 
     number: int
@@ -62,7 +62,7 @@
 
 
 class Leadership:
-    """One term of this replica as leader; guarded by the replica's lock."""
+    """One term of this replica as leader; the replica's lock guards it."""
 
     def __init__(
         self, term: int, replica_id: str, last_index: int, stamp_ms: int
@@ -76,15 +76,15 @@
         self._waiter_by_index: dict[int, Future[Outcome]] = {}
 
     def stamp_ms(self) -> int:
-        """Return log time: the last leader's, and the time since this one leads.
+        """Return the log time: the previous leader's plus the time of this leadership.
 
         Clocks of hosts are not compared, and time without a leader does not count,
-        so that retention is never shorter than it says.
+        so that data is never kept for less than its retention.
         """
         return self._stamp_ms + int((steady_seconds() - self.started_at) * 1000)
 
-    def follow_members(self, members: Sequence[Member], last_index: int) -> None:
-        """Begin to track new members and forget those that left."""
+    def track_members(self, members: Sequence[Member], last_index: int) -> None:
+        """Start tracking new members and stop tracking removed ones."""
         for member in members:
             if member.replica_id != self._replica_id:
                 self.progress_by_id.setdefault(
@@ -95,27 +95,27 @@
             del self.progress_by_id[replica_id]
 
     def lease(self, membership: Membership, seconds: float) -> Deadline:
-        """Return until when no other leader can have been elected."""
-        return Deadline(self.quorum_instant(membership) + seconds)
+        """Return the deadline until which no other leader can be elected."""
+        return Deadline(self.quorum_acknowledged_at(membership) + seconds)
 
     def quorum_deadline(self, membership: Membership, seconds: float) -> Deadline:
-        """Return when the leader has gone without answers of a quorum for this long.
+        """Return when the leader will have had no replies of a quorum for this long.
 
-        Answers count when they come in: one that is late shows that its follower was
-        there, and the lease alone says what the leader may promise.
+        Replies count from their arrival: a late one still shows that its follower is
+        alive. What the leader may acknowledge depends on the lease alone.
         """
         heard_at_by_id = {
             replica_id: max(self.started_at, progress.heard_at)
             for replica_id, progress in self.progress_by_id.items()
         }
-        return Deadline(self._quorum_instant(membership, heard_at_by_id) + seconds)
+        return Deadline(self._quorum_timestamp(membership, heard_at_by_id) + seconds)
 
     def committable(
         self, membership: Membership, durable_index: int, lost_ids: Collection[str] = ()
     ) -> int:
         """Return the highest index that a majority of the voters has synced.
 
-        Voters whose disks are lost are left out.
+        Voters whose disks are lost are not counted.
         """
         matches = []
         for member in voters(membership):
@@ -135,25 +135,25 @@
         self._waiter_by_index[index] = future
         return future
 
-    def answer_waiter(self, index: int, outcome: Outcome) -> None:
-        """Hand the outcome of an applied entry to who proposed it."""
+    def resolve_waiter(self, index: int, outcome: Outcome) -> None:
+        """Set the outcome of an applied entry on the future of its proposal."""
         future = self._waiter_by_index.pop(index, None)
         if future is not None:
             future.set_result(outcome)
 
-    def end(self) -> None:
-        """Tell all who wait that this replica can't say what becomes of it."""
+    def fail_waiters(self) -> None:
+        """Fail all pending proposals, since their outcome is unknown from now on."""
         error = LeadershipLostError("This replica no longer leads.")
         for future in self._waiter_by_index.values():
             future.set_exception(error)
         self._waiter_by_index.clear()
 
     def led_for_ms(self) -> int:
-        """Return for how long this replica has led."""
+        """Return for how long this replica has led, in milliseconds."""
         return int((steady_seconds() - self.started_at) * MILLISECONDS)
 
     def acknowledged_ago_ms(self) -> dict[str, int]:
-        """Return when each follower was asked what it last answered, by its id."""
+        """Return the age of each follower's last answered request, by replica id."""
         now = steady_seconds()
         return {
             replica_id: int((now - progress.acknowledged_at) * MILLISECONDS)
@@ -161,19 +161,19 @@
             if progress.acknowledged_at > NEVER
         }
 
-    def quorum_instant(self, membership: Membership) -> float:
-        """Return the latest instant since which a majority has answered."""
+    def quorum_acknowledged_at(self, membership: Membership) -> float:
+        """Return the latest time such that a majority answered requests sent since."""
         acknowledged_at_by_id = {
             replica_id: progress.acknowledged_at
             for replica_id, progress in self.progress_by_id.items()
         }
-        return self._quorum_instant(membership, acknowledged_at_by_id)
+        return self._quorum_timestamp(membership, acknowledged_at_by_id)
 
-    def _quorum_instant(
-        self, membership: Membership, instant_by_id: Mapping[str, float]
+    def _quorum_timestamp(
+        self, membership: Membership, timestamp_by_id: Mapping[str, float]
     ) -> float:
         own = {self._replica_id: steady_seconds()}
-        known = {**instant_by_id, **own}
-        instants = [known[member.replica_id] for member in voters(membership)]
-        instants.sort(reverse=True)
-        return instants[quorum_size(membership) - 1]
+        known = {**timestamp_by_id, **own}
+        timestamps = [known[member.replica_id] for member in voters(membership)]
+        timestamps.sort(reverse=True)
+        return timestamps[quorum_size(membership) - 1]
--- a/src/jujubeslip/control/_loading.py
+++ b/src/jujubeslip/control/_loading.py
@@ -1,4 +1,4 @@
-"""What a replica finds in its data folder at its start."""
+"""Loads the state of a replica from its data folder at start."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class LoadedState:
-    """The snapshot and the entries behind it, of which none is known as committed."""
+    """The snapshot and the later entries, none of which is known to be committed."""
 
     snapshot: SnapshotFile | None
     machine: StateMachine
@@ -23,7 +23,7 @@
 
 
 def load_state(storage: Storage) -> LoadedState:
-    """Read the data folder back, or raise StorageDamagedError."""
+    """Load the state from the data folder, or raise StorageDamagedError."""
     snapshot = storage.load_snapshot()
     index, term, membership = 0, 0, NO_MEMBERSHIP
     machine = StateMachine()
--- a/src/jujubeslip/control/_log_files.py
+++ b/src/jujubeslip/control/_log_files.py
@@ -1,4 +1,4 @@
-"""The log on disk: segments of checksummed entries, appended and synced in batches."""
+"""The log on disk: segment files of checksummed entries, written in batches."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class Segment:
-    """One file of the log; `ends` holds where each entry ends, in bytes."""
+    """One file of the log; `ends` holds the end offset of each entry, in bytes."""
 
     path: Path
     first_index: int
@@ -59,9 +59,9 @@
             raise storage_failed(MARK_NAME, error) from error
 
     def load(self) -> list[LogEntry]:
-        """Return all entries in order, after cutting a torn tail off the last segment.
+        """Return all entries in order, after truncating a torn tail of the log.
 
-        Raises StorageDamagedError when anything else is wrong.
+        Raises StorageDamagedError for any other damage.
         """
         paths = sorted(self._folder.glob(f"{SEGMENT_PREFIX}*"))
         entries: list[LogEntry] = []
@@ -69,7 +69,9 @@
             expected = entries[-1].index + 1 if entries else None
             segment = Segment(path, _first_index(path))
             if expected is not None and segment.first_index != expected:
-                raise StorageDamagedError(f"A log segment before {path.name} is lost.")
+                raise StorageDamagedError(
+                    f"A log segment before {path.name} is missing."
+                )
             entries.extend(self._load_segment(segment, last=path is paths[-1]))
             self._segments.append(segment)
         self._check_mark()
@@ -78,7 +80,7 @@
         return entries
 
     def append(self, entries: Sequence[LogEntry]) -> None:
-        """Write entries behind the last one, without a sync."""
+        """Write entries after the last one, without a sync."""
         if not entries:
             return
         if not self._segments:
@@ -93,20 +95,21 @@
             segment.ends.append(position)
 
     def sync(self) -> None:
-        """Make all appended entries durable; only then may they be promised."""
+        """Make all appended entries durable; only then may they be acknowledged."""
         segment = self._segments[-1]
         sync_file(self._open_descriptor(), segment.path.name)
         self._write_mark(segment.first_index, segment.length)
 
     def truncate_from(self, index: int) -> None:
-        """Remove the entry with this index and all behind it, durably."""
+        """Remove the entry with this index and all later ones, durably."""
         kept = sum(item.first_index <= index for item in self._segments)
         if kept == 0:
             self.drop_all()
             return
         segment = self._segments[kept - 1]
         del segment.ends[max(0, index - segment.first_index) :]
-        # The mark goes back first: a mark behind the end would look like damage.
+        # The mark is moved back first: one beyond the end of the segment would be read
+        # as damage.
         self._write_mark(segment.first_index, segment.length)
         self._sync_mark()
         while self._segments[-1] is not segment:
@@ -119,7 +122,7 @@
         sync_file(self._open_descriptor(), segment.path.name)
 
     def start_segment(self, first_index: int) -> None:
-        """Go on in a new segment, so that older ones can be dropped whole."""
+        """Start a new segment, so that older ones can be removed as whole files."""
         name = f"{SEGMENT_PREFIX}{first_index:020d}"
         segment = Segment(self._folder / name, first_index)
         self._open(segment, os.O_CREAT | os.O_TRUNC)
@@ -127,17 +130,17 @@
         self._segments.append(segment)
 
     def roll(self) -> None:
-        """Go on in a new segment if the last one holds any entry."""
+        """Start a new segment if the last one holds any entry."""
         if self._segments and self._segments[-1].ends:
             self.start_segment(self._segments[-1].last_index + 1)
 
     def drop_before(self, index: int) -> None:
-        """Remove segments that lie wholly below the index."""
+        """Remove segments whose entries are all before the index."""
         while len(self._segments) > 1 and self._segments[0].last_index < index:
             self._remove(self._segments.pop(0))
 
     def drop_all(self) -> None:
-        """Remove every segment: a snapshot has taken the place of the whole log."""
+        """Remove all segments, since a snapshot replaces the whole log."""
         self._close_descriptor()
         self._write_mark(0, 0)
         self._sync_mark()
@@ -156,7 +159,9 @@
         for record in scan_records(data):
             entry = decode(name, LogEntry, record.body)
             if entry.index != segment.last_index + 1:
-                raise StorageDamagedError(f"{name}: entry {entry.index} is misplaced.")
+                raise StorageDamagedError(
+                    f"{name}: entry {entry.index} is out of order."
+                )
             segment.ends.append(record.end)
             yield entry
         if segment.length < self._synced_length(segment.first_index):
@@ -165,24 +170,25 @@
             return
         if not last or has_record_after(data, segment.length):
             raise StorageDamagedError(f"{name} is damaged at byte {segment.length}.")
-        _cut(segment, len(data))
+        _truncate_torn_tail(segment, len(data))
 
     def _synced_length(self, first_index: int) -> int:
-        """Return how many bytes of the segment are durable for sure.
+        """Return how many bytes of the segment are known to be durable.
 
-        The mark is written after each sync but never synced itself. It tells a
-        damaged last entry, which was promised, from the torn tail of a write, which
-        was not. After a power loss it may be old, which only makes it say less.
+        The mark is written after each sync but not synced itself. It distinguishes a
+        damaged last entry, which may have been acknowledged, from the torn tail of a
+        write, which was not. After a power loss it may be outdated, and then only
+        covers fewer bytes.
         """
         mark = self._read_mark()
         return mark.length if mark.first_index == first_index else 0
 
     def _check_mark(self) -> None:
-        """Refuse a folder whose newest segments were removed."""
+        """Raise StorageDamagedError if the newest segments were removed."""
         mark = self._read_mark()
         newest = self._segments[-1].first_index if self._segments else 0
         if mark.length > 0 and mark.first_index > newest:
-            raise StorageDamagedError("The newest log segment is lost.")
+            raise StorageDamagedError("The newest log segment is missing.")
 
     def _read_mark(self) -> SyncedMark:
         size = os.fstat(self._mark).st_size
@@ -231,11 +237,13 @@
     try:
         return int(path.name.removeprefix(SEGMENT_PREFIX))
     except ValueError as error:
-        raise StorageDamagedError(f"{path.name} is no log segment.") from error
+        raise StorageDamagedError(
+            f"{path.name} has no valid name of a log segment."
+        ) from error
 
 
-def _cut(segment: Segment, length: int) -> None:
-    """Cut a torn tail: a write that a crash ended before its sync was promised."""
+def _truncate_torn_tail(segment: Segment, length: int) -> None:
+    """Truncate a torn tail: a write that a crash ended before it was synced."""
     try:
         descriptor = os.open(segment.path, os.O_RDWR)
         try:
@@ -245,6 +253,6 @@
             os.close(descriptor)
     except OSError as error:
         raise StorageFailedError(
-            f"Cutting {length - segment.length} torn bytes off "
+            f"Truncating the torn tail of {length - segment.length} bytes in "
             f"{segment.path.name} failed: {error}."
         ) from error
--- a/src/jujubeslip/control/_machine.py
+++ b/src/jujubeslip/control/_machine.py
@@ -1,4 +1,4 @@
-"""The state that the log carries: every replica applies the same entries in order."""
+"""The replicated state machine: every replica applies the same entries in order."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 T = TypeVar("T")
 
 PART_SIZE = 100
-# Configurations are long: a part of a snapshot holds few of them.
+# Configurations are large, so a part of a snapshot holds only a few of them.
 CONFIGURATION_PART_SIZE = 4
 
 Outcome: TypeAlias = ApplyReply | ChangeIdReused | KeyReply | ClaimsFull | int | None
 
 
 class StateMachine:
-    """What the log has made of configurations, claims, engines and removals.
+    """The state of configurations, claims, engines and endpoint removals.
 
-    Equal on all replicas at the same index.
+    It is identical on all replicas at the same index.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self.stamp_ms = 0
 
     def apply(self, entry: LogEntry) -> Outcome:
-        """Apply one committed entry and return its outcome for who proposed it."""
+        """Apply one committed entry and return its outcome for the proposer."""
         now_ms = max(self.stamp_ms, entry.stamp_ms)
         self.claims.pass_time(self.stamp_ms, now_ms)
         self.stamp_ms = now_ms
@@ -105,11 +105,11 @@
         return None
 
     def find_claim(self, claim: KeyClaim) -> KeyReply | None:
-        """Return what is known of a claimed key, None when it may be claimed."""
+        """Return the reply for a claimed key, None if the key may be claimed."""
         return self.claims.find(claim, self.stamp_ms)
 
     def parts(self) -> Iterator[SnapshotPart]:
-        """Return the state as parts of a snapshot, as it was when called."""
+        """Return the parts of a snapshot of the state at the time of the call."""
         configurations = self.configurations.configurations()
         changes = self.configurations.changes()
         claims = self.claims.records()
@@ -121,7 +121,7 @@
         )
 
     def load_part(self, part: SnapshotPart) -> None:
-        """Take over a part of a snapshot, in order."""
+        """Load a part of a snapshot; the parts have to be loaded in order."""
         for configuration in part.configurations:
             self.configurations.load_configuration(configuration)
         for change in part.changes:
--- a/src/jujubeslip/control/_members.py
+++ b/src/jujubeslip/control/_members.py
@@ -1,4 +1,4 @@
-"""Memberships: which replicas vote, and each change of one replica at a time."""
+"""Memberships: which replicas vote, and functions that change one of the replicas."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from jujubeslip.control._commands import command_of
 from jujubeslip.peers import EntryKind, LogEntry, Member, Membership
 
-# Of two voters, one is no majority whatever became of the other.
-LEAST_SPARING_VOTERS = 4
+# With two voters, one of them must not elect itself when the other's disk is lost.
+MINIMUM_VOTERS_EXCLUDING_LOST = 4
 
 NO_MEMBERSHIP = Membership("", [], [])
 
@@ -20,7 +20,7 @@
 
 
 def other_voters(membership: Membership, replica_id: str) -> tuple[Member, ...]:
-    """Return the members that vote beside this replica."""
+    """Return the other members that vote."""
     return tuple(
         member for member in voters(membership) if member.replica_id != replica_id
     )
@@ -33,42 +33,44 @@
 
 @dataclass(frozen=True)
 class VoteQuorum:
-    """How many votes, the candidate's own among them, elect a leader."""
+    """The number of votes, the candidate's own included, that elect a leader."""
 
     voters: int
-    spares_lost: bool
-    """Whether voters whose disks are lost may count for nothing."""
+    excludes_lost: bool
+    """Whether voters with lost disks may be left out of the majority."""
 
     def votes_needed(self, lost: int) -> int:
-        """Return the number of votes needed beside so many voters with lost disks.
+        """Return the number of votes needed if so many voters have lost their disks.
 
-        Of an even number of voters, one more than half has synced what is committed.
-        Half of all, and a majority of those that are not lost, meets each such majority
-        in a replica that still has it, and each other election in one that votes once.
+        With an even number of voters, a committed entry is synced on one more than half
+        of them. Half of all voters that is also a majority of those with their disks
+        intersects each such majority in a replica that still holds the entry, and each
+        other electing quorum in a replica that votes only once.
         """
         majority = self.voters // 2 + 1
-        if not self.spares_lost or lost == 0:
+        if not self.excludes_lost or lost == 0:
             return majority
-        left = self.voters - lost
+        remaining = self.voters - lost
         half = self.voters // 2
-        return max(half, left // 2 + 1)
+        return max(half, remaining // 2 + 1)
 
 
 def vote_quorum(memberships: MembershipLog) -> VoteQuorum:
     """Return the quorum of the newest membership.
 
-    One that is not known to be committed may have been replaced by another, whose
-    majorities it need not meet.
+    Lost voters are left out only if it is known to be committed. Otherwise another
+    membership may have replaced it, with majorities that don't intersect the smaller
+    quorum.
     """
     current = memberships.current
-    spares_lost = memberships.is_confirmed and may_spare_lost(current)
-    return VoteQuorum(len(voters(current)), spares_lost)
+    excludes_lost = memberships.is_confirmed and may_exclude_lost(current)
+    return VoteQuorum(len(voters(current)), excludes_lost)
 
 
-def may_spare_lost(membership: Membership) -> bool:
-    """Say whether its voters elect a leader with a vote less beside lost disks."""
+def may_exclude_lost(membership: Membership) -> bool:
+    """Say whether its voters may elect a leader without those with lost disks."""
     count = len(voters(membership))
-    return count >= LEAST_SPARING_VOTERS and count % 2 == 0
+    return count >= MINIMUM_VOTERS_EXCLUDING_LOST and count % 2 == 0
 
 
 def find_member(membership: Membership, replica_id: str) -> Member | None:
@@ -86,12 +88,12 @@
 
 
 def members_of_host(membership: Membership, host_id: str) -> list[Member]:
-    """Return the replicas of a host: a lost disk and its successor share one."""
+    """Return the replicas of a host: two while the successor of a lost disk joins."""
     return [member for member in membership.members if member.host_id == host_id]
 
 
 def with_learner(membership: Membership, learner: Member) -> Membership:
-    """Return the membership with a learner, in place of an older one of its host."""
+    """Return the membership with a learner, which replaces older ones of its host."""
     kept = [
         member
         for member in membership.members
@@ -101,7 +103,7 @@
 
 
 def with_promoted(membership: Membership, replica_id: str) -> Membership:
-    """Return the membership in which the learner votes."""
+    """Return the membership in which the learner is a voter."""
     members = [
         Member(member.replica_id, member.host_id, member.address, True)
         if member.replica_id == replica_id
@@ -120,9 +122,9 @@
 def without_lost(membership: Membership, lost_ids: Collection[str]) -> Membership:
     """Return the membership without the replicas whose disks are lost."""
     kept = [item for item in membership.members if item.replica_id not in lost_ids]
-    left = _replace(membership, kept)
-    left.lost_replica_ids = sorted(lost_ids)
-    return left
+    remaining = _replace(membership, kept)
+    remaining.lost_replica_ids = sorted(lost_ids)
+    return remaining
 
 
 def with_admitted(membership: Membership, host_id: str) -> Membership:
@@ -145,7 +147,7 @@
 
 
 class MembershipLog:
-    """The memberships in the log; the newest counts, committed or not."""
+    """The memberships in the log; the newest is in effect, committed or not."""
 
     def __init__(self, index: int, membership: Membership) -> None:
         self._by_index: list[tuple[int, Membership]] = [(index, membership)]
@@ -157,9 +159,10 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Say whether the log tells that the newest membership is committed.
+        """Say whether the log shows that the newest membership is committed.
 
-        What a snapshot holds is committed, and what an entry repeats.
+        It does if the membership comes from a snapshot, or if a second entry repeats
+        it.
         """
         if len(self._by_index) == 1:
             return True
@@ -167,20 +170,21 @@
 
     @property
     def needs_confirmation(self) -> bool:
-        """Say whether the log has to tell that the newest membership is committed."""
-        may_spare = map(may_spare_lost, (self.current, self.previous))
-        return any(may_spare) and not self.is_confirmed
+        """Say whether the leader has to repeat the newest membership in the log."""
+        may_exclude = map(may_exclude_lost, (self.current, self.previous))
+        return any(may_exclude) and not self.is_confirmed
 
     @property
-    def meets_previous(self) -> bool:
-        """Say whether the newest membership commits by majorities of both.
+    def needs_previous_majority(self) -> bool:
+        """Say whether the newest membership also needs a majority of the previous one.
 
-        Voters that elect a leader without those whose disks are lost have to find it.
-        A declared recovery begins anew.
+        This is so if the previous voters may elect a leader without those with lost
+        disks: their quorum has to include a replica with the newest membership. It does
+        not apply after a declared recovery, which starts a new cluster.
         """
         previous = self.previous
         is_same_cluster = previous.cluster_id == self.current.cluster_id
-        return may_spare_lost(previous) and is_same_cluster
+        return may_exclude_lost(previous) and is_same_cluster
 
     @property
     def previous(self) -> Membership:
@@ -193,7 +197,7 @@
         return self._by_index[-1][0]
 
     def append(self, entry: LogEntry) -> bool:
-        """Note a new entry of the log; say whether it changes the membership."""
+        """Add a new entry of the log; say whether it changes the membership."""
         if entry.kind != EntryKind.MEMBERSHIP:
             return False
         membership = command_of(entry)
@@ -202,7 +206,7 @@
         return True
 
     def truncate_from(self, index: int) -> bool:
-        """Forget entries that were removed; say whether the membership changed."""
+        """Drop entries removed from the log; say whether the membership changed."""
         kept = [item for item in self._by_index if item[0] < index]
         changed = len(kept) != len(self._by_index)
         self._by_index = kept
@@ -213,7 +217,7 @@
         return next(item for at, item in reversed(self._by_index) if at <= index)
 
     def trim(self, index: int) -> None:
-        """Forget memberships that a snapshot at the index has replaced."""
+        """Drop the memberships that a snapshot at the index covers."""
         newer = [item for item in self._by_index if item[0] > index]
         self._by_index = [(index, self.at(index)), *newer]
 
--- a/src/jujubeslip/control/_peers.py
+++ b/src/jujubeslip/control/_peers.py
@@ -7,10 +7,10 @@
 
 
 class ReplicaClients:
-    """One client for each address; an address in the settings goes first.
+    """One client for each address; an address in the settings takes precedence.
 
-    A host is reached at the address that this host's own settings give for it, and
-    only when they don't name it, at the one that it gave itself when it joined.
+    A host is reached at the address that this host's settings give for it, or, if they
+    don't name it, at the address that it declared when it joined.
     """
 
     def __init__(self, settings: ControlSettings) -> None:
@@ -31,7 +31,7 @@
         """Return the client for an address."""
         return self._clients.get(address)
 
-    def others(self) -> list[str]:
+    def other_addresses(self) -> list[str]:
         """Return the peer addresses of the other hosts that the settings name."""
         named = [
             peer.address
--- a/src/jujubeslip/control/_receiver.py
+++ b/src/jujubeslip/control/_receiver.py
@@ -1,4 +1,4 @@
-"""What a replica answers to candidates and to its leader."""
+"""Handles the requests that a replica receives from candidates and its leader."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 logger = logging.getLogger(__name__)
 
-# Error id of a message for a replica that this host does not have any more.
+# Error id of the reply to a message for a replica that this host no longer has.
 WRONG_REPLICA = "wrong_replica"
 
 
 class Receiver:
-    """Handles calls between replicas; each promise is durable before its answer."""
+    """Handles calls between replicas; what a reply confirms is durable before it."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
@@ -45,15 +45,17 @@
         replica = self._replica
         with self._addressed(request):
             would_vote = request.term > replica.term and self._is_up_to_date(request)
-            granted = would_vote and not self._must_wait(request)
-            fresh_start = replica.start_number if replica.is_fresh else None
+            granted = would_vote and not self._lease_forbids_vote(request)
+            fresh_start = (
+                replica.start_number if replica.no_leader_since_start else None
+            )
             return VoteReply(replica.term, granted, fresh_start if would_vote else None)
 
     def request_vote(self, request: VoteRequest) -> VoteReply:
-        """Vote at most once in each term, for a candidate whose log is as new."""
+        """Vote at most once in each term, for a candidate with an up-to-date log."""
         replica = self._replica
         with self._addressed(request):
-            if self._must_wait(request):
+            if self._lease_forbids_vote(request):
                 return VoteReply(replica.term, False)
             granted = self._may_vote_for(request)
             replica.adopt_term(request.term, request.candidate_id if granted else "")
@@ -62,33 +64,35 @@
             return VoteReply(replica.term, granted)
 
     def append_entries(self, request: AppendRequest) -> AppendReply:
-        """Take over the leader's entries, synced before the answer.
+        """Store the leader's entries and sync them before the reply.
 
-        One without entries waits for no disk: a leader keeps its lead while those of
-        its followers are slow.
+        A request without entries does not wait for the disk, so that a leader does not
+        lose its leadership while its followers' disks are slow.
         """
         replica = self._replica
-        with replica.lock, replica.promising():
+        with replica.lock, replica.requiring_working_disk():
             if self._is_heartbeat(request):
-                return self._take_heartbeat(request)
+                return self._answer_heartbeat(request)
         with replica.disk_lock:
-            with replica.lock, replica.promising():
+            with replica.lock, replica.requiring_working_disk():
                 self._check_addressed(request)
                 if request.term < replica.term:
                     return AppendReply(replica.term, False, 0)
                 leader = LeaderContact(request.leader_id, request.leader_address)
                 replica.follow(request.term, leader)
-                if not self._fits(request):
-                    return AppendReply(replica.term, False, self._next_try(request))
+                if not self._matches_log(request):
+                    return AppendReply(
+                        replica.term, False, self._last_possible_match(request)
+                    )
                 last_index = self._store(request)
-            with replica.promising():
+            with replica.requiring_working_disk():
                 replica.write_pending()
             with replica.lock:
                 replica.commit_to(min(request.commit_index, last_index))
                 return AppendReply(replica.term, True, last_index)
 
     def _is_heartbeat(self, request: AppendRequest) -> bool:
-        """Say whether a message has nothing for the disk."""
+        """Say whether a message can be answered without a write to disk."""
         replica = self._replica
         is_addressed = request.target_id == replica.replica_id
         is_in_cluster = request.cluster_id == replica.cluster_id
@@ -99,8 +103,8 @@
         fits = known is not None and known == request.previous_term
         return is_followed and fits
 
-    def _take_heartbeat(self, request: AppendRequest) -> AppendReply:
-        """Answer for what is synced; the rest is still being written."""
+    def _answer_heartbeat(self, request: AppendRequest) -> AppendReply:
+        """Acknowledge the entries that are synced; others are still being written."""
         replica = self._replica
         leader = LeaderContact(request.leader_id, request.leader_address)
         replica.follow(request.term, leader)
@@ -109,7 +113,7 @@
         return AppendReply(replica.term, True, synced_index)
 
     def install_snapshot(self, piece: SnapshotPiece) -> SnapshotReply:
-        """Take over a piece of the leader's snapshot; the last one installs it."""
+        """Store a piece of the leader's snapshot; the last piece installs it."""
         replica = self._replica
         with self._addressed(piece):
             if piece.term < replica.term:
@@ -117,7 +121,8 @@
             leader = LeaderContact(piece.leader_id, piece.leader_address)
             replica.follow(piece.term, leader)
             if replica.log.term_at(piece.last_index) == piece.last_term:
-                # The log holds all of it, and maybe more that was acknowledged.
+                # The log holds all entries of the snapshot, and possibly acknowledged
+                # entries after them.
                 replica.commit_to(piece.last_index)
             if piece.last_index <= replica.commit_index:
                 return SnapshotReply(replica.term, piece.total_bytes, True)
@@ -131,16 +136,16 @@
             return SnapshotReply(replica.term, offset, True)
 
     def start_election(self, target_id: str, term: int) -> None:
-        """Campaign at once: the leader has given up its lease for this replica.
+        """Campaign at once, since the leader has ended its lease for this replica.
 
-        Raises PeerRefusal where this replica may not lead.
+        Raises PeerRefusal if this replica may not lead.
         """
         replica = self._replica
         if not replica.may_campaign:
             raise PeerRefusal(
                 "may_not_lead",
                 f"{replica.replica_id} stops, has a failed disk, or does not vote.",
-                "Hand the lead to another replica.",
+                "Transfer leadership to another replica.",
                 0,
             )
         with replica.lock:
@@ -155,7 +160,7 @@
     ) -> Iterator[None]:
         """Hold both locks for a message that is meant for this replica."""
         replica = self._replica
-        with replica.disk_lock, replica.lock, replica.promising():
+        with replica.disk_lock, replica.lock, replica.requiring_working_disk():
             self._check_addressed(message)
             yield
 
@@ -164,15 +169,15 @@
     ) -> None:
         """Raise PeerRefusal for a message that is meant for another replica.
 
-        A replica with a new disk is not the one that its leader knew at this address:
-        it must neither vote nor acknowledge in that one's name.
+        A replica with a new disk is not the one that the leader knew at this address,
+        and must neither vote nor acknowledge on behalf of that one.
         """
         replica = self._replica
         if message.target_id != replica.replica_id:
             raise PeerRefusal(
                 WRONG_REPLICA,
                 f"This is {replica.replica_id}, not {message.target_id}.",
-                "A replica whose disk was lost joins anew by itself.",
+                "A replica whose disk was lost joins again by itself.",
                 0,
             )
         if not replica.cluster_id:
@@ -185,16 +190,16 @@
                 0,
             )
 
-    def _must_wait(self, request: VoteRequest) -> bool:
-        """Say whether a live leader's lease forbids any vote.
+    def _lease_forbids_vote(self, request: VoteRequest) -> bool:
+        """Say whether the lease of a possibly live leader forbids any vote.
 
-        Where all replicas have just started, no leader is left, and its lease has ended
-        with it. The vote that follows has to meet the same start of this process: the
-        next one may have answered a new leader before it started.
+        After a cold start of all replicas no lease is left. The vote request must then
+        name the current start number of this process: an earlier run of the process
+        may have acknowledged a new leader in the meantime.
         """
         replica = self._replica
         is_same_start = request.fresh_start == replica.start_number
-        if replica.is_fresh and is_same_start:
+        if replica.no_leader_since_start and is_same_start:
             return False
         return replica.hears_leader and not request.transfer
 
@@ -210,15 +215,15 @@
         theirs = (request.last_term, request.last_index)
         return theirs >= (log.last_term, log.last_index)
 
-    def _fits(self, request: AppendRequest) -> bool:
+    def _matches_log(self, request: AppendRequest) -> bool:
         """Say whether the log holds the entry before the leader's first one."""
         replica = self._replica
         if request.previous_index <= replica.commit_index:
             return True
         return replica.log.term_at(request.previous_index) == request.previous_term
 
-    def _next_try(self, request: AppendRequest) -> int:
-        """Return the last index that may fit: below the whole conflicting term."""
+    def _last_possible_match(self, request: AppendRequest) -> int:
+        """Return the last index that may match, before the whole conflicting term."""
         replica = self._replica
         if request.previous_index > replica.log.last_index:
             return replica.log.last_index
@@ -226,7 +231,10 @@
         return max(first - 1, replica.commit_index)
 
     def _store(self, request: AppendRequest) -> int:
-        """Add the entries that are new in memory, and remove those that conflict."""
+        """Add new entries in memory after removing conflicting ones.
+
+        Returns the index of the request's last entry.
+        """
         replica = self._replica
         for entry in request.entries:
             if entry.index <= replica.commit_index:
--- a/src/jujubeslip/control/_records.py
+++ b/src/jujubeslip/control/_records.py
@@ -1,4 +1,4 @@
-"""Checksummed records, the common form of every file in the data folder."""
+"""Checksummed records, the format of every file in the data folder."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 # Magic, length of the body in bytes, CRC32 of the length and the body.
 HEADER = struct.Struct(">4sII")
 MAXIMUM_BODY_BYTES = 64 * 1024 * 1024
-# A sync that takes longer is written to the log, in seconds.
+# A sync that takes longer is logged, in seconds.
 SLOW_SYNC_SECONDS = 0.1
 
 _PROTOCOL = TBinaryProtocolAcceleratedFactory()
 
 
 def to_bytes(message: Any) -> bytes:
-    """Return the Thrift-binary form of a message."""
+    """Return the Thrift binary encoding of a message."""
     return serialize(message, _PROTOCOL)
 
 
@@ -42,11 +42,11 @@
     try:
         return deserialize(kind(), body, _PROTOCOL)
     except (TException, EOFError, TypeError, ValueError, MemoryError) as error:
-        raise ValueError(f"not a {kind.__name__}: {error!r}") from error
+        raise ValueError(f"invalid {kind.__name__}: {error!r}") from error
 
 
 def frame(body: bytes) -> bytes:
-    """Return the body behind its header."""
+    """Return the record of a body: its header followed by the body."""
     return HEADER.pack(MAGIC, len(body), _checksum(body)) + body
 
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class ScannedRecord:
-    """A whole record and where it begins and ends in its file, in bytes."""
+    """A valid record and its start and end offset in its file, in bytes."""
 
     start: int
     end: int
@@ -64,7 +64,7 @@
 
 
 def scan_records(data: bytes) -> Iterator[ScannedRecord]:
-    """Yield whole records from the start on; ends before the first that is not."""
+    """Yield valid records from the start on; end before the first invalid one."""
     position = 0
     while (record := record_at(data, position)) is not None:
         yield record
@@ -72,7 +72,7 @@
 
 
 def record_at(data: bytes, position: int) -> ScannedRecord | None:
-    """Return the whole record that begins here, or None."""
+    """Return the record at the position, or None if there is no valid one."""
     start = position + HEADER.size
     if start > len(data):
         return None
@@ -87,7 +87,7 @@
 
 
 def stream_records(file: BinaryIO) -> Iterator[bytes]:
-    """Yield the bodies of whole records; ends at the end or before damage.
+    """Yield the bodies of valid records up to the end of the file or to damage.
 
     Only one record is in memory at a time.
     """
@@ -102,10 +102,10 @@
 
 
 def has_record_after(data: bytes, position: int) -> bool:
-    """Say whether a whole record begins anywhere behind the position.
+    """Say whether a valid record begins anywhere after the position.
 
-    Then what stands at the position is damage, not the torn tail of a write that
-    was never promised.
+    If so, the bytes at the position are damage, and not the torn tail of a write that
+    was never acknowledged.
     """
     found = data.find(MAGIC, position + 1)
     while found != -1:
@@ -128,8 +128,8 @@
 def sync_file(descriptor: int, name: str) -> None:
     """Sync a file's data and length, or raise StorageFailedError.
 
-    After a failed sync the kernel may have dropped the dirty pages, so that a second
-    sync would succeed over lost data: the caller must never try again.
+    The caller must not retry: after a failed sync the kernel may have dropped the dirty
+    pages, and a second sync would succeed although data is lost.
     """
     began = steady_seconds()
     try:
@@ -139,11 +139,11 @@
     seconds = steady_seconds() - began
     if seconds > SLOW_SYNC_SECONDS:
         extra = {"file": name, "took_ms": int(seconds * 1000)}
-        logger.info("sync took long", extra=extra)
+        logger.info("slow sync of a file", extra=extra)
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync the names in a folder, or raise StorageFailedError."""
+    """Sync the directory entries of a folder, or raise StorageFailedError."""
     try:
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -155,7 +155,7 @@
 
 
 def write_file_atomically(path: Path, message: Any) -> None:
-    """Replace a one-record file so that a crash leaves the old or the new one."""
+    """Replace a one-record file; a crash leaves either the old or the new content."""
     temporary = path.with_name(path.name + ".new")
     try:
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -179,9 +179,9 @@
 
 
 def read_file(path: Path, kind: type[T]) -> T | None:
-    """Return a one-record file's message, None without file.
+    """Return the message in a one-record file, None if there is no file.
 
-    Raises StorageDamagedError when the file is not whole.
+    Raises StorageDamagedError when the file is damaged.
     """
     try:
         data = path.read_bytes()
--- a/src/jujubeslip/control/_recovery.py
+++ b/src/jujubeslip/control/_recovery.py
@@ -1,4 +1,4 @@
-"""Declared recovery: one survivor goes on alone after a majority is lost for good."""
+"""Declared recovery: one survivor continues after a majority is lost for good."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True)
 class RecoveryReport:
-    """What a data folder holds, and whether it was made a cluster of its own.
+    """The contents of a data folder, and whether it was made a new cluster.
 
-    Of several survivors the one with the highest last_term, then the highest
-    last_index, has lost least.
+    Of several survivors, the one with the highest last_term, then the highest
+    last_index, has lost the least.
     """
 
     replica_id: str
@@ -33,11 +33,12 @@
 
 
 def recover(settings: ControlSettings, *, confirmed: bool) -> RecoveryReport:
-    """Make a stopped replica the only one of a new cluster, if confirmed.
+    """Make a stopped replica the only member of a new cluster, if confirmed.
 
-    What only the lost hosts had accepted is lost, and may revert configurations and
-    forget claims. A lost host that returns with its old data folder would go on with
-    the old cluster: empty those folders first. The former hosts may join again.
+    Changes that only the lost hosts had accepted are lost, which may revert
+    configurations and drop claims. A lost host that returns with its old data folder
+    would continue the old cluster, so those folders have to be emptied first. The
+    former hosts may join again.
 
     Raises DataFolderInUseError while the replica runs, and StorageDamagedError when
     the folder is damaged or was never part of a cluster.
@@ -52,7 +53,7 @@
             )
         report = _report(replica, confirmed)
         if confirmed:
-            _go_on_alone(replica)
+            _form_single_member_cluster(replica)
         return report
     finally:
         storage.close()
@@ -69,10 +70,10 @@
     )
 
 
-def _go_on_alone(replica: Replica) -> None:
+def _form_single_member_cluster(replica: Replica) -> None:
     """Write a membership of one replica under a new cluster id.
 
-    The new id keeps former replicas apart: they refuse this one's entries, and it
+    The new id isolates the former replicas: they refuse this replica's entries, and it
     refuses theirs, until their data folders are emptied.
     """
     settings = replica.settings
@@ -90,4 +91,4 @@
         )
         replica.append_entry(entry)
         replica.write_pending()
-    logger.warning("recovered alone", extra={"former": admitted})
+    logger.warning("recovered as a single replica", extra={"former": admitted})
--- a/src/jujubeslip/control/_replica.py
+++ b/src/jujubeslip/control/_replica.py
@@ -1,8 +1,8 @@
-"""One replica of the log: its role, its log, and the rules that both obey.
+"""One replica of the log: its role, its entries, and the rules for changing both.
 
 Two locks guard it. `disk_lock` serializes everything that writes to the data folder,
-`lock` guards the fields. Whoever needs both takes `disk_lock` first. A leader syncs
-its entries with `disk_lock` alone, so that a slow disk delays no heartbeat.
+`lock` guards the fields. Code that needs both takes `disk_lock` first. A leader syncs
+its entries while it holds `disk_lock` alone, so that a slow disk delays no heartbeat.
 """
 
 from __future__ import annotations
@@ -36,20 +36,22 @@
 
 logger = logging.getLogger(__name__)
 
-# A lease ends this share before followers may elect another leader, which bounds how
-# much two clocks may differ in rate.
+# Length of a leader's lease as a share of the election timeout. The remainder is the
+# safety margin for clocks of two hosts that run at different rates.
 LEASE_SHARE = 0.9
-# How far apart replicas campaign, as a share of the election timeout: a campaign takes
-# ten milliseconds, and after a restart of all hosts nothing is served before one wins.
+# Range over which replicas spread their campaigns, as a share of the election timeout.
+# A campaign takes ten milliseconds, and after a restart of all hosts no request is
+# served before one succeeds.
 ELECTION_SPREAD = 0.4
 MILLISECONDS = 1000
 RETRY_AFTER_MS = 200
-# A snapshot is taken after this many bytes, too: entries are kept in memory until then.
+# A snapshot is also taken after this many bytes of applied entries, since entries stay
+# in memory until a snapshot covers them.
 SNAPSHOT_BYTES = 4 * 1024 * 1024
 
 
 class Replica:
-    """The shared state of one replica; tasks and handlers work on it."""
+    """The shared state of one replica, used by its tasks and its request handlers."""
 
     def __init__(
         self, settings: ControlSettings, storage: Storage, process: Process
@@ -69,7 +71,7 @@
         self.configuration_changed = threading.Condition(self.lock)
         # Notified when a removal of an endpoint is applied.
         self.removals_changed = threading.Condition(self.lock)
-        # Notified when enough was applied since the last snapshot.
+        # Notified when enough entries were applied since the last snapshot.
         self.snapshot_due = threading.Condition(self.lock)
         self.role = Role.FOLLOWER
         self.leader = LeaderContact()
@@ -82,21 +84,20 @@
         self.log = state.log
         self.memberships = state.memberships
         self.commit_index = self.applied_index = state.applied_index
-        # Since the last snapshot.
+        # Bytes of the entries that were applied since the last snapshot.
         self.applied_bytes = 0
         self.written_index = self.log.last_index
         self.start_number = new_incarnation()
-        """Tells this start of the process from others."""
-        self.is_fresh = True
-        """Whether no leader was heard since the start, this replica among them."""
+        """Identifies this run of the process."""
+        self.no_leader_since_start = True
+        """Whether this replica has neither led nor heard from a leader since start."""
         self.heard_leader_until = self._first_vote_deadline()
         self.election_deadline = self._first_election_deadline()
 
-    # What the rules ask.
-
+    # Properties that the election and replication rules depend on.
     @property
     def term(self) -> int:
-        """Return the current term, which is durable."""
+        """Return the current term, which is always durable on disk."""
         return self.storage.metadata.term
 
     @property
@@ -111,14 +112,17 @@
 
     @property
     def hears_leader(self) -> bool:
-        """Say whether a leader lives: then no vote is given to another replica."""
+        """Say whether a leader is known to be alive.
+
+        As long as it is, this replica votes for no other.
+        """
         return self.role is Role.LEADER or not self.heard_leader_until.expired
 
     @property
     def may_campaign(self) -> bool:
         """Say whether this replica may become leader.
 
-        One that stops may not: it would take its lead and its vote along.
+        A stopping replica may not: the leadership would end again with its process.
         """
         if self.failure or self.process.stopping.is_set():
             return False
@@ -126,7 +130,7 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Say whether enough was applied since the last snapshot."""
+        """Say whether enough entries were applied since the last snapshot."""
         taken = self.snapshot.header.last_index if self.snapshot else 0
         applied = self.applied_index - taken
         return (
@@ -143,16 +147,17 @@
         return max(self.machine.stamp_ms, newest.stamp_ms)
 
     def lease(self) -> Deadline:
-        """Return until when this leader's reads and orders are the only ones."""
+        """Return the deadline until which no other replica can lead."""
         assert self.leadership is not None
         seconds = self.election_seconds * LEASE_SHARE
         return self.leadership.lease(self.membership, seconds)
 
     def reads_are_current(self) -> bool:
-        """Say whether what is applied here is the newest that was ever answered.
+        """Say whether the applied state covers every change that was acknowledged.
 
-        A frozen leader that wakes finds its lease expired and serves no stale read.
-        A new one first applies an entry of its own term, and with it all earlier ones.
+        A leader that resumes after a freeze finds its lease expired and serves no
+        stale read. A new leader first applies an entry of its own term, and with it
+        all earlier ones.
         """
         leadership = self.leadership
         if leadership is None or self.applied_index < leadership.first_index:
@@ -160,7 +165,7 @@
         return not self.lease().expired
 
     def fence(self) -> Fence | None:
-        """Return the number and lease for orders, None when not leading for sure."""
+        """Return the fencing number and lease, None unless leadership is certain."""
         with self.lock:
             if not self.reads_are_current():
                 return None
@@ -169,10 +174,10 @@
     # Roles.
 
     def adopt_term(self, term: int, voted_for: str = "") -> None:
-        """Move on to a higher term, with a vote in it if one is given.
+        """Move to a higher term, with a vote in it if one is given.
 
         Needs both locks. Term and vote are saved together: each save waits for the
-        disk, and on a busy one the candidate would stop listening before the second.
+        disk, and on a busy disk the candidate would time out before the second save.
         """
         is_later = term > self.term
         if is_later or voted_for:
@@ -181,14 +186,14 @@
             self.step_down("another replica has a higher term")
 
     def observe_term(self, term: int) -> None:
-        """Move on to a term that an answer carried, if it is higher."""
+        """Move to the term of a reply, if it is higher than the current one."""
         if term <= self.term:
             return
-        with self.disk_lock, self.lock, self.promising():
+        with self.disk_lock, self.lock, self.requiring_working_disk():
             self.adopt_term(term)
 
     def step_down(self, reason: str) -> None:
-        """Stop leading or campaigning; needs `lock`."""
+        """Become a follower; needs `lock`."""
         if self.role is Role.LEADER:
             led = self.leadership
             extra = {
@@ -201,36 +206,37 @@
             self.leader = LeaderContact()
         self.role = Role.FOLLOWER
         if self.leadership is not None:
-            self.leadership.end()
+            self.leadership.fail_waiters()
             self.leadership = None
         self.election_deadline = self.random_election_deadline()
         self.role_changed.notify_all()
         self.work.notify_all()
 
     def follow(self, term: int, leader: LeaderContact) -> None:
-        """Follow the leader of this term, which was just heard; needs both locks."""
+        """Follow the leader of this term after a message from it; needs both locks."""
         self.adopt_term(term)
         if self.role is not Role.FOLLOWER:
             self.step_down("another replica leads")
         leader = replace(leader, term=term)
-        is_news = leader != self.leader or not self.hears_leader
+        has_changed = leader != self.leader or not self.hears_leader
         if leader != self.leader:
             logger.info("following", extra={"leader": leader.replica_id, "term": term})
         self.leader = leader
-        self.is_fresh = False
+        self.no_leader_since_start = False
         self.heard_leader_until = Deadline.after(self.election_seconds)
-        if is_news:
+        if has_changed:
             self.role_changed.notify_all()
         self.election_deadline = self.random_election_deadline()
 
     def lead(self, lost_ids: Collection[str] = ()) -> None:
         """Begin to lead the current term; needs `lock`.
 
-        Voters whose disks are lost, and without whom this replica was elected, are
-        removed with its first entry: the others alone may be no majority with them.
+        `lost_ids` are voters with lost disks that the election did not count. The
+        first entry removes them from the membership: as long as they count, the
+        remaining voters may not be a majority.
         """
         last_index = self.log.last_index
-        self.is_fresh = False
+        self.no_leader_since_start = False
         self.role = Role.LEADER
         self.leader = LeaderContact(
             self.replica_id, self.settings.peer_address, self.term
@@ -238,14 +244,14 @@
         self.leadership = Leadership(
             self.term, self.replica_id, last_index, self.newest_stamp_ms
         )
-        self.leadership.follow_members(self.members_to_reach(), last_index)
+        self.leadership.track_members(self.replication_targets(), last_index)
         logger.info("leading", extra={"term": self.term, "lost_ids": sorted(lost_ids)})
         without = without_lost(self.membership, lost_ids)
         self.append_command(without if lost_ids else NoOp())
         self.role_changed.notify_all()
 
     def vote_request(self, target_id: str, term: int, transfer: bool) -> VoteRequest:
-        """Return what asks a voter for this term; needs `lock`."""
+        """Return the request for a voter's vote in this term; needs `lock`."""
         return VoteRequest(
             self.cluster_id,
             target_id,
@@ -257,18 +263,20 @@
         )
 
     def random_election_deadline(self) -> Deadline:
-        """Return when to campaign unless a leader is heard; differs by replica."""
+        """Return a random deadline after which to campaign if no leader is heard."""
         spread = random.uniform(1.0, 1.0 + ELECTION_SPREAD)
         return Deadline.after(self.election_seconds * spread)
 
     def _first_vote_deadline(self) -> Deadline:
-        """Return until when a fresh process gives no vote.
+        """Return the deadline until which a newly started process gives no vote.
 
-        Before its restart it may have answered a leader, whose lease lasts on: a vote
-        at once could elect a second leader within that lease.
+        Before the restart it may have acknowledged a leader whose lease is still
+        valid. An immediate vote could elect a second leader within that lease.
         """
-        alone = len(voters(self.membership)) <= 1
-        return Deadline.after(0 if self.term == 0 or alone else self.election_seconds)
+        is_single_voter = len(voters(self.membership)) <= 1
+        return Deadline.after(
+            0 if self.term == 0 or is_single_voter else self.election_seconds
+        )
 
     def _first_election_deadline(self) -> Deadline:
         if len(voters(self.membership)) == 1:
@@ -280,14 +288,14 @@
     def propose(self, command: Command, deadline: Deadline) -> Outcome:
         """Commit a command and return its outcome.
 
-        Raises NotLeader when this replica does not lead (any more), and PeerRefusal
-        when the deadline passes first: then the outcome is unknown, and the same
-        command may be sent again.
+        Raises NotLeader when this replica does not lead or no longer leads, and
+        PeerRefusal when the deadline passes first. The outcome is unknown then, and
+        the same command may be sent again.
         """
         return self.wait_for(self.submit(command), deadline)
 
     def submit(self, command: Command) -> Future[Outcome]:
-        """Add a command to the leader's log, and return the future of its outcome."""
+        """Add a command to the leader's log and return the future of its outcome."""
         with self.lock:
             leadership = self.require_leader()
             return leadership.add_waiter(self.append_command(command).index)
@@ -301,7 +309,7 @@
         except FutureTimeoutError as error:
             raise PeerRefusal(
                 "not_committed",
-                "No quorum has confirmed the request in time; it may still come.",
+                "No quorum confirmed the request in time; it may still be committed.",
                 "Send the same request again; it is idempotent.",
                 RETRY_AFTER_MS,
             ) from error
@@ -317,7 +325,7 @@
         return entry
 
     def append_entry(self, entry: LogEntry) -> None:
-        """Add an entry in memory; needs `lock`."""
+        """Add an entry to the log in memory; needs `lock`."""
         self.log.append(entry)
         if self.memberships.append(entry):
             self.membership_changed()
@@ -325,7 +333,7 @@
 
     def truncate_from(self, index: int) -> None:
         """Remove entries that the leader does not have; needs both locks."""
-        assert index > self.commit_index, "a committed entry would be lost"
+        assert index > self.commit_index, "truncation would remove committed entries"
         if index <= self.written_index:
             self.storage.log.truncate_from(index)
             self.written_index = index - 1
@@ -336,7 +344,7 @@
     def write_pending(self) -> None:
         """Write and sync the entries that are only in memory; needs `disk_lock`.
 
-        All that were proposed during the last sync share one sync.
+        All entries that were proposed during the last sync share one sync.
         """
         with self.lock:
             pending = self.log.entries_from(self.written_index + 1)
@@ -349,16 +357,20 @@
             self.advance_commit()
 
     def advance_commit(self) -> None:
-        """Commit what a majority has synced; needs `lock`.
+        """Commit the entries that a majority has synced; needs `lock`.
 
-        Only an entry of the leader's own term counts: an older one that a majority
-        holds could still be overwritten by another leader.
+        Only an entry of the leader's own term is committed by counting replicas: an
+        older one could still be overwritten by another leader although a majority
+        holds it.
         """
         leadership = self.leadership
         if leadership is None:
             return
         index = leadership.committable(self.membership, self.written_index)
-        if self._has_open_change and self.memberships.meets_previous:
+        if (
+            self._has_uncommitted_membership
+            and self.memberships.needs_previous_majority
+        ):
             before = self.memberships.previous
             lost_ids = self.membership.lost_replica_ids or ()
             earlier = leadership.committable(before, self.written_index, lost_ids)
@@ -370,7 +382,7 @@
         """Apply everything up to the index; needs `lock`."""
         if index <= self.commit_index:
             return
-        was_settled = self.is_settled
+        was_settled = self.is_membership_settled
         self.commit_index = index
         revision = self.machine.configurations.current.revision
         removals = self.machine.removals.version
@@ -380,21 +392,24 @@
             self.applied_index = entry.index
             self.applied_bytes += len(entry.payload)
             if self.leadership is not None:
-                self.leadership.answer_waiter(entry.index, outcome)
+                self.leadership.resolve_waiter(entry.index, outcome)
         if self.machine.configurations.current.revision != revision:
             self.configuration_changed.notify_all()
         if self.machine.removals.version != removals:
             self.removals_changed.notify_all()
         if self.needs_snapshot:
             self.snapshot_due.notify_all()
-        if self.is_settled and not was_settled:
+        if self.is_membership_settled and not was_settled:
             self.role_changed.notify_all()
         if self.role is Role.LEADER:
-            self._follow_own_change()
+            self._confirm_membership_or_step_down()
 
-    def _follow_own_change(self) -> None:
-        """Have the log tell that a change is committed, and obey it."""
-        if not self._has_open_change and self.memberships.needs_confirmation:
+    def _confirm_membership_or_step_down(self) -> None:
+        """Confirm a committed membership in the log, or step down once removed.
+
+        The confirmation is a second entry with the same membership.
+        """
+        if not self._has_uncommitted_membership and self.memberships.needs_confirmation:
             self.append_command(self.membership)
         elif self._is_removed():
             self.step_down("this replica was removed")
@@ -404,34 +419,39 @@
         return committed and not is_voter(self.membership, self.replica_id)
 
     @property
-    def is_settled(self) -> bool:
-        """Say whether the log tells that the newest membership is committed."""
-        return not (self._has_open_change or self.memberships.needs_confirmation)
+    def is_membership_settled(self) -> bool:
+        """Say whether the newest membership is committed, and confirmed if needed."""
+        return not (
+            self._has_uncommitted_membership or self.memberships.needs_confirmation
+        )
 
     @property
-    def _has_open_change(self) -> bool:
+    def _has_uncommitted_membership(self) -> bool:
         """Say whether the newest membership is not committed yet."""
         return self.memberships.current_index > self.commit_index
 
-    def members_to_reach(self) -> list[Member]:
-        """Return the members that get the log; needs `lock`.
+    def replication_targets(self) -> list[Member]:
+        """Return the members that entries are replicated to; needs `lock`.
 
-        One that a change removes gets that change.
+        A member that an uncommitted change removes is included, so that it receives
+        that change.
         """
         members = {member.replica_id: member for member in self.membership.members}
-        if self._has_open_change:
+        if self._has_uncommitted_membership:
             for member in self.memberships.previous.members:
                 members.setdefault(member.replica_id, member)
         return list(members.values())
 
-    def is_reached(self, replica_id: str) -> bool:
-        """Say whether a replica gets the log; needs `lock`."""
-        return any(item.replica_id == replica_id for item in self.members_to_reach())
+    def is_replication_target(self, replica_id: str) -> bool:
+        """Say whether entries are replicated to a replica; needs `lock`."""
+        return any(item.replica_id == replica_id for item in self.replication_targets())
 
     def membership_changed(self) -> None:
-        """Let tasks and progress follow a new membership; needs `lock`."""
+        """Update the leader's progress table and wake tasks; needs `lock`."""
         if self.leadership is not None:
-            self.leadership.follow_members(self.members_to_reach(), self.log.last_index)
+            self.leadership.track_members(
+                self.replication_targets(), self.log.last_index
+            )
         self.role_changed.notify_all()
 
     # Refusals.
@@ -443,7 +463,7 @@
         return self.leadership
 
     def not_leader(self) -> NotLeader:
-        """Return the refusal that names the leader, if one was heard lately."""
+        """Return the NotLeader error, which names the leader if one was heard."""
         with self.lock:
             if self.role is not Role.LEADER and self.hears_leader:
                 leader = self.leader
@@ -451,17 +471,17 @@
             return NotLeader("", "")
 
     def known_leader_address(self) -> str:
-        """Return where the leader is, this replica itself if it leads, else nothing."""
+        """Return the leader's address, this replica's own if it leads, else ''."""
         with self.lock:
             return self.leader.address if self.hears_leader else ""
 
     @contextmanager
-    def promising(self) -> Iterator[None]:
-        """Refuse to promise anything once a write or sync has failed.
+    def requiring_working_disk(self) -> Iterator[None]:
+        """Raise PeerRefusal if the disk has failed or fails within the block.
 
-        After a full disk or a sync error it is unknown what is durable. The process
-        keeps answering reads, but votes, acknowledges and leads no more until it is
-        restarted and has read back what the disk holds; see DiskProbe.
+        After a full disk or a sync error it is unknown which data is durable. The
+        process keeps answering reads, but does not vote, acknowledge or lead until it
+        has been restarted and has read back the data folder; see DiskProbe.
         """
         if self.failure:
             raise _storage_refusal(self.failure)
@@ -472,11 +492,14 @@
             raise _storage_refusal(self.failure) from error
 
     def fail(self, error: StorageFailedError) -> None:
-        """Stop promising for good."""
+        """Record a failed write or sync, after which no acknowledgement is given."""
         with self.lock:
             self.failure = str(error)
             self.step_down("the disk failed")
-        logger.critical("promises nothing any more", extra={"failure": str(error)})
+        logger.critical(
+            "disk failed; replica neither votes nor acknowledges",
+            extra={"failure": str(error)},
+        )
 
     def save_metadata(self, metadata: ReplicaMetadata) -> None:
         """Make metadata durable; needs both locks."""
--- a/src/jujubeslip/control/_replication.py
+++ b/src/jujubeslip/control/_replication.py
@@ -1,4 +1,4 @@
-"""Replication: one task for each follower, which sends it entries or a snapshot."""
+"""Replication of the log: one task per follower sends it entries or a snapshot."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 logger = logging.getLogger(__name__)
 
 PIECE_BYTES = 256 * 1024
-# How long an answer to an append is waited for before the next one is sent over another
+# How long to wait for the reply to an append before the next one is sent over another
 # connection, as a share of the election timeout.
-APPEND_SHARE = 0.5
-# How long an answer counts, as a share of it: one over a new connection comes after a
-# second exchange.
-ANSWER_SHARE = 2.0
-# Appends that one follower is sent at a time, and those with entries among them.
+APPEND_WAIT_SHARE = 0.5
+# Timeout of an append, as a share of the election timeout: a reply over a new
+# connection arrives only after a second exchange.
+APPEND_TIMEOUT_SHARE = 2.0
+# Limits on the unanswered appends per follower: all of them, and those with entries.
 MAXIMUM_IN_FLIGHT = 4
-MAXIMUM_COPIES = 2
-# How long a follower may take over a piece of a snapshot, in seconds: its last piece
-# loads the whole state.
+MAXIMUM_ENTRY_APPENDS = 2
+# Timeout for one piece of a snapshot, in seconds. On the last piece the follower loads
+# the whole state before it replies.
 PIECE_SECONDS = 5.0
 
 
@@ -53,8 +53,8 @@
         self._is_late = False
         self._in_flight: set[Future[None]] = set()
         self._entries_in_flight: set[Future[None]] = set()
-        self._is_heard = True
-        """Whether the last message was answered before the next one was due."""
+        self._is_prompt = True
+        """Whether the last message was answered before the next one was sent."""
         self._reader: SnapshotReader | None = None
         self._offset = 0
 
@@ -63,7 +63,7 @@
         replica = self._replica
         while not replica.process.stopped.is_set():
             with replica.lock:
-                if not replica.is_reached(self._member.replica_id):
+                if not replica.is_replication_target(self._member.replica_id):
                     break
                 leadership = self._wait_for_work()
                 if leadership is None:
@@ -75,47 +75,48 @@
     def _start_exchange(
         self, leadership: Leadership, message: AppendRequest | SnapshotPiece
     ) -> None:
-        """Send a message, and wait until it is time for the next one.
+        """Send a message and wait until the next one may be sent.
 
-        An append without an answer stays in flight: the connection may have gone
-        silent, which a further one shows, or the follower's disk may be slow.
+        An append without a reply stays in flight: either its connection has stopped
+        carrying data, which the next append over another one reveals, or the
+        follower's disk is slow.
         """
         start_task = self._replica.process.start_task
         exchange = start_task(self._exchange, leadership, message)
         self._in_flight.add(exchange)
-        patience = None
+        timeout = None
         if isinstance(message, AppendRequest):
             if message.entries:
                 self._entries_in_flight.add(exchange)
             if self._reachable:
-                patience = self._replica.election_seconds * APPEND_SHARE
-        wait([exchange], patience)
-        self._is_heard = exchange.done()
-        if len(self._in_flight) >= MAXIMUM_IN_FLIGHT and not self._is_heard:
+                timeout = self._replica.election_seconds * APPEND_WAIT_SHARE
+        wait([exchange], timeout)
+        self._is_prompt = exchange.done()
+        if len(self._in_flight) >= MAXIMUM_IN_FLIGHT and not self._is_prompt:
             wait(self._in_flight, return_when=FIRST_COMPLETED)
         self._in_flight = {item for item in self._in_flight if not item.done()}
         self._entries_in_flight &= self._in_flight
-        self._note_late(bool(self._in_flight))
+        self._set_late(bool(self._in_flight))
 
     def _may_send_entries(self) -> bool:
-        """Say whether entries are sent, and not only a sign that this leader lives.
+        """Say whether the next append carries entries or is only a heartbeat.
 
-        Those that have no answer yet are sent once more, over another connection, if
-        the follower answers meanwhile.
+        Unacknowledged entries are sent a second time, over another connection, if the
+        follower answers other messages in the meantime.
         """
         if not self._entries_in_flight:
             return True
-        return self._is_heard and len(self._entries_in_flight) < MAXIMUM_COPIES
+        return self._is_prompt and len(self._entries_in_flight) < MAXIMUM_ENTRY_APPENDS
 
-    def _note_late(self, is_late: bool) -> None:
+    def _set_late(self, is_late: bool) -> None:
         if is_late != self._is_late:
             extra = {"replica": self._member.replica_id}
-            message = "replica answers late" if is_late else "replica answers in time"
+            message = "replica replies late" if is_late else "replica replies in time"
             logger.info(message, extra=extra)
         self._is_late = is_late
 
     def _wait_for_work(self) -> Leadership | None:
-        """Wait for entries to send or the next heartbeat; None if there is neither."""
+        """Wait for entries to send or the next heartbeat; None if neither is due."""
         replica = self._replica
         leadership = replica.leadership
         if leadership is None:
@@ -160,9 +161,10 @@
         )
 
     def _next_piece(self, leadership: Leadership) -> SnapshotPiece:
-        """Return the next piece of the newest snapshot; the first one is empty.
+        """Return the next piece of the newest snapshot; the first piece is empty.
 
-        The follower answers the empty one with how much it holds already.
+        The follower replies to the empty piece with the number of bytes that it
+        already holds.
         """
         replica = self._replica
         snapshot = replica.snapshot
@@ -193,21 +195,21 @@
             reply = self._send(message)
             self._replica.observe_term(reply.term)
         except (PeerUnavailableError, PeerRefusal) as error:
-            self._note_reachable(False, sent_at, error)
+            self._set_reachable(False, sent_at, error)
             return
-        self._note_reachable(True, sent_at)
+        self._set_reachable(True, sent_at)
         with self._replica.lock:
             current = self._replica.leadership is leadership
             if current and reply.term == leadership.term:
-                self._take_reply(reply, message, sent_at)
+                self._handle_reply(reply, message, sent_at)
 
     @singledispatchmethod
     def _send(self, message: Any) -> Any:
-        raise TypeError(f"{type(message).__name__} is no message to a follower")
+        raise TypeError(f"{type(message).__name__} can't be sent to a follower")
 
     @_send.register(AppendRequest)
     def _(self, message: AppendRequest) -> AppendReply:
-        share = ANSWER_SHARE if self._reachable else APPEND_SHARE
+        share = APPEND_TIMEOUT_SHARE if self._reachable else APPEND_WAIT_SHARE
         timeout = self._replica.election_seconds * share
         return self._client.call(lambda peer: peer.append_entries(message), timeout)
 
@@ -217,7 +219,7 @@
             lambda peer: peer.install_snapshot(message), PIECE_SECONDS
         )
 
-    def _take_reply(self, reply: Any, message: Any, sent_at: float) -> None:
+    def _handle_reply(self, reply: Any, message: Any, sent_at: float) -> None:
         progress = self._replica.leadership and (
             self._replica.leadership.progress_by_id.get(self._member.replica_id)
         )
@@ -226,25 +228,26 @@
         progress.acknowledged_at = max(progress.acknowledged_at, sent_at)
         progress.heard_at = steady_seconds()
         if isinstance(message, SnapshotPiece):
-            self._take_piece_reply(progress, reply, message)
+            self._handle_piece_reply(progress, reply, message)
         else:
-            self._take_append_reply(progress, reply, message)
-        # The answer may have extended the lease that the election task watches.
+            self._handle_append_reply(progress, reply, message)
+        # The follower's new match index may complete a majority.
         self._replica.advance_commit()
 
-    def _take_append_reply(
+    def _handle_append_reply(
         self, progress: Progress, reply: AppendReply, message: AppendRequest
     ) -> None:
         if reply.accepted:
             progress.match_index = max(progress.match_index, reply.match_index)
             progress.next_index = progress.match_index + 1
             return
-        # It lacks the entry before: go back, but never behind what it acknowledged.
+        # The follower lacks the preceding entry: retry from an earlier index, but
+        # never from one that it has already acknowledged.
         tried = min(message.previous_index - 1, reply.match_index)
         progress.next_index = max(progress.match_index, tried) + 1
         self._next_contact = Deadline.after(0)
 
-    def _take_piece_reply(
+    def _handle_piece_reply(
         self, progress: Progress, reply: SnapshotReply, message: SnapshotPiece
     ) -> None:
         self._next_contact = Deadline.after(0)
@@ -255,7 +258,7 @@
         progress.next_index = progress.match_index + 1
         self._drop_reader()
 
-    def _note_reachable(
+    def _set_reachable(
         self, reachable: bool, sent_at: float, error: Exception | None = None
     ) -> None:
         if reachable != self._reachable:
@@ -264,7 +267,7 @@
                 "error": str(error or ""),
                 "took_ms": int((steady_seconds() - sent_at) * MILLISECONDS),
             }
-            message = "replica answers" if reachable else "replica does not answer"
+            message = "replica reachable" if reachable else "replica unreachable"
             logger.info(message, extra=extra)
         self._reachable = reachable
 
@@ -275,7 +278,7 @@
 
 
 class Replication:
-    """Starts a replicator for each member as the membership grows."""
+    """Runs one replicator for each other member of the membership."""
 
     def __init__(self, replica: Replica, clients: ReplicaClients) -> None:
         self._replica = replica
@@ -292,7 +295,7 @@
 
     def _start_missing(self) -> None:
         replica = self._replica
-        for member in replica.members_to_reach():
+        for member in replica.replication_targets():
             is_self = member.replica_id == replica.replica_id
             if not is_self and member.replica_id not in self._running_ids:
                 self._running_ids.add(member.replica_id)
--- a/src/jujubeslip/control/_snapshots.py
+++ b/src/jujubeslip/control/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshot files: the state at one index, as checksummed records with an end."""
+"""Snapshot files: the state at one index, as checksummed records with an end record."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class SnapshotFile:
-    """A whole snapshot on disk; `checksum` is the SHA-256 of its bytes."""
+    """A complete snapshot on disk; `checksum` is the SHA-256 of its bytes."""
 
     path: Path
     header: SnapshotHeader
@@ -44,8 +44,8 @@
 ) -> SnapshotFile:
     """Write a snapshot and make it durable under its final name.
 
-    Raises StorageFailedError. Until the rename, a crash leaves only a file that the
-    next start removes.
+    Raises StorageFailedError. A crash before the rename leaves an unfinished file,
+    which the next start removes.
     """
     path = _path(folder, header.last_index)
     unfinished = path.with_name(path.name + UNFINISHED_SUFFIX)
@@ -69,9 +69,9 @@
 
 
 def newest_snapshot(folder: Path) -> SnapshotFile | None:
-    """Return the newest snapshot of the folder, after removing what is left of others.
+    """Return the newest snapshot of the folder, after removing older ones.
 
-    Raises StorageDamagedError when it is not whole.
+    Raises StorageDamagedError when it is damaged.
     """
     for path in folder.glob(f"{SNAPSHOT_PREFIX}*{UNFINISHED_SUFFIX}"):
         path.unlink()
@@ -84,7 +84,7 @@
 
 
 def describe_snapshot(path: Path) -> SnapshotFile:
-    """Return what the file holds, or raise StorageDamagedError."""
+    """Return the description of a snapshot file, or raise StorageDamagedError."""
     with path.open("rb") as file:
         first = next(stream_records(file), None)
         file.seek(0)
@@ -118,7 +118,7 @@
 def remove_older_snapshots(kept: SnapshotFile) -> None:
     """Remove the other snapshots and partial files.
 
-    One that is still being written stays: its writer renames it at its end.
+    An unfinished snapshot stays, since its writer renames it when it is complete.
     """
     try:
         for path in kept.path.parent.glob(f"{SNAPSHOT_PREFIX}*"):
@@ -130,7 +130,7 @@
 
 
 class SnapshotReader:
-    """Reads pieces of a snapshot, also after a newer one has taken its place."""
+    """Reads pieces of a snapshot, also after a newer one has replaced it."""
 
     def __init__(self, snapshot: SnapshotFile) -> None:
         self.snapshot = snapshot
@@ -148,15 +148,15 @@
 class SnapshotReceiver:
     """Collects the pieces of a leader's snapshot in a partial file.
 
-    The file's name holds the index and the checksum, so that a transfer goes on where
-    it broke off, also after a restart or under another leader that has the same file.
+    The file's name holds the index and the checksum, so that an interrupted transfer
+    resumes, also after a restart or under another leader that has the same snapshot.
     """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def receive(self, piece: SnapshotPiece) -> int:
-        """Store a piece that fits; return the offset from which to go on, in bytes.
+        """Store the piece if it is the next one; return the next offset, in bytes.
 
         Raises StorageFailedError.
         """
@@ -177,9 +177,9 @@
         return held + len(piece.data)
 
     def finish(self, piece: SnapshotPiece) -> tuple[SnapshotFile, StateMachine] | None:
-        """Return the whole snapshot under its final name and its state.
+        """Return the complete snapshot under its final name, and its state.
 
-        Returns None, and starts over, when the bytes don't have the leader's checksum.
+        Returns None and removes the partial file if its checksum is not the leader's.
         """
         partial = self._partial(piece)
         with partial.open("rb") as file:
--- a/src/jujubeslip/control/_stopping.py
+++ b/src/jujubeslip/control/_stopping.py
@@ -1,4 +1,4 @@
-"""What a replica does before its process ends: it gives up its lead and its vote."""
+"""Graceful stop of a replica: it transfers leadership and leaves the membership."""
 
 from __future__ import annotations
 
@@ -6,41 +6,43 @@
 
 from jujubeslip.control._peers import ReplicaClients
 from jujubeslip.control._replica import Replica
-from jujubeslip.control._succession import is_spare
+from jujubeslip.control._succession import is_surplus_voter
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import Member, NotLeader, PeerRefusal
 
 logger = logging.getLogger(__name__)
 
-# How long a stop takes over the lead and the vote, in seconds: an election that is
-# handed over and a change of the replicas take a tenth of it on an idle host, and the
-# process has some seconds until it is killed.
+# Limit on the whole procedure, in seconds. A leadership transfer and a membership
+# change take a tenth of it on an idle host, and the process has some seconds until it
+# is killed.
 STOP_SECONDS = 2.5
-# How long it waits for one host's answer, in seconds. A host that is frozen doesn't
-# answer; there is time for another one then.
+# Timeout for one host's answer, in seconds: short enough to try another host if the
+# first one is frozen and does not answer.
 ANSWER_SECONDS = 0.4
-# How often it looks for the new leader, in seconds: an election takes some ten
-# milliseconds, and most changes wake it earlier.
+# Interval at which to check for a new leader, in seconds. An election takes some ten
+# milliseconds, and most changes end the wait earlier.
 POLL_SECONDS = 0.05
 
 
 def step_aside(replica: Replica, clients: ReplicaClients) -> None:
-    """Give the lead to another replica, and have this one counted on no more.
+    """Transfer leadership to another replica and leave the membership.
 
-    A host that is replaced for good stops like any other. Until the leader took it
-    for gone, the loss of another one would leave no majority. A process that starts
-    again joins anew.
+    A host that is permanently replaced stops like any other. If its replica stayed a
+    voter until the leader finds it unresponsive, the loss of another one in the
+    meantime would leave no majority. A process that starts again joins again.
     """
     deadline = Deadline.after(STOP_SECONDS)
-    hand_over(replica, clients, deadline)
+    transfer_leadership(replica, clients, deadline)
     leave(replica, clients, deadline)
 
 
-def hand_over(replica: Replica, clients: ReplicaClients, deadline: Deadline) -> None:
-    """Give the lead to the follower that is furthest on, if this replica leads.
+def transfer_leadership(
+    replica: Replica, clients: ReplicaClients, deadline: Deadline
+) -> None:
+    """Transfer leadership to the most up-to-date follower, if this replica leads.
 
-    The lease ends first: the follower campaigns at once, without waiting it out. One
-    that is stopping, too, refuses, and the next one is asked.
+    The lease ends first, since the follower campaigns at once without waiting for its
+    expiry. A follower that is stopping as well refuses, and the next one is asked.
     """
     with replica.lock:
         leadership = replica.leadership
@@ -64,30 +66,37 @@
 
 
 def leave(replica: Replica, clients: ReplicaClients, deadline: Deadline) -> None:
-    """Have the leader remove this replica, if the others are enough."""
+    """Ask the leader to remove this replica, if enough voters remain."""
     while not deadline.expired:
-        # It may have been elected before it began to stop, by a vote that came late.
-        hand_over(replica, clients, deadline)
+        # A late vote may have elected this replica shortly before it began to stop.
+        transfer_leadership(replica, clients, deadline)
         with replica.lock:
-            if not is_spare(replica.membership, replica.replica_id, replica.settings):
+            if not is_surplus_voter(
+                replica.membership, replica.replica_id, replica.settings
+            ):
                 return
             leader_address = replica.not_leader().leader_address
-        if leader_address and _was_heard(replica, clients, leader_address):
-            logger.info("asked to be removed", extra={"leader": leader_address})
+        if leader_address and _was_handled(replica, clients, leader_address):
+            logger.info(
+                "leader handled the request for removal",
+                extra={"leader": leader_address},
+            )
             return
         with replica.lock:
             replica.role_changed.wait(POLL_SECONDS)
-    logger.warning("not removed in time", extra={"replica": replica.replica_id})
+    logger.warning(
+        "replica not removed before the deadline", extra={"replica": replica.replica_id}
+    )
 
 
-def _was_heard(replica: Replica, clients: ReplicaClients, address: str) -> bool:
-    """Say whether the leader removed this replica, or needs it too much for that."""
+def _was_handled(replica: Replica, clients: ReplicaClients, address: str) -> bool:
+    """Say whether the leader removed this replica or decided to keep it."""
     try:
         clients.to_address(address).call(
             lambda peer: peer.leave(replica.replica_id), ANSWER_SECONDS
         )
     except (NotLeader, PeerRefusal, PeerUnavailableError) as error:
-        logger.debug("not removed yet", extra={"reason": str(error)})
+        logger.debug("request for removal failed", extra={"reason": str(error)})
         return False
     return True
 
--- a/src/jujubeslip/control/_storage.py
+++ b/src/jujubeslip/control/_storage.py
@@ -1,4 +1,4 @@
-"""The data folder of a replica: identity, metadata, log segments, snapshots."""
+"""The data folder of a replica: identity, metadata, log segments, and snapshots."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Storage:
-    """Opens a data folder and holds it; the caller serializes all calls.
+    """Opens and locks a data folder; the caller serializes all calls.
 
     Raises StorageDamagedError when the folder does not hold what was synced to it,
     and DataFolderInUseError when another process holds it.
@@ -56,7 +56,7 @@
         return newest_snapshot(self.folder)
 
     def load_entries(self, snapshot_index: int, snapshot_term: int) -> list[LogEntry]:
-        """Return the entries of the log that go with the snapshot.
+        """Return the entries of the log that continue or overlap the snapshot.
 
         Raises StorageDamagedError when entries between the two are lost.
         """
@@ -65,7 +65,9 @@
             return []
         first, last = entries[0].index, entries[-1].index
         if first > snapshot_index + 1:
-            raise StorageDamagedError("The log begins behind the snapshot's end.")
+            raise StorageDamagedError(
+                "Entries between the end of the snapshot and the log are lost."
+            )
         if last < snapshot_index:
             return self._drop_log()
         at_snapshot = snapshot_index - first
@@ -74,27 +76,27 @@
         return entries
 
     def _drop_log(self) -> list[LogEntry]:
-        """Finish the installation of a snapshot that a crash has interrupted."""
+        """Complete the installation of a snapshot that a crash has interrupted."""
         self.log.drop_all()
         return []
 
     def save_metadata(self, metadata: ReplicaMetadata) -> None:
-        """Make a term, vote and cluster durable before they are acted on."""
+        """Make term, vote and cluster id durable before they take effect."""
         write_file_atomically(self.folder / METADATA_NAME, metadata)
         self.metadata = metadata
 
     def close(self) -> None:
-        """Close the files and let go of the folder."""
+        """Close the files and unlock the folder."""
         self.log.close()
         os.close(self._lock)
 
     def _load_identity(self, host_id: str) -> ReplicaIdentity:
-        """Read the folder's identity, or give an empty folder a new one.
+        """Read the folder's identity, or create one for an empty folder.
 
-        The random disk id guards against a replica that lost its disk and votes
-        again: it would have forgotten votes and entries that it promised, and two
-        leaders could be elected in one term. With a new disk id it is another
-        replica, which the cluster adds as a learner first.
+        The random disk id guards against a replica that votes again after it lost its
+        disk, and with it the votes and entries that it had acknowledged: two leaders
+        could be elected in one term. With a new disk id it is a different replica,
+        which the cluster first adds as a learner.
         """
         path = self.folder / IDENTITY_NAME
         identity = read_file(path, ReplicaIdentity)
@@ -111,10 +113,10 @@
     def _new_identity(self, path: Path, host_id: str) -> ReplicaIdentity:
         leftovers = [METADATA_NAME, f"{SEGMENT_PREFIX}*", "snapshot-*"]
         if any(True for name in leftovers for _ in self.folder.glob(name)):
-            raise StorageDamagedError("The data folder has lost its identity file.")
+            raise StorageDamagedError("The data folder lacks its identity file.")
         identity = ReplicaIdentity(host_id, secrets.token_hex(DISK_ID_BYTES))
         write_file_atomically(path, identity)
-        logger.info("new replica identity", extra={"disk_id": identity.disk_id})
+        logger.info("replica identity created", extra={"disk_id": identity.disk_id})
         return identity
 
     def _load_metadata(self) -> ReplicaMetadata:
@@ -122,7 +124,7 @@
         if metadata is not None:
             return metadata
         if any(True for _ in self.folder.glob(f"{SEGMENT_PREFIX}*")):
-            raise StorageDamagedError("The data folder has lost its metadata file.")
+            raise StorageDamagedError("The data folder lacks its metadata file.")
         return ReplicaMetadata("", 0, "")
 
 
@@ -131,8 +133,8 @@
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise StorageFailedError(
-            f"The data folder can't be made: {error}.",
-            "Give a data_folder that this process may write to.",
+            f"The data folder can't be created: {error}.",
+            "Set data_folder to a folder that this process may write to.",
         ) from error
     sync_folder(folder.parent)
 
--- a/src/jujubeslip/control/_succession.py
+++ b/src/jujubeslip/control/_succession.py
@@ -1,4 +1,4 @@
-"""Who votes next: learners that take over, and voters that are gone."""
+"""Decides the next membership: which learner is promoted, which voter is removed."""
 
 from __future__ import annotations
 
@@ -15,31 +15,32 @@
 from jujubeslip.kernel import ControlSettings, steady_seconds
 from jujubeslip.peers import Member, Membership
 
-# A replica that has not answered for this many election timeouts counts as gone.
-GONE_TIMEOUTS = 2.0
-# How long a silent voter is kept where the others bear further losses, in seconds:
-# longer than a restart or a short cut, which it should outlast without joining anew.
-DEAD_SECONDS = 8.0
+# A replica that has not answered for this many election timeouts is unresponsive.
+UNRESPONSIVE_TIMEOUTS = 2.0
+# How long an unresponsive voter stays a member, in seconds, if the others tolerate
+# further losses. Longer than a restart or a short network partition, after which the
+# voter should not have to join again.
+GRACE_SECONDS = 8.0
 
 
-class Succession:
-    """Decides the next change of the voters; a leader's, guarded by its lock."""
+class MembershipPlanner:
+    """Plans the leader's next membership change; guarded by the replica's lock."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     @property
-    def gone_seconds(self) -> float:
-        """Return after which silence a replica counts as gone, in seconds."""
-        return GONE_TIMEOUTS * self._replica.election_seconds
+    def unresponsive_seconds(self) -> float:
+        """Return the silence after which a replica is unresponsive, in seconds."""
+        return UNRESPONSIVE_TIMEOUTS * self._replica.election_seconds
 
     def next_step(self, membership: Membership) -> Membership:
-        """Return the membership after the next step, the same one if none is due.
+        """Return the membership after the next step, or the same one if none is due.
 
-        The replica with the lost disk is removed before its successor votes. The
-        removal commits on a majority of the others, and with it every earlier entry:
-        what only the lost disk and one other held is on a majority again before a
-        second loss can meet a smaller one.
+        A replica with a lost disk is removed before its successor becomes a voter. The
+        removal commits on a majority of the others, and with it every earlier entry.
+        An entry that only the lost disk and one other replica held is thus on a
+        majority again before a second loss can meet the smaller membership.
         """
         for learner in membership.members:
             if learner.voter or not self._has_caught_up(learner):
@@ -48,64 +49,65 @@
                 if other.voter:
                     return without_replica(membership, other.replica_id)
             return self._with_successor(membership, learner)
-        return self._without_silent_spare(membership)
+        return self._without_unresponsive_surplus(membership)
 
-    def is_gone(self, member: Member) -> bool:
-        """Say whether another replica has been silent for too long."""
+    def is_unresponsive(self, member: Member) -> bool:
+        """Say whether another replica has not answered for too long."""
         if member.replica_id == self._replica.replica_id:
             return False
-        return self._silence_of(member) > self.gone_seconds
+        return self._silence_of(member) > self.unresponsive_seconds
 
     def _with_successor(self, membership: Membership, learner: Member) -> Membership:
-        """Let a learner take the place of a voter that is gone, or vote beside all.
+        """Remove an unresponsive voter in favor of a learner, or promote the learner.
 
-        While a voter is silent and not yet gone, the learner waits: beside it, the
-        majority would grow by one, and the next loss would leave none.
+        While a voter is silent but not yet unresponsive, the learner is not promoted:
+        with one more voter the majority would grow by one, and the next loss would
+        leave no majority.
         """
         settings = self._replica.settings
         if not settings.admits_any_host:
             return with_promoted(membership, learner.replica_id)
-        if len(voters(membership)) < _enough_voters(settings):
+        if len(voters(membership)) < _required_voters(settings):
             return with_promoted(membership, learner.replica_id)
-        gone = self._longest_silent(membership, self.gone_seconds)
-        if gone is not None:
-            return without_replica(membership, gone.replica_id)
+        unresponsive = self._longest_silent(membership, self.unresponsive_seconds)
+        if unresponsive is not None:
+            return without_replica(membership, unresponsive.replica_id)
         if not all(map(self._answers, self._other_voters(membership))):
             return membership
         return with_promoted(membership, learner.replica_id)
 
-    def _without_silent_spare(self, membership: Membership) -> Membership:
-        """Remove a voter that is gone, if enough remain without it.
+    def _without_unresponsive_surplus(self, membership: Membership) -> Membership:
+        """Remove an unresponsive voter if enough voters remain without it.
 
-        A host that was replaced for good would count for every majority: of four
-        voters, one of them such a host, no other may be lost, and a disk that is lost
-        meanwhile leaves no majority for ever. Where those that are left would not bear
-        the tolerated losses, one that is gone is removed at once; else it has time to
-        come back. One that comes back after all joins anew.
+        A host that was permanently replaced would still count for every majority: of
+        four voters with one such host, a single lost disk leaves no majority for ever.
+        If the responsive voters do not tolerate the configured number of losses, the
+        unresponsive voter is removed at once, otherwise after a grace period. A removed
+        voter that returns joins again.
         """
-        if not _has_spare(membership, self._replica.settings):
+        if not _has_surplus_voter(membership, self._replica.settings):
             return membership
-        patience = self.gone_seconds
-        if self._bears_losses(membership):
-            patience = max(patience, DEAD_SECONDS)
-        silent = self._longest_silent(membership, patience)
+        silence_limit = self.unresponsive_seconds
+        if self._tolerates_losses(membership):
+            silence_limit = max(silence_limit, GRACE_SECONDS)
+        silent = self._longest_silent(membership, silence_limit)
         if silent is None:
             return membership
         return without_replica(membership, silent.replica_id)
 
-    def _bears_losses(self, membership: Membership) -> bool:
-        """Say whether the voters that are there are a majority after more losses."""
-        gone = sum(map(self.is_gone, self._other_voters(membership)))
-        left = len(voters(membership)) - gone
+    def _tolerates_losses(self, membership: Membership) -> bool:
+        """Say whether the responsive voters keep a majority after further losses."""
+        unresponsive = sum(map(self.is_unresponsive, self._other_voters(membership)))
+        remaining = len(voters(membership)) - unresponsive
         tolerated = self._replica.settings.tolerated_losses
-        return left - tolerated >= quorum_size(membership)
+        return remaining - tolerated >= quorum_size(membership)
 
     def _other_voters(self, membership: Membership) -> list[Member]:
         own_id = self._replica.replica_id
         return [item for item in voters(membership) if item.replica_id != own_id]
 
     def _longest_silent(self, membership: Membership, seconds: float) -> Member | None:
-        """Return the voter that has been silent longest, beyond these seconds."""
+        """Return the voter that has been silent longest, if beyond these seconds."""
         others = self._other_voters(membership)
         if not others:
             return None
@@ -118,7 +120,7 @@
         return caught_up and self._answers(learner)
 
     def _answers(self, member: Member) -> bool:
-        """Say whether this leader has heard the member within an election timeout."""
+        """Say whether the member has answered within an election timeout."""
         silence = steady_seconds() - self._progress_of(member).acknowledged_at
         return silence < self._replica.election_seconds
 
@@ -126,28 +128,28 @@
         return self._replica.require_leader().progress_by_id[member.replica_id]
 
     def _silence_of(self, member: Member) -> float:
-        """Return for how long this leader has not heard the other replica."""
+        """Return for how long the other replica has not answered, in seconds."""
         started_at = self._replica.require_leader().started_at
         last_seen = max(self._progress_of(member).acknowledged_at, started_at)
         return steady_seconds() - last_seen
 
 
-def is_spare(
+def is_surplus_voter(
     membership: Membership, replica_id: str, settings: ControlSettings
 ) -> bool:
-    """Say whether a voter may go, since enough others remain without it."""
-    return is_voter(membership, replica_id) and _has_spare(membership, settings)
+    """Say whether a voter may be removed, since enough others remain without it."""
+    return is_voter(membership, replica_id) and _has_surplus_voter(membership, settings)
 
 
-def _has_spare(membership: Membership, settings: ControlSettings) -> bool:
-    """Say whether more vote than the losses that are tolerated need.
+def _has_surplus_voter(membership: Membership, settings: ControlSettings) -> bool:
+    """Say whether there are more voters than the tolerated losses require.
 
-    Where operators admit each host, they alone remove one.
+    False where operators admit each host: then only they remove one.
     """
-    enough = _enough_voters(settings)
-    return settings.admits_any_host and len(voters(membership)) > enough
+    required = _required_voters(settings)
+    return settings.admits_any_host and len(voters(membership)) > required
 
 
-def _enough_voters(settings: ControlSettings) -> int:
-    """Return how many voters keep a majority through the tolerated losses."""
+def _required_voters(settings: ControlSettings) -> int:
+    """Return the number of voters that keep a majority after the tolerated losses."""
     return 2 * settings.tolerated_losses + 1
--- a/src/jujubeslip/control/_upkeep.py
+++ b/src/jujubeslip/control/_upkeep.py
@@ -1,4 +1,4 @@
-"""Tasks that keep the data folder up: group commit, snapshots, trimming."""
+"""Background tasks of the log: group commit, snapshots, and trimming."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 logger = logging.getLogger(__name__)
 
-# How many bytes of entries the log keeps behind a snapshot at most.
+# Limit on the bytes of entries that the log keeps although a snapshot covers them.
 KEPT_BYTES = 2 * 1024 * 1024
 
 
 class Upkeep:
-    """Writes what the leader proposed, and replaces old entries by snapshots."""
+    """Writes proposed entries to disk and replaces old entries by snapshots."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     def run_writes(self) -> None:
-        """Write and sync proposals, all that wait at once, until the process stops."""
+        """Write and sync pending proposals in batches until the process stops."""
         replica = self._replica
         while not replica.process.stopped.is_set():
             with replica.lock:
@@ -29,7 +29,7 @@
                     replica.work.wait()
                     continue
             try:
-                with replica.disk_lock, replica.promising():
+                with replica.disk_lock, replica.requiring_working_disk():
                     replica.write_pending()
             except PeerRefusal:
                 return
@@ -39,22 +39,22 @@
         return not replica.failure and replica.written_index < replica.log.last_index
 
     def run_snapshots(self) -> None:
-        """Take a snapshot whenever enough was applied since the last one."""
+        """Take a snapshot whenever enough entries were applied since the last one."""
         replica = self._replica
         while not replica.process.stopped.is_set():
             with replica.lock:
                 replica.snapshot_due.wait_for(lambda: replica.needs_snapshot)
             try:
-                with replica.promising():
+                with replica.requiring_working_disk():
                     self._take_snapshot()
             except PeerRefusal:
                 return
 
     def _take_snapshot(self) -> None:
-        """Write a snapshot beside the log, then drop the entries before it.
+        """Write a snapshot, then remove the entries that it covers from the log.
 
-        The log keeps some entries behind it, so that a follower which lags a little
-        is not sent the whole state.
+        Some of the covered entries are kept, so that a follower that lags slightly
+        does not need the whole snapshot.
         """
         replica = self._replica
         with replica.lock:
@@ -77,7 +77,7 @@
                     return
                 replica.snapshot = snapshot
             remove_older_snapshots(snapshot)
-            first_kept = replica.log.first_within(
+            first_kept = replica.log.first_index_within(
                 index, replica.settings.snapshot_every, KEPT_BYTES
             )
             replica.storage.log.roll()
--- a/tests/control/test_fresh_election.py
+++ b/tests/control/test_fresh_election.py
@@ -150,7 +150,7 @@
         elections = Elections(replica, clients)
         with replica.disk_lock, replica.lock:
             replica.follow(1, LeaderContact(CANDIDATE, "127.0.0.1:2"))
-        elections.campaign_fresh({CANDIDATE: START})
+        elections.campaign_after_cold_start({CANDIDATE: START})
         assert other.votes == []
         assert (replica.term, replica.leadership) == (1, None)
 
--- a/tests/control/test_lost_voters.py
+++ b/tests/control/test_lost_voters.py
@@ -216,9 +216,9 @@
     def test_is_repeated_once_it_is_committed(self, replica: Replica) -> None:
         lost = ("control-1/disk",)
         self.lead(replica, without_lost(replica.membership, lost), lost)
-        assert not replica.is_settled
+        assert not replica.is_membership_settled
         replica.write_pending()
         self.answer(replica, "control-3/disk")
-        assert replica.is_settled
+        assert replica.is_membership_settled
         kinds = [item.kind for item in replica.log.entries_from(3)]
         assert kinds == [EntryKind.MEMBERSHIP, EntryKind.MEMBERSHIP]
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -22,7 +22,7 @@
             cluster.link()
             added.start()
             wait_until(
-                lambda: "not taken in yet" in added.output(),
+                lambda: "join request refused" in added.output(),
                 "the unknown host is refused",
                 BOUND_SECONDS,
             )
@@ -73,7 +73,7 @@
             second.start()
             try:
                 wait_until(
-                    lambda: second.output().count("not taken in yet") >= 3,
+                    lambda: second.output().count("join request refused") >= 3,
                     "three refusals",
                     BOUND_SECONDS,
                 )
--- a/tests/control/test_succession.py
+++ b/tests/control/test_succession.py
@@ -11,7 +11,11 @@
 from jujubeslip.control._members import find_member, voters
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._storage import Storage
-from jujubeslip.control._succession import DEAD_SECONDS, Succession, is_spare
+from jujubeslip.control._succession import (
+    GRACE_SECONDS,
+    MembershipPlanner,
+    is_surplus_voter,
+)
 from jujubeslip.kernel import ControlSettings, Process, steady_seconds
 from jujubeslip.peers import Member, Membership, ReplicaMetadata
 
@@ -45,7 +49,7 @@
             tolerated_losses=1,
         )
         self.replica = Replica(settings, storage, Process("test"))
-        self.succession = Succession(self.replica)
+        self.planner = MembershipPlanner(self.replica)
 
     def lead(self, voter_count: int, learners: int = 0) -> None:
         """Lead this many voters, and perhaps a learner that has caught up."""
@@ -78,7 +82,7 @@
 
     def next_voter_ids(self) -> set[str]:
         with self.replica.lock:
-            following = self.succession.next_step(self.replica.membership)
+            following = self.planner.next_step(self.replica.membership)
         return {member.replica_id for member in voters(following)}
 
     def voter_ids(self) -> set[str]:
@@ -113,16 +117,16 @@
     def test_stays_where_all_others_are_needed(self, subject: Subject) -> None:
         """Two voters would bear no loss of a disk, even while both work."""
         subject.lead(3)
-        subject.silence("control-3/disk", 10 * GONE + DEAD_SECONDS)
+        subject.silence("control-3/disk", 10 * GONE + GRACE_SECONDS)
         assert subject.next_voter_ids() == subject.voter_ids()
 
     def test_stays_longer_in_an_odd_number(self, tmp_path: Path) -> None:
         """Without it an even number would be left, whose majority is as large."""
         subject = Subject(tmp_path / "data", election_seconds=1.0)
         subject.lead(5)
-        subject.silence("control-5/disk", DEAD_SECONDS - 2)
+        subject.silence("control-5/disk", GRACE_SECONDS - 2)
         assert subject.next_voter_ids() == subject.voter_ids()
-        subject.silence("control-5/disk", DEAD_SECONDS + 2)
+        subject.silence("control-5/disk", GRACE_SECONDS + 2)
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-5/disk"}
         subject.replica.storage.close()
 
@@ -136,7 +140,7 @@
         """
         subject = Subject(tmp_path / "data", election_seconds=1.0)
         subject.lead(5)
-        subject.silence("control-4/disk", DEAD_SECONDS - 3)
+        subject.silence("control-4/disk", GRACE_SECONDS - 3)
         subject.silence("control-5/disk", 2.5)
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-4/disk"}
         subject.replica.storage.close()
@@ -181,11 +185,11 @@
     def test_is_spare_beside_enough_others(self, subject: Subject) -> None:
         subject.lead(4)
         membership, settings = subject.replica.membership, subject.replica.settings
-        assert is_spare(membership, "control-4/disk", settings)
+        assert is_surplus_voter(membership, "control-4/disk", settings)
 
     def test_is_needed_by_as_many_as_bear_the_losses(self, subject: Subject) -> None:
         subject.lead(3, learners=1)
         membership, settings = subject.replica.membership, subject.replica.settings
-        assert not is_spare(membership, "control-3/disk", settings)
-        assert not is_spare(membership, LEARNER, settings)
+        assert not is_surplus_voter(membership, "control-3/disk", settings)
+        assert not is_surplus_voter(membership, LEARNER, settings)
         assert find_member(membership, LEARNER) is not None
