--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -1,4 +1,4 @@
-"""Real control processes for tests, each pair of replicas linked by a fault proxy."""
+"""Control processes for tests; a fault proxy links each pair of replicas."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class ControlHost:
-    """One control process: its settings, its data folder, its log."""
+    """One control process with its settings, data folder and output."""
 
     def __init__(self, folder: Path, host_id: str, secret: str) -> None:
         self.host_id = host_id
@@ -102,13 +102,13 @@
             return None
 
     def leads(self) -> bool:
-        """Say whether the host leads, by its own word."""
+        """Say whether the host leads according to its own status."""
         status = self.status()
         return status is not None and status.leader_id == status.replica_id
 
 
 class ControlCluster:
-    """Control hosts named control-1, control-2, ...; stops them all at its end."""
+    """Control hosts named control-1, control-2, ...; stops them all on exit."""
 
     def __init__(self, folder: Path, count: int, **settings: int) -> None:
         self.folder = folder
@@ -158,7 +158,7 @@
         return host
 
     def link(self) -> None:
-        """Write all settings; each host reaches the others through fault proxies."""
+        """Write all settings, with fault proxies as addresses of the other hosts."""
         for source in self.hosts:
             peers = []
             for target in self.hosts:
@@ -172,13 +172,13 @@
                 peers.append(PeerAddress(target.host_id, proxy.address))
             source.write_settings(peers, self._extra)
 
-    def link_alone(self, host: ControlHost) -> None:
-        """Write settings for a process that the others don't know of."""
+    def link_unknown_host(self, host: ControlHost) -> None:
+        """Write settings for a process that the other hosts' settings don't name."""
         peers = [PeerAddress(item.host_id, item.address) for item in self.others()]
         host.write_settings(peers, self._extra)
 
     def cut(self, host: ControlHost) -> None:
-        """Cut the host off from the other replicas, not from clients."""
+        """Partition the host from the other replicas, but not from clients."""
         for pair, proxy in self.proxy_by_pair.items():
             if host.host_id in pair:
                 proxy.cut()
@@ -188,7 +188,7 @@
             proxy.heal()
 
     def leader(self, among: list[ControlHost] | None = None) -> ControlHost:
-        """Return the host that leads by its own word, once there is one."""
+        """Wait for a host that leads according to its own status; return it."""
 
         def find() -> ControlHost | None:
             for host in among or self.hosts:
@@ -234,7 +234,7 @@
 
 
 def ask_directly(host: ControlHost, operation: Callable[[Any], T]) -> T | None:
-    """Return the host's own answer, None when it refuses or does not lead."""
+    """Return this host's answer, None if it refuses or does not lead."""
     try:
         return host.call(operation, 2.0)
     except (NotLeader, PeerRefusal, PeerUnavailableError):
--- a/tests/control/history.py
+++ b/tests/control/history.py
@@ -1,4 +1,4 @@
-"""Clients that record what they were answered, and a checker of the record."""
+"""Clients that record their answers, and a consistency check of the record."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 TRY_SECONDS = 3.0
 KEYS = 40
 PAUSE_SECONDS = 0.01
-# Below what the control hosts keep: resends count as changes when they are lost.
+# Below the number of changes that control hosts remember, since a resend of a forgotten
+# change would count as a new one.
 RESENDS = 9000
 KEPT_REVISIONS = 900
 
 
 @dataclass(frozen=True)
-class AppliedChange:
-    """A change and its answer; times are monotonic instants in seconds."""
+class AnsweredChange:
+    """A change and its answer; times are monotonic timestamps in seconds."""
 
     request: ApplyRequest
     reply: ApplyReply
@@ -36,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Claimed:
+class AnsweredClaim:
     """A claim and its answer."""
 
     key: str
@@ -45,8 +46,8 @@
 
 
 @dataclass(frozen=True)
-class Read:
-    """A read at the leader and when it was begun."""
+class AnsweredRead:
+    """A read at the leader and when it began."""
 
     begun_at: float
     revision: int
@@ -55,17 +56,17 @@
 
 @dataclass
 class History:
-    """Everything that the clients were answered."""
+    """All answers that the clients received."""
 
-    changes: list[AppliedChange] = field(default_factory=list)
-    claims: list[Claimed] = field(default_factory=list)
-    reads: list[Read] = field(default_factory=list)
+    changes: list[AnsweredChange] = field(default_factory=list)
+    claims: list[AnsweredClaim] = field(default_factory=list)
+    reads: list[AnsweredRead] = field(default_factory=list)
     unanswered: int = 0
     stop: threading.Event = field(default_factory=threading.Event)
 
     def run_operator(self, client: ControlClient, name: str, seed: int) -> None:
-        """Apply changes, some from an old revision; resend until answered."""
-        chance = random.Random(seed)
+        """Apply changes, some based on an old revision; resend until answered."""
+        rng = random.Random(seed)
         base = 0
         number = 0
         while not self.stop.wait(PAUSE_SECONDS):
@@ -76,15 +77,15 @@
             reply = self._apply_until_answered(client, request)
             if reply is None:
                 continue
-            base = reply.revision if chance.random() < 0.9 else max(0, base - 1)
+            base = reply.revision if rng.random() < 0.9 else max(0, base - 1)
 
     def run_claimer(self, client: ControlClient, name: str, seed: int) -> None:
-        """Claim keys that other claimers claim too."""
-        chance = random.Random(seed)
+        """Claim keys that other claimers claim as well."""
+        rng = random.Random(seed)
         number = 0
         while not self.stop.wait(PAUSE_SECONDS):
             number += 1
-            key = f"key-{chance.randrange(KEYS)}-{int(time.monotonic())}"
+            key = f"key-{rng.randrange(KEYS)}-{int(time.monotonic())}"
             request_id = f"{name}-{number}"
             claim = make_claim(key, request_id)
             try:
@@ -92,10 +93,10 @@
             except (PeerUnavailableError, PeerRefusal):
                 self.unanswered += 1
                 continue
-            self.claims.append(Claimed(key, request_id, reply))
+            self.claims.append(AnsweredClaim(key, request_id, reply))
 
     def run_reader(self, client: ControlClient) -> None:
-        """Read at the leader."""
+        """Read the configuration at the leader."""
         while not self.stop.wait(PAUSE_SECONDS):
             begun_at = time.monotonic()
             try:
@@ -103,7 +104,7 @@
             except (PeerUnavailableError, PeerRefusal):
                 self.unanswered += 1
                 continue
-            self.reads.append(Read(begun_at, found.revision, found.change_id))
+            self.reads.append(AnsweredRead(begun_at, found.revision, found.change_id))
 
     def _apply_until_answered(
         self, client: ControlClient, request: ApplyRequest
@@ -114,13 +115,13 @@
             except (PeerUnavailableError, PeerRefusal):
                 self.unanswered += 1
                 continue
-            self.changes.append(AppliedChange(request, reply, time.monotonic()))
+            self.changes.append(AnsweredChange(request, reply, time.monotonic()))
             return reply
         return None
 
 
 def check_history(history: History, client: ControlClient) -> None:
-    """Raise AssertionError when an answer was taken back or contradicts another."""
+    """Raise AssertionError if an answer was reverted or contradicts another."""
     winner_by_revision = _check_winners(history)
     _check_reads(history, winner_by_revision)
     _check_resends(history, client)
@@ -158,7 +159,10 @@
 
 
 def _check_resends(history: History, client: ControlClient) -> None:
-    """Expect the first answer again; long ago, without the declaration that won."""
+    """Expect a resend to get the first answer again.
+
+    For old revisions the answer no longer includes the accepted declaration.
+    """
     newest = client.get_configuration(-1, 0).revision
     for change in history.changes[-RESENDS:]:
         again = client.apply_configuration(change.request, Deadline.after(20.0))
--- a/tests/control/test_disks.py
+++ b/tests/control/test_disks.py
@@ -30,12 +30,12 @@
 
 
 class TestFullDisk:
-    def test_stops_promising_at_once(self, tmp_path: Path) -> None:
-        """The leader's disk is full, and changes are still accepted elsewhere.
+    def test_acknowledges_nothing_after_a_failed_write(self, tmp_path: Path) -> None:
+        """The leader's disk is full, and changes are still accepted by other hosts.
 
-        Its next write fails in the middle. It must neither acknowledge, lead nor
-        vote from then on, since it can't tell what is durable; it says so in its
-        status until it is restarted.
+        Its next write fails half-way. From then on it must neither acknowledge, lead
+        nor vote, since it is unknown which data is durable, and it reports the failure
+        in its status until it is restarted.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -54,15 +54,16 @@
             cluster.wait_applied(full, 2)
 
 
-class TestDisksThatAreFullInTurn:
-    """Two disks are full for some seconds, one after the other, and have room again.
+class TestDisksFullInTurn:
+    """Guards against a majority that is lost through two disks full for a few seconds.
 
-    Each host promised nothing from its first failed write on, until somebody restarted
-    it. Nobody did: with the second one the majority was gone for good, hours after the
-    disks had room. The log said "promises nothing any more" and no further line.
+    A host acknowledges nothing after a failed write until it is restarted. If nothing
+    restarts it, the second such host leaves no majority for ever, although both disks
+    have had free space again for hours. The line of the failed disk is the last one in
+    the log then.
     """
 
-    def test_hosts_start_anew_once_they_have_room(self, tmp_path: Path) -> None:
+    def test_hosts_restart_once_they_have_free_space(self, tmp_path: Path) -> None:
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
             for revision in (2, 3):
@@ -72,14 +73,14 @@
                 set_file_size(full, resource.RLIM_INFINITY)
                 assert full.process is not None
                 assert full.process.wait() == RESTART_STATUS
-                # As the supervisor does that watches the process.
+                # As the supervisor of the process does.
                 full.start()
                 cluster.wait_applied(full, revision)
             assert cluster.apply(4, 3).revision == 4
 
 
 class TestDamagedDisk:
-    def test_refuses_to_start_and_names_the_remedy(self, tmp_path: Path) -> None:
+    def test_is_refused_at_start_with_a_remedy(self, tmp_path: Path) -> None:
         with ControlCluster(tmp_path, 1) as cluster:
             for revision in range(3):
                 cluster.apply(revision, revision)
@@ -100,11 +101,11 @@
     def test_returns_as_a_learner_and_a_second_loss_loses_nothing(
         self, tmp_path: Path
     ) -> None:
-        """A host's disk is replaced; right after the repair another host burns.
+        """A host's disk is replaced, and right after the repair another host is lost.
 
-        Some changes were held by the lost disk and one other host only. The host
-        with the new disk must hold them all before it votes, and its old identity
-        must be gone.
+        Only the lost disk and one other host held some of the changes. The host with
+        the new disk must hold all of them before it votes, and its old identity must
+        be removed from the membership.
         """
         with ControlCluster(tmp_path, 3, snapshot_every=20) as cluster:
             leader = cluster.leader()
@@ -120,19 +121,19 @@
             wait_until(
                 lambda: is_repaired(cluster, old_ids), "the repair", BOUND_SECONDS
             )
-            burnt = cluster.leader()
-            burnt.kill()
-            burnt.lose_disk()
+            destroyed = cluster.leader()
+            destroyed.kill()
+            destroyed.lose_disk()
             for number in (0, 17, 29):
                 assert cluster.apply(number, number) == replies[number]
             assert cluster.claim("key", "r2").status == KeyStatus.RUNNING
             assert cluster.apply(30, 30).revision == 31
 
     def test_has_no_vote_under_its_old_identity(self, tmp_path: Path) -> None:
-        """Two hosts restart, one of them without its disk, the third stays down.
+        """Two hosts restart, one of them with an empty disk, while the third is down.
 
-        If the one without a disk voted as before, the two could elect a leader that
-        lacks what it and the third host had accepted.
+        If the one with the empty disk voted under its old identity, the two could elect
+        a leader that lacks entries which it and the third host had accepted.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -154,9 +155,10 @@
 
 class TestRestart:
     def test_all_hosts_killed_after_500_changes(self, tmp_path: Path) -> None:
-        """A power loss ends all control hosts; an operator resends an old change.
+        """All control hosts lose power, and an operator resends an old change.
 
-        The log before the snapshot is gone, and 500 further changes were accepted.
+        500 further changes were accepted in the meantime, and the entry of the old one
+        has been replaced by a snapshot.
         """
         with ControlCluster(tmp_path, 3, snapshot_every=100) as cluster:
             first = cluster.apply(0, 0)
@@ -189,7 +191,7 @@
             cluster.wait_applied(behind, 80)
             wait_until(
                 lambda: "snapshot installed" in behind.output(),
-                "the line of the snapshot",
+                "the log line of the snapshot",
                 BOUND_SECONDS,
             )
             others = cluster.others(behind)
@@ -198,11 +200,11 @@
 
 
 class TestDeclaredRecovery:
-    def test_one_survivor_goes_on_alone(self, tmp_path: Path) -> None:
-        """Two of three hosts are lost with their disks, and no quorum is left.
+    def test_one_survivor_forms_a_new_cluster(self, tmp_path: Path) -> None:
+        """Two of three hosts lose their disks, so that no quorum remains.
 
-        An operator declares the recovery on the survivor; the others come back with
-        empty disks and join.
+        An operator declares the recovery on the survivor; the others return with empty
+        disks and join.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             reply = cluster.apply(1, 0)
@@ -239,7 +241,7 @@
 
 
 def limit_file_size(host: ControlHost) -> None:
-    """Let the next growth of the host's log fail, as on a full disk."""
+    """Make the next append to the host's log fail, as on a full disk."""
     size = max(host.data_folder.glob("log-*")).stat().st_size
     set_file_size(host, size + 10)
 
--- a/tests/control/test_fresh_election.py
+++ b/tests/control/test_fresh_election.py
@@ -1,4 +1,4 @@
-"""How soon there is a leader after all control hosts have started anew."""
+"""How soon a leader is elected after a cold start of all control hosts."""
 
 from __future__ import annotations
 
@@ -36,39 +36,41 @@
 
 @pytest.fixture
 def replica(tmp_path: Path, storage: SlowDisk) -> Replica:
-    """Return a voter that has just started, and votes for nobody yet."""
+    """Return a voter that has just started and gives no vote yet."""
     started = voter(tmp_path, storage)
     started.heard_leader_until = Deadline.after(ELECTION_SECONDS)
     return started
 
 
-class TestVoterThatHasJustStarted:
-    """All hosts lose power at once, and are back within a second.
+class TestVoterAfterColdStart:
+    """Guards against a delayed election after all hosts lost power at once.
 
-    The control hosts heard each other at 42.69 s, and stood still until 43.45 s, when
-    the first election deadline passed: seventy requests waited for a configuration
-    meanwhile, and were late. The wait is for a leader whose lease lasts on; there was
-    none, since it had started anew with the others.
+    A replica that has just started waits for the end of a possible leader's lease. The
+    control hosts reached each other at 42.69 s, but elected no leader until 43.45 s,
+    when the first election deadline passed; seventy requests for a configuration were
+    late. The former leader had restarted with the others, so no lease was left.
     """
 
-    def test_tells_its_start_and_does_not_vote(self, replica: Replica) -> None:
+    def test_reports_its_start_number_and_does_not_vote(self, replica: Replica) -> None:
         reply = Receiver(replica).pre_vote(request(replica, 2))
         assert (reply.granted, reply.fresh_start) == (False, replica.start_number)
         assert not Receiver(replica).request_vote(request(replica, 2)).granted
 
-    def test_votes_where_all_told_that(self, replica: Replica) -> None:
+    def test_votes_for_a_candidate_that_names_its_start_number(
+        self, replica: Replica
+    ) -> None:
         asked = request(replica, 2)
         asked.fresh_start = replica.start_number
         assert Receiver(replica).request_vote(asked).granted
 
-    def test_does_not_vote_for_one_that_met_an_earlier_start(
+    def test_does_not_vote_if_another_start_number_is_named(
         self, replica: Replica
     ) -> None:
         asked = request(replica, 2)
         asked.fresh_start = replica.start_number + 1
         assert not Receiver(replica).request_vote(asked).granted
 
-    def test_waits_once_it_has_heard_a_leader(self, replica: Replica) -> None:
+    def test_does_not_vote_once_it_has_heard_a_leader(self, replica: Replica) -> None:
         with replica.disk_lock, replica.lock:
             replica.follow(1, LeaderContact(CANDIDATE, "127.0.0.1:2"))
         asked = request(replica, 2)
@@ -77,20 +79,22 @@
         assert receiver.pre_vote(request(replica, 2)).fresh_start is None
         assert not receiver.request_vote(asked).granted
 
-    def test_tells_nothing_to_one_whose_log_is_behind(self, replica: Replica) -> None:
+    def test_does_not_report_it_to_a_candidate_with_an_older_log(
+        self, replica: Replica
+    ) -> None:
         behind = request(replica, 2, last_index=0)
         assert Receiver(replica).pre_vote(behind).fresh_start is None
 
 
-class Voter:
-    """Stands in for the other voter of two."""
+class StubVoter:
+    """A stub of the other one of two voters."""
 
     def __init__(self, fresh_start: int | None, answers: bool = True) -> None:
         self._fresh_start = fresh_start
         self._answers = answers
         self.votes: list[VoteRequest] = []
 
-    def to_member(self, member: object) -> Voter:
+    def to_member(self, member: object) -> StubVoter:
         return self
 
     def call(self, operation: Any, timeout: float) -> VoteReply:
@@ -107,9 +111,9 @@
         return VoteReply(asked.term, asked.fresh_start == self._fresh_start)
 
 
-class TestReplicaThatHasJustStarted:
-    def elected(self, replica: Replica, other: Voter) -> bool:
-        """Say whether it leads well before the first election deadline."""
+class TestCandidateAfterColdStart:
+    def elected(self, replica: Replica, other: StubVoter) -> bool:
+        """Say whether the replica leads well before the first election deadline."""
         clients: Any = other
         replica.process.start_task(Elections(replica, clients).run)
         deadline = Deadline.after(0.5 * ELECTION_SECONDS)
@@ -121,31 +125,32 @@
         replica.process.stopped.set()
         return leads
 
-    def test_leads_at_once_where_all_have(self, replica: Replica) -> None:
-        other = Voter(START)
+    def test_leads_at_once_if_all_have_just_started(self, replica: Replica) -> None:
+        other = StubVoter(START)
         assert self.elected(replica, other)
         assert [asked.fresh_start for asked in other.votes] == [START]
 
-    def test_waits_where_one_has_met_a_leader(self, replica: Replica) -> None:
-        other = Voter(None)
+    def test_waits_if_one_has_heard_a_leader(self, replica: Replica) -> None:
+        other = StubVoter(None)
         assert not self.elected(replica, other)
         assert other.votes == []
 
-    def test_waits_where_one_is_down(self, replica: Replica) -> None:
-        """It may be the leader, behind a cut, and its lease may last."""
-        assert not self.elected(replica, Voter(START, answers=False))
+    def test_waits_if_one_is_down(self, replica: Replica) -> None:
+        """It may be a partitioned leader whose lease is still valid."""
+        assert not self.elected(replica, StubVoter(START, answers=False))
 
 
-class TestLeaderThatIsHeardMeanwhile:
-    """Two replicas ask all voters at once; one is elected and answered by the other.
+class TestLeaderHeardDuringColdStart:
+    """Guards against two leaders after concurrent campaigns by start numbers.
 
-    That one still holds the starts that it was told. A vote for itself would end the
-    first one's term with a third replica, while the lease that it has given lasts on:
-    two leaders would answer reads for a moment.
+    Two replicas ask all voters, one is elected, and the other one acknowledges it but
+    still holds the start numbers. If it then voted for itself and won with a third
+    replica, the first leader's lease would still be valid, and for a moment two leaders
+    would answer reads.
     """
 
-    def test_ends_a_campaign_by_starts(self, replica: Replica) -> None:
-        other = Voter(START)
+    def test_cancels_the_campaign(self, replica: Replica) -> None:
+        other = StubVoter(START)
         clients: Any = other
         elections = Elections(replica, clients)
         with replica.disk_lock, replica.lock:
@@ -180,5 +185,5 @@
 
 
 def _after_restart(log: str) -> str:
-    """Return what a process wrote since its latest start."""
+    """Return the output of a process since its latest start."""
     return log.rpartition("control host started")[2]
--- a/tests/control/test_history.py
+++ b/tests/control/test_history.py
@@ -1,7 +1,8 @@
-"""Random faults on real processes, and a check of everything that was answered.
+"""Random faults on real processes, and a consistency check of all answers.
 
-`CHAOS_SECONDS`, `CHAOS_SEED` and `CHAOS_REPLICAS` set how long, which, and on how many;
-the faults and the clients' choices follow the seed, their timing follows the machine.
+`CHAOS_SECONDS`, `CHAOS_SEED` and `CHAOS_REPLICAS` set the duration, the random seed and
+the number of hosts. The seed determines the faults and the clients' choices, but not
+their timing, which depends on the machine.
 """
 
 from __future__ import annotations
@@ -28,67 +29,67 @@
 
 
 class Faults:
-    """Brings random faults on one host at a time, sometimes on two."""
+    """Injects random faults on one host at a time, sometimes on two."""
 
     def __init__(self, cluster: ControlCluster, seed: int) -> None:
         self._cluster = cluster
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self.log: list[str] = []
 
     def run_for(self, seconds: float) -> None:
-        """Bring one fault after another."""
+        """Inject one fault after another."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self._run_one()
 
     def _run_one(self) -> None:
-        """Bring a fault, let it last a while, and end it."""
-        chance = self._chance
-        fault = chance.choice(
+        """Inject a fault, hold it for a random time, and end it."""
+        rng = self._rng
+        fault = rng.choice(
             [self.kill, self.kill, self.lose_power, self.freeze, self.cut]
             + [self.cut_one_way, self.silence, self.lose_disk, self.kill_two]
         )
-        host = self._cluster.leader() if chance.random() < 0.6 else None
-        host = host or chance.choice(self._cluster.hosts)
+        host = self._cluster.leader() if rng.random() < 0.6 else None
+        host = host or rng.choice(self._cluster.hosts)
         self.log.append(f"{fault.__name__} {host.host_id}")
         fault(host)
 
     def kill(self, host: ControlHost) -> None:
         host.kill()
-        self._last()
+        self._hold_fault()
         host.start()
 
     def kill_two(self, host: ControlHost) -> None:
-        other = self._chance.choice(self._cluster.others(host))
+        other = self._rng.choice(self._cluster.others(host))
         host.kill()
         other.kill()
-        self._last()
+        self._hold_fault()
         host.start()
         other.start()
 
     def lose_power(self, host: ControlHost) -> None:
-        """Kill the host and take back what it had written but not synced."""
+        """Kill the host and drop what it had written but not synced."""
         host.kill()
         drop_unsynced(host.data_folder)
-        self._last()
+        self._hold_fault()
         host.start()
 
     def freeze(self, host: ControlHost) -> None:
         host.freeze()
-        self._last()
+        self._hold_fault()
         host.signal(signal.SIGCONT)
 
     def cut(self, host: ControlHost) -> None:
         self._cluster.cut(host)
-        self._last()
+        self._hold_fault()
         self._cluster.heal()
 
     def cut_one_way(self, host: ControlHost) -> None:
-        direction = self._chance.choice(list(Direction))
+        direction = self._rng.choice(list(Direction))
         for (source, _), proxy in self._cluster.proxy_by_pair.items():
             if source == host.host_id:
                 proxy.cut(direction)
-        self._last()
+        self._hold_fault()
         self._cluster.heal()
 
     def silence(self, host: ControlHost) -> None:
@@ -97,22 +98,22 @@
                 proxy.freeze()
 
     def lose_disk(self, host: ControlHost) -> None:
-        """Lose a disk only while all voters work, as one loss is survived."""
+        """Remove a disk only while all voters work, since one loss is tolerated."""
         before = wait_repaired(self._cluster)
         host.kill()
         host.lose_disk()
-        self._last()
+        self._hold_fault()
         host.start()
         wait_until(
             lambda: wait_repaired(self._cluster) != before, "the repair", BOUND_SECONDS
         )
 
-    def _last(self) -> None:
-        time.sleep(self._chance.uniform(*FAULT_SECONDS))
+    def _hold_fault(self) -> None:
+        time.sleep(self._rng.uniform(*FAULT_SECONDS))
 
 
 def wait_repaired(cluster: ControlCluster) -> set[str]:
-    """Return the voters once there are as many as hosts, all of them answering."""
+    """Return the voters once all hosts vote and answer."""
 
     def voters() -> set[str] | None:
         ids = {status.replica_id for host in cluster.hosts if (status := host.status())}
@@ -124,7 +125,7 @@
 
 
 def drop_unsynced(folder: Path) -> None:
-    """Leave of the newest log segment what was synced for sure."""
+    """Truncate the newest log segment to the part known to be synced."""
     mark = read_file(folder / MARK_NAME, SyncedMark)
     if mark is None or not mark.first_index:
         return
@@ -135,12 +136,12 @@
 
 
 class TestHistory:
-    def test_nothing_answered_is_taken_back(self, tmp_path: Path) -> None:
-        """Hosts die, freeze, lose their disks and links while clients go on.
+    def test_no_answer_is_reverted(self, tmp_path: Path) -> None:
+        """Hosts crash, freeze, lose disks and connections while clients keep calling.
 
-        An answer that was given, to an operator or an entry host, must hold: no
-        accepted change is lost or reverted, no revision has two winners, no key is
-        given to two requests, and no read at the leader is older than an answer.
+        Each answer to an operator or an entry host has to remain valid: no accepted
+        change is lost or reverted, no revision has two winners, no key is given to two
+        requests, and no read at the leader is older than an answer.
         """
         with ControlCluster(tmp_path, REPLICAS, snapshot_every=50) as cluster:
             cluster.leader()
--- a/tests/control/test_late_answers.py
+++ b/tests/control/test_late_answers.py
@@ -1,4 +1,4 @@
-"""A leader whose followers answer late, but within the election timeout."""
+"""A leader whose followers reply late, but within the election timeout."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from jujubeslip.peers import AppendReply, AppendRequest, VoteReply, VoteRequest
 from tests.control.test_votes import ELECTION_SECONDS, voter
 
-# For how long the leader is watched, in election timeouts.
+# For how long the leader is observed, in election timeouts.
 WATCHED_TIMEOUTS = 3
 
 
 class LateFollower:
-    """Votes at once, and answers what the leader sends after a while.
+    """Votes at once and replies to appends after a delay.
 
-    A call that takes longer than its caller waits brings no answer, also where the
-    follower has carried it out.
+    A call that takes longer than its timeout gets no reply, although the follower has
+    carried it out.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -65,11 +65,11 @@
     storage.close()
 
 
-class TestLeaderWhoseFollowerAnswersLate:
-    """Guards against a lead that is lost again and again while answers come in."""
+class TestLeaderWithALateFollower:
+    """Guards against repeated loss of leadership while replies arrive late."""
 
     @pytest.mark.parametrize("share", [0.0, 0.3, 0.6, 0.8])
-    def test_keeps_the_lead(
+    def test_keeps_leading(
         self, replica: Replica, share: float, caplog: pytest.LogCaptureFixture
     ) -> None:
         clients: Any = LateFollower(share * ELECTION_SECONDS)
--- a/tests/control/test_leader_loss.py
+++ b/tests/control/test_leader_loss.py
@@ -1,4 +1,4 @@
-"""Tests of leaders that die, freeze, or are cut off, with real processes."""
+"""Tests of leaders that crash, freeze, or are partitioned, with real processes."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from tests.fakes.fault_proxy import Direction
 from tests.fakes.processes import wait_until
 
-# What a caller waits for an answer of the control hosts before it goes on elsewhere.
+# How long a caller waits for an answer of a control host before it tries another one.
 ANSWER_SECONDS = 0.85
-# How long a claim may be tried for.
+# Deadline of a claim, retries included.
 CLAIM_SECONDS = 4.0
 
 
 class TestKilledLeader:
-    """What was answered outlives the leader."""
+    """Acknowledged changes and claims survive the loss of the leader."""
 
     def test_kill_right_after_the_answer(self, tmp_path: Path) -> None:
-        """An operator's change is confirmed, then the leader's host dies.
+        """Guards against the loss of a change that has just been confirmed.
 
-        The kill follows the answer at once, before the next heartbeat could tell the
-        followers that the change is committed. They must hold it all the same.
+        The leader is killed right after its answer, before the next heartbeat can
+        report to the followers that the change is committed.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             for revision in range(3):
@@ -62,13 +62,13 @@
 
 
 class TestFrozenLeader:
-    """A leader that was frozen serves nothing stale when it wakes."""
+    """A leader that resumes after a freeze serves no stale data."""
 
     def test_wakes_after_a_successor_was_elected(self, tmp_path: Path) -> None:
-        """A client's shift is confirmed twice, an operator sees an old revision.
+        """Guards against a doubly confirmed claim and a read of an old revision.
 
-        The leader's process is frozen for longer than its lease. Another is elected
-        and answers. The old one wakes, still believing that it leads.
+        The leader's process is frozen for longer than its lease, and another leader is
+        elected and answers. The old one resumes and still assumes that it leads.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -87,7 +87,7 @@
             cluster.wait_applied(frozen, 2)
 
 
-class TestClaimAfterALeaderThatIsFrozen:
+class TestClaimAfterAFrozenLeader:
     """Guards against claims and commands that wait for a leader that was replaced."""
 
     def test_goes_to_the_next_one(self, tmp_path: Path) -> None:
@@ -112,10 +112,10 @@
 
 
 class TestCutOffLeader:
-    """A leader without a quorum promises nothing and steps down by itself."""
+    """A leader without a quorum acknowledges nothing and steps down by itself."""
 
     def test_cut_in_both_directions(self, tmp_path: Path) -> None:
-        """A control host is cut off silently while entry hosts still reach it."""
+        """A leader is partitioned from the others while entry hosts still reach it."""
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
             old = cluster.leader()
@@ -135,10 +135,10 @@
             assert cluster.claim("key", "r2").status == KeyStatus.RUNNING
 
     def test_cut_in_one_direction(self, tmp_path: Path) -> None:
-        """The leader can't be heard but hears, then the other way round.
+        """Only one direction of the leader's connections works, each in turn.
 
-        In the second case its heartbeats arrive and hold up an election, as long as
-        the open connections last; none of their answers comes back.
+        If heartbeats arrive but none of the replies does, the heartbeats delay an
+        election for as long as the open connections last.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -152,9 +152,10 @@
                 cluster.wait_applied(old, revision + 1)
 
     def test_cut_off_follower_does_not_depose_the_leader(self, tmp_path: Path) -> None:
-        """A host returns after a cut, and requests pause for an election.
+        """Guards against an election that a host causes on its return.
 
-        Without the pre-vote its term would have grown with each try during the cut.
+        Without the pre-vote its term would grow with each campaign during the
+        partition, and the higher term would depose the leader.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -164,7 +165,7 @@
             cluster.cut(follower)
             wait_until(
                 lambda: follower.output().count("no leader heard") >= 3,
-                "the cut follower tries three times",
+                "the partitioned follower tries three times",
             )
             campaigns = follower.output().count("campaigning")
             cluster.apply(2, 1)
@@ -176,7 +177,7 @@
             assert follower.output().count("campaigning") == campaigns
 
     def test_open_connections_go_silent(self, tmp_path: Path) -> None:
-        """Something between the hosts forgets connections; new ones work."""
+        """Open connections drop all data without an error; new ones work."""
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
             for proxy in cluster.proxy_by_pair.values():
--- a/tests/control/test_leader_news.py
+++ b/tests/control/test_leader_news.py
@@ -1,4 +1,4 @@
-"""Watchers are told who leads, with real processes."""
+"""Watchers are notified of a new leader, with real processes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from jujubeslip.peers import WatchReply, WatchRequest
 from tests.control.cluster import ControlCluster, ControlHost
 
-# How long an entry host lets a watch wait, in milliseconds.
+# Wait time of an entry host's watch, in milliseconds.
 WAIT_MS = 4000
-# What a request may wait for a leader, in seconds: told later, hosts ask in vain.
-KNOWN_SECONDS = 0.25
+# Limit on the delay of the notification, in seconds. With a longer one, hosts send
+# requests to the former leader that it can't serve.
+NOTIFICATION_SECONDS = 0.25
 
 
 def watch(host: ControlHost, known: WatchReply | None = None) -> WatchReply:
-    """Watch as an entry host does that knows what it was told before."""
+    """Watch as an entry host that knows the state of an earlier reply."""
     request = WatchRequest(
         known.book_id if known else 0,
         known.version if known else 0,
@@ -34,10 +35,10 @@
 
 
 class TestElection:
-    """Guards against requests that go on to a leader that was replaced."""
+    """Guards against requests that are still sent to a replaced leader."""
 
     @pytest.mark.parametrize("takeovers", [1, 2])
-    def test_is_told_at_once(self, tmp_path: Path, takeovers: int) -> None:
+    def test_is_reported_at_once(self, tmp_path: Path, takeovers: int) -> None:
         with ControlCluster(tmp_path, 5) as cluster:
             cluster.apply(1, 0)
             for host in cluster.hosts:
@@ -49,11 +50,11 @@
         frozen = cluster.leader()
         others = [host for host in cluster.others(frozen) if host.running]
         with ThreadPoolExecutor(len(others)) as threads:
-            told = [(host, watch(host)) for host in others]
-            waiting = [threads.submit(watch, host, known) for host, known in told]
+            watched = [(host, watch(host)) for host in others]
+            waiting = [threads.submit(watch, host, known) for host, known in watched]
             frozen.kill()
             leader = cluster.leader(others)
             elected = time.monotonic()
             replies = [item.result() for item in waiting]
-            assert time.monotonic() - elected < KNOWN_SECONDS
+            assert time.monotonic() - elected < NOTIFICATION_SECONDS
         assert {reply.leader_address for reply in replies} == {leader.address}
--- a/tests/control/test_leaving.py
+++ b/tests/control/test_leaving.py
@@ -1,4 +1,4 @@
-"""Control hosts that stop at the same moment, or that lead again while they stop."""
+"""Control hosts that stop at the same time, or that are elected while they stop."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def leader_status(system: PlatformSystem) -> ControlStatus | None:
-    """Return what the host that leads says of itself."""
+    """Return the status of the host that leads."""
     for seed in system.seeds:
         known = status(seed)
         if known is not None and known.leader_id == known.replica_id:
@@ -30,23 +30,24 @@
     return None
 
 
-def first_two(known: ControlStatus) -> list[str]:
-    """Return the host that leads and the first of the others, as it lists them."""
+def leader_and_another(known: ControlStatus) -> list[str]:
+    """Return the host that leads and the first of the others in its status."""
     leader = known.leader_id.partition("/")[0]
     names = [item.replica_id.partition("/")[0] for item in known.replicas]
     return [leader, next(name for name in names if name != leader)]
 
 
-class TestTwoThatStopAtOnce:
-    """Old hosts are switched off together, and a disk is lost: no change is accepted.
+class TestTwoHostsThatStopAtOnce:
+    """Guards against a lost majority after two old hosts are switched off together.
 
     Two successors vote, and the leader and another old host get SIGTERM. The leader
-    hands the lead to the other one, which is past its own handing over and waits to be
-    removed; a leader removes no leader. It ends after 2 s, still leading and voting.
-    Of four voters one is gone, and the disk that is lost next leaves two for good.
+    transfers leadership to the other one, which has already passed its own transfer and
+    waits to be removed. As a leader does not remove itself, it exits after 2 s while
+    it still leads and votes. One of four voters is missing then, and the disk that is
+    lost next leaves two for ever.
     """
 
-    def test_disk_lost_right_after_is_borne(self, tmp_path: Path) -> None:
+    def test_tolerates_a_disk_lost_right_after(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, 3, 0) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
             for name in SUCCESSORS:
@@ -58,15 +59,17 @@
             known = wait_until(lambda: leader_status(system), "an old host leads")
             assert known is not None
             host_by_name = {host.name: host for host in system.controls}
-            stopping: list[Host] = [host_by_name[name] for name in first_two(known)]
+            stopping: list[Host] = [
+                host_by_name[name] for name in leader_and_another(known)
+            ]
             for host in stopping:
                 host.signal(signal.SIGTERM)
             for host in stopping:
                 assert host.process is not None
-                wait_until(lambda host=host: not host.process.running, "it has ended")  # type: ignore[misc]
-            gone = {host.name for host in stopping}
-            staying = next(name for name in OLD if name not in gone)
-            lose_disk(system, OLD.index(staying))
+                wait_until(lambda host=host: not host.process.running, "it has exited")  # type: ignore[misc]
+            stopped = {host.name for host in stopping}
+            remaining = next(name for name in OLD if name not in stopped)
+            lose_disk(system, OLD.index(remaining))
             successor = system.controls.index(host_by_name[SUCCESSORS[0]])
             wait_until(
                 lambda: (
@@ -77,15 +80,15 @@
             )
 
 
-class TestLeaderThatLeaves:
-    """A stopping host that leads again ends without a word, and nobody leads.
+class TestLeaderElectedWhileItStops:
+    """Guards against a stopping host that is elected and exits as leader.
 
-    Its first handing over went to a host that was stopping too, or that did not win.
-    Elected while it waited to be removed, it asked nobody, since it knew no other
-    leader, and ended 2 s later with its lead and its vote.
+    Its first transfer of leadership went to a host that was stopping as well or was not
+    elected. If it is elected itself while it waits to be removed, it knows no other
+    leader to ask, and would exit 2 s later while it still leads and votes.
     """
 
-    def test_gives_the_lead_up_first(self, tmp_path: Path) -> None:
+    def test_transfers_leadership_before_it_leaves(self, tmp_path: Path) -> None:
         settings = ControlSettings(
             host_id="control-1",
             availability_zone="zone",
--- a/tests/control/test_lost_voters.py
+++ b/tests/control/test_lost_voters.py
@@ -1,4 +1,4 @@
-"""Elections beside voters whose disks are lost, and changes of the voters."""
+"""Elections and membership changes while some voters have lost their disks."""
 
 from __future__ import annotations
 
@@ -45,19 +45,19 @@
 
 
 def log_with(*memberships: Membership) -> MembershipLog:
-    """Return a log in which the first one is founded and the others follow."""
+    """Return a log that bootstraps with the first membership and adds the others."""
     found = MembershipLog(0, Membership("", [], []))
     for index, item in enumerate(memberships, 1):
         found.append(make_entry(index, 1, 0, item))
     return found
 
 
-class TestQuorumBesideLostDisks:
-    """Guards against two leaders, and one that lacks what was acknowledged."""
+class TestQuorumWithLostDisks:
+    """Guards against two leaders, and a leader that lacks acknowledged entries."""
 
     @pytest.mark.parametrize("voters", range(3, 9))
     @pytest.mark.parametrize("lost_count", [1, 2, 3])
-    def test_meets_each_majority_and_each_other_quorum(
+    def test_intersects_each_majority_and_each_other_quorum(
         self, voters: int, lost_count: int
     ) -> None:
         everyone = range(voters)
@@ -75,8 +75,8 @@
         assert VoteQuorum(4, True).votes_needed(1) == 2
         assert VoteQuorum(4, True).votes_needed(0) == 3
 
-    def test_is_a_majority_where_the_voters_may_have_changed(self) -> None:
-        """The newest membership in the log may have been replaced elsewhere."""
+    def test_is_a_majority_if_the_voters_may_have_changed(self) -> None:
+        """The newest membership in the log may have been replaced on other replicas."""
         earlier, newest = membership(3), membership(4)
         open_change = vote_quorum(log_with(earlier, earlier, newest))
         assert open_change.votes_needed(1) == 3
@@ -88,17 +88,17 @@
         assert vote_quorum(log_with(two, two)).votes_needed(1) == 2
 
 
-class Others:
-    """The other voters: one has lost its disk, one votes, one is gone."""
+class OtherVoters:
+    """The other voters: one has lost its disk, one votes, one is switched off."""
 
     def __init__(self, answers_as: str) -> None:
         self._answers_as = answers_as
 
-    def to_member(self, member: Member) -> Voter:
-        return Voter(member, self._answers_as)
+    def to_member(self, member: Member) -> StubVoter:
+        return StubVoter(member, self._answers_as)
 
 
-class Voter:
+class StubVoter:
     def __init__(self, member: Member, answers_as: str) -> None:
         self._member = member
         self._answers_as = answers_as
@@ -155,11 +155,11 @@
     storage.close()
 
 
-class TestElectionBesideALostDisk:
-    """Guards against a rest of two of four that never elects a leader."""
+class TestElectionWithALostDisk:
+    """Guards against two remaining voters of four that never elect a leader."""
 
     def test_removes_the_lost_replica_first(self, replica: Replica) -> None:
-        Elections(replica, Others("control-1/new"))._campaign()  # type: ignore[arg-type]
+        Elections(replica, OtherVoters("control-1/new"))._campaign()  # type: ignore[arg-type]
         assert replica.leadership is not None
         first = replica.log.entry(replica.leadership.first_index)
         assert first.kind == EntryKind.MEMBERSHIP
@@ -170,18 +170,18 @@
         ]
 
     @pytest.mark.parametrize("answers_as", ["control-1/disk", "other/new"])
-    def test_needs_the_voter_s_own_host_to_say_so(
+    def test_needs_the_answer_of_the_voters_own_host(
         self, replica: Replica, answers_as: str
     ) -> None:
-        Elections(replica, Others(answers_as))._campaign()  # type: ignore[arg-type]
+        Elections(replica, OtherVoters(answers_as))._campaign()  # type: ignore[arg-type]
         assert replica.leadership is None
 
 
 class TestCommitOfAChange:
-    """Guards against voters that elect a leader without the change that ended them."""
+    """Guards against removed voters that elect a leader without that change."""
 
     def lead(self, replica: Replica, change: Membership, lost: tuple[str, ...]) -> int:
-        """Append a change as leader; return how far it is once one has answered."""
+        """Append a change as leader and let one follower answer; return its index."""
         with replica.disk_lock, replica.lock:
             replica.lead(lost)
             if not lost:
@@ -191,22 +191,22 @@
         return replica.memberships.current_index
 
     def answer(self, replica: Replica, replica_id: str) -> None:
-        """Let a follower have all that is in the log so far."""
+        """Let a follower acknowledge all entries in the log."""
         with replica.lock:
             assert replica.leadership is not None
             progress = replica.leadership.progress_by_id[replica_id]
             progress.match_index = replica.log.last_index
             replica.advance_commit()
 
-    def test_needs_a_majority_of_the_voters_before(self, replica: Replica) -> None:
+    def test_needs_a_majority_of_the_previous_voters(self, replica: Replica) -> None:
         removed = without_replica(replica.membership, "control-2/disk")
         index = self.lead(replica, removed, ())
         assert replica.commit_index < index
-        # The removed replica gets the change, too, and counts for it.
+        # The removed replica receives the change as well and counts for its commit.
         self.answer(replica, "control-2/disk")
         assert replica.commit_index >= index
 
-    def test_counts_without_the_lost_ones(self, replica: Replica) -> None:
+    def test_does_not_need_the_lost_voters(self, replica: Replica) -> None:
         lost = ("control-1/disk",)
         self.lead(replica, without_lost(replica.membership, lost), lost)
         [first] = [item.kind for item in replica.log.entries_from(3) if item.index == 3]
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -1,4 +1,4 @@
-"""Tests of the state that the log carries."""
+"""Tests of the replicated state machine and its snapshots."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Applier:
-    """Applies commands to a machine as a log would."""
+    """Applies commands to a state machine as entries of a log."""
 
     def __init__(self, machine: StateMachine | None = None) -> None:
         self.machine = machine or StateMachine()
@@ -58,7 +58,7 @@
 
 
 class TestConfigurations:
-    """Each change gets one answer, and the revision only grows."""
+    """Each change gets one answer, and the revision never decreases."""
 
     def test_one_of_two_operators_with_equal_base_wins(self) -> None:
         applier = Applier()
@@ -68,10 +68,11 @@
         assert lost == ApplyReply(False, 1, "change-1", "operator", "# 1")
 
     def test_resend_after_500_changes_and_a_snapshot(self, tmp_path: Path) -> None:
-        """An operator resends a change whose answer was lost, hours later.
+        """An operator resends a change hours later, since its answer was lost.
 
         500 further changes were accepted, and the replica has restarted from a
-        snapshot. The resend must neither be applied again nor lose against itself.
+        snapshot. The resend must neither be applied again nor be refused as a conflict
+        with the first one.
         """
         applier = Applier()
         first = applier.apply(change(0, 0))
@@ -84,7 +85,7 @@
         assert restored.apply(change(9999, 0)) == lost
         assert restored.machine.configurations.current.revision == 501
 
-    def test_change_id_of_another_change_is_told(self) -> None:
+    def test_change_id_of_another_change_is_refused(self) -> None:
         applier = Applier()
         applier.apply(change(1, 0))
         assert applier.apply(change(1, 1, "# other")) == ChangeIdReused("change-1")
@@ -123,11 +124,12 @@
         assert other.status == KeyStatus.FIRST
 
     def test_abandoned_key_goes_to_another_request(self) -> None:
-        """A shift confirmation is refused before it ran, then sent again.
+        """A request is refused before it ran, and then sent again.
 
-        The first request gives its claim up. A late copy of that claim, from a
-        connection that was given up, arrives before the resend's: were it to take
-        the key again, nobody would run it and the resend would wait in vain.
+        The first request abandons its claim. A late copy of that claim, from an
+        abandoned connection, arrives before the claim of the resend. If the copy
+        claimed the key again, nothing would run it, and the resend would wait for an
+        outcome that never comes.
         """
         applier = Applier()
         applier.apply(claim("k", "r1"))
@@ -138,7 +140,7 @@
         assert status_of(applier.apply(claim("k", "r2"))) == KeyStatus.FIRST
         assert status_of(applier.apply(claim("k", "r3"))) == KeyStatus.RUNNING
 
-    def test_claims_end_with_their_retention_only(self) -> None:
+    def test_claims_expire_only_after_their_retention(self) -> None:
         table = ClaimTable(maximum_claims=2)
         table.claim(claim("a"), 0)
         table.claim(claim("b"), 10)
@@ -175,13 +177,12 @@
 
 
 class TestSnapshotFiles:
-    """A snapshot is read back whole, or not at all."""
+    """A snapshot is read back completely or not at all."""
 
-    def test_damage_anywhere_refuses_to_start(self, tmp_path: Path) -> None:
-        """An operator sees a replica refuse to start on a damaged snapshot.
+    def test_damage_anywhere_is_refused_at_start(self, tmp_path: Path) -> None:
+        """A byte of a snapshot changes or its tail is lost, and the start has to fail.
 
-        A byte decays or the tail is lost. A start from what is left would revert
-        configurations and forget claims.
+        A start with the remaining data would revert configurations and lose claims.
         """
         applier = Applier()
         applier.apply(change(1, 0))
@@ -196,7 +197,7 @@
                 with pytest.raises(StorageDamagedError):
                     read_newest(tmp_path)
 
-    def test_transfer_resumes_where_it_broke_off(self, tmp_path: Path) -> None:
+    def test_interrupted_transfer_is_resumed(self, tmp_path: Path) -> None:
         applier = Applier()
         for number in range(30):
             applier.apply(change(number, number))
@@ -261,9 +262,9 @@
 
 
 class TestEngines:
-    """Guards against orders and loads that the next leader doesn't find."""
+    """Guards against orders and loads that are missing at the next leader."""
 
-    def test_orders_are_kept_until_they_are_over(self) -> None:
+    def test_orders_are_kept_until_they_expire(self) -> None:
         applier = Applier()
         applier.apply(EngineOrder("e-1", EndpointRole.DECODE), 1000)
         table = applier.machine.engines
@@ -271,7 +272,7 @@
         assert record.order.start_id == "e-1"
         assert not table.orders_at(1000 + ORDER_MS)
 
-    def test_orders_that_are_over_take_no_memory(self) -> None:
+    def test_expired_orders_are_removed(self) -> None:
         applier = Applier()
         for number in range(100):
             order = EngineOrder(f"e-{number}", EndpointRole.DECODE)
@@ -279,7 +280,7 @@
         [part] = [part for part in applier.machine.parts() if part.orders or part.loads]
         assert [record.order.start_id for record in part.orders] == ["e-99"]
 
-    def test_loads_take_the_place_of_those_before(self) -> None:
+    def test_loads_replace_earlier_ones(self) -> None:
         applier = Applier()
         applier.apply(EngineLoads([EngineLoad("a", 1, 1, 2)]))
         applier.apply(EngineLoads([EngineLoad("b", 2, 1, 2)]))
--- a/tests/control/test_membership.py
+++ b/tests/control/test_membership.py
@@ -60,7 +60,7 @@
     def test_second_process_of_a_host_is_refused(self, tmp_path: Path) -> None:
         """A host is started twice by mistake, the second time with an empty folder.
 
-        The second must not take the place of the first, which works.
+        The second process must not replace the first one, which works.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -69,7 +69,7 @@
             folder = tmp_path / "second"
             folder.mkdir()
             second = ControlHost(folder, first.host_id, cluster.secret)
-            cluster.link_alone(second)
+            cluster.link_unknown_host(second)
             second.start()
             try:
                 wait_until(
--- a/tests/control/test_power_loss.py
+++ b/tests/control/test_power_loss.py
@@ -18,15 +18,17 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 
-# All that was acknowledged is there, and served by, so long after the power is back.
+# Limit on the time from the restart until the acknowledged state is served, in seconds.
 RECOVERY_SECONDS = 12.0
 CHANGES = 12
-# A host that is removed counts as no loss once its successor has run for so long.
+# A removed host counts as no loss once its successor has run for this long, in seconds.
 CATCH_UP_SECONDS = 4.0
 
 
-def lose_all(hosts: Sequence[ControlHost], lost: Sequence[ControlHost]) -> None:
-    """Kill all hosts at once, empty the disks of some, and start all again."""
+def restart_with_lost_disks(
+    hosts: Sequence[ControlHost], lost: Sequence[ControlHost]
+) -> None:
+    """Kill all hosts at once, remove the disks of some, and start all again."""
     for host in hosts:
         host.signal(signal.SIGKILL)
     for host in hosts:
@@ -44,12 +46,12 @@
 
 
 class TestToleratedDisks:
-    """Guards against acknowledged changes that only the lost disks had held."""
+    """Guards against the loss of changes that only the lost disks had held."""
 
     @pytest.mark.parametrize("rounds", [3])
     @pytest.mark.parametrize(("count", "tolerated"), [(3, 1), (5, 2)])
     @pytest.mark.parametrize("leader_is_lost", [True, False])
-    def test_all_others_lose_power_with_them(
+    def test_are_lost_while_all_others_lose_power(
         self,
         tmp_path: Path,
         count: int,
@@ -67,7 +69,7 @@
                 leader = cluster.leader()
                 others = cluster.others(leader)
                 lost = [leader, *others] if leader_is_lost else others
-                lose_all(cluster.hosts, lost[:tolerated])
+                restart_with_lost_disks(cluster.hosts, lost[:tolerated])
                 wait_until(
                     lambda before=before: is_repaired(  # type: ignore[misc]
                         cluster, before, tolerated
@@ -81,7 +83,7 @@
 
 
 def find_leader(system: PlatformSystem, before: Host | None = None) -> Host | None:
-    """Return the host that leads, as a seed knows it, if it is another than before."""
+    """Return the leader according to a seed, None if it is the same as before."""
     for known in map(status, system.seeds):
         name = known.leader_id.partition("/")[0] if known else ""
         for host in system.controls:
@@ -96,9 +98,15 @@
     return leader
 
 
-def lose_power(system: PlatformSystem, lost: Host, gone: Sequence[Host] = ()) -> None:
-    """Kill all processes, empty one disk, and start all but those that are gone."""
-    hosts = [host for host in (*system.controls, *system.entries) if host not in gone]
+def lose_power(
+    system: PlatformSystem, lost: Host, removed_hosts: Sequence[Host] = ()
+) -> None:
+    """Kill all processes, remove one disk, and start all but the removed hosts."""
+    hosts = [
+        host
+        for host in (*system.controls, *system.entries)
+        if host not in removed_hosts
+    ]
     for host in hosts:
         host.signal(signal.SIGKILL)
     for host in hosts:
@@ -119,7 +127,7 @@
 
 
 def check_recovered(system: PlatformSystem, version: int, control: int) -> None:
-    """Assert that the newest acknowledged configuration is there and served by."""
+    """Assert that the newest acknowledged configuration is stored and in use."""
     until = time.monotonic() + RECOVERY_SECONDS
     wait_until(
         lambda: held_version(system, control) == version,
@@ -146,10 +154,10 @@
 
 
 class TestReplacedHost:
-    """Guards against a majority that counts on a host that was replaced a moment ago.
+    """Guards against a majority that needs a host which was just replaced.
 
-    A disk is lost after the last acknowledged change while all other hosts lose power,
-    those that take requests among them.
+    A disk is lost after the last acknowledged change while all other hosts, including
+    the forwarding hosts, lose power.
     """
 
     def test_successor_that_has_just_been_promoted(self, tmp_path: Path) -> None:
@@ -164,10 +172,10 @@
             wait_until(lambda: voters(system.seeds[1]) == expected, "it votes")
             system.put_until_accepted(changed(2), control=1)
             lost = leader_of(system)
-            lose_power(system, lost, gone=[replaced])
+            lose_power(system, lost, removed_hosts=[replaced])
             check_recovered(system, 2, survivor(system, replaced, lost))
 
-    def test_successor_that_votes_beside_its_predecessor(self, tmp_path: Path) -> None:
+    def test_successor_that_votes_with_its_predecessor(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, 3, 1) as system:
             system.add(PlatformWorker("w-1", "plain"))
             replace_first(system)
@@ -181,7 +189,7 @@
     def test_planned_stop_of_the_leader_after_a_takeover(
         self, tmp_path: Path, pause: float
     ) -> None:
-        """The next leader stops for good within a second of its election."""
+        """The next leader stops permanently within a second of its election."""
         with PlatformSystem(tmp_path, 3, 1) as system:
             system.add(PlatformWorker("w-1", "plain"))
             replace_first(system)
@@ -198,14 +206,14 @@
             number = survivor(system, before, stopping)
             system.put_until_accepted(changed(2), control=number)
             lost = system.controls[number]
-            lose_power(system, lost, gone=[stopping])
+            lose_power(system, lost, removed_hosts=[stopping])
             check_recovered(system, 2, survivor(system, stopping, lost))
 
     @pytest.mark.parametrize("ended_by", [signal.SIGTERM, signal.SIGKILL])
-    def test_removed_beside_a_successor_that_has_caught_up(
+    def test_removed_after_its_successor_has_caught_up(
         self, tmp_path: Path, ended_by: signal.Signals
     ) -> None:
-        """Its vote is left behind: two of four remain, and nothing is read any more."""
+        """If it stayed a voter, two of four would remain, and no read would succeed."""
         with PlatformSystem(tmp_path, 3, 1) as system:
             system.add(PlatformWorker("w-1", "plain"))
             replace_first(system)
@@ -214,6 +222,6 @@
             removed = system.controls[0]
             removed.signal(ended_by)
             lost = system.controls[1]
-            lose_power(system, lost, gone=[removed])
+            lose_power(system, lost, removed_hosts=[removed])
             removed.kill()
             check_recovered(system, 1, survivor(system, removed, lost))
--- a/tests/control/test_promises.py
+++ b/tests/control/test_promises.py
@@ -1,4 +1,4 @@
-"""Tests of what a replica has made durable when it gives an answer."""
+"""Tests of the state that is durable before a replica answers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass
 class Subject:
-    """A replica without tasks: it does only what a test asks."""
+    """A replica without background tasks; a test makes each call itself."""
 
     folder: Path
     replica: Replica
@@ -64,7 +64,7 @@
         return self.receiver.append_entries(request)
 
     def on_disk(self) -> Subject:
-        """Return what a start from a copy of the data folder finds."""
+        """Return a replica that is started from a copy of the data folder."""
         copy = self.folder.with_name(f"{self.folder.name}-copy")
         shutil.rmtree(copy, ignore_errors=True)
         shutil.copytree(self.folder, copy)
@@ -117,15 +117,15 @@
 
 
 class TestAcknowledgement:
-    """An acknowledged entry is durable, and none is taken back."""
+    """An acknowledged entry is durable and never reverted."""
 
     def test_entry_is_synced_before_the_answer(
         self, subject: Subject, disk_calls: list[str]
     ) -> None:
         """A majority acknowledges a change and loses power a moment later.
 
-        If a follower answered before its sync, the change was confirmed to the
-        operator and is on no disk.
+        If a follower answered before its sync, the operator would get a confirmation of
+        a change that is on no disk.
         """
         reply = subject.append(1, (0, 0), [noop(1, 1), noop(2, 1)], 0)
         assert (reply.accepted, reply.match_index) == (True, 2)
@@ -169,10 +169,10 @@
 
 
 class TestVote:
-    """A replica votes once in each term, and never beside a live leader."""
+    """A replica votes once in each term, and never while a leader is alive."""
 
-    def test_vote_outlives_a_restart(self, subject: Subject) -> None:
-        """Two leaders in one term would each accept another configuration."""
+    def test_vote_survives_a_restart(self, subject: Subject) -> None:
+        """Guards against two leaders in one term, with different configurations."""
         assert subject.vote(1)
         restarted = subject.on_disk()
         assert not restarted.vote(1, OTHER)
@@ -185,10 +185,10 @@
         assert subject.vote(2, OTHER, transfer=True)
 
     def test_no_vote_right_after_a_restart(self, subject: Subject) -> None:
-        """A leader still has its lease when one of its followers restarts.
+        """A follower restarts while its leader's lease is still valid.
 
-        The follower has forgotten that it heard the leader. A vote at once could
-        elect another within the lease, and both would answer reads.
+        The follower no longer knows that it acknowledged the leader. An immediate vote
+        could elect another one within the lease, and both would answer reads.
         """
         ids = (subject.replica.replica_id, LEADER, OTHER)
         members = [Member(item, item.split("/")[0], "", True) for item in ids]
@@ -204,10 +204,10 @@
 
 
 class TestLeader:
-    """A leader counts an entry or a learner only once it has all."""
+    """A leader counts itself or a learner only after it has synced or caught up."""
 
     def test_commits_after_its_own_sync(self, subject: Subject) -> None:
-        replica = lead_alone(subject)
+        replica = lead_single_replica(subject)
         waiting = replica.submit(NoOp())
         replica.advance_commit()
         assert not waiting.done()
@@ -216,12 +216,12 @@
         assert subject.on_disk().replica.log.last_index == 3
 
     def test_learner_votes_once_it_has_caught_up(self, subject: Subject) -> None:
-        """A host with a new disk votes, and a change that was accepted is lost.
+        """Guards against the loss of an accepted change through a new disk.
 
-        With a vote before it holds every committed entry, it could elect a leader
-        that lacks some, together with another host that lags.
+        If a host with a new disk voted before it holds every committed entry, it could
+        elect a leader that lacks some, together with another host that lags.
         """
-        replica = lead_alone(subject)
+        replica = lead_single_replica(subject)
         learner = Member(OTHER, "control-3", "", False)
         replica.submit(with_learner(replica.membership, learner))
         replica.write_pending()
@@ -237,7 +237,7 @@
         assert is_voter(replica.membership, OTHER)
 
 
-def lead_alone(subject: Subject) -> Replica:
+def lead_single_replica(subject: Subject) -> Replica:
     replica = subject.replica
     own = Member(replica.replica_id, "control-1", "", True)
     with replica.disk_lock, replica.lock:
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -1,4 +1,4 @@
-"""Control hosts that are replaced for good, and a disk that is lost right after."""
+"""Control hosts that are permanently replaced, and a disk that is lost right after."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tests.fakes.processes import wait_until
 
 SUCCESSOR = "control-9"
-STAYING = {"control-1", "control-2", SUCCESSOR}
-# Within this many seconds the replicas have to be those that are there: operators count
-# on another loss being borne 4 s after a successor has started. The rest is slack for a
-# busy machine; election timeouts of these hosts are 0.4 s.
+REMAINING = {"control-1", "control-2", SUCCESSOR}
+# Limit on the time until only running replicas vote, in seconds. Operators rely on
+# another loss being tolerated 4 s after a successor has started; the remainder is a
+# margin for a busy machine. The election timeout of these hosts is 0.4 s.
 REPLACED_SECONDS = 6.0
 
 
 def replace_first(system: PlatformSystem) -> None:
-    """Let a successor join and vote while all hosts are there."""
+    """Let a successor join and vote while all hosts run."""
     system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
     join(system, SUCCESSOR)
     wait_until(
@@ -41,35 +41,35 @@
 
 
 def accepts_changes(system: PlatformSystem) -> bool:
-    """Say whether a host that was there all the while accepts a change."""
+    """Say whether a host that has run throughout accepts a change."""
     return system.put(configuration(2, ROUTES, [PLAIN]), control=2) == 200
 
 
 class TestDiskLostAfterAReplacement:
-    """No change is accepted any more, and after a restart of all nothing is served.
+    """Guards against a cluster that permanently accepts no change.
 
-    A successor had joined before its predecessor counted as gone, so four replicas
-    voted, one of them switched off for good. It was removed 8 s after a leader had last
-    begun, and until then each majority needed all of the other three. When one of those
-    lost its disk, two of four were left for good: the newest accepted change was the
-    last one, "version 79 sent; acked 20.024 s by core-saskatoon-hall-1", though changes
-    were sent until 87 s. Entry hosts kept the configuration until they were restarted.
+    If a successor joins before its predecessor is found unresponsive, four replicas
+    vote, one of them switched off. If that one is removed only 8 s after a leader has
+    begun to lead, each majority needs all of the other three until then, and the loss
+    of a disk leaves two of four for ever: the last change, version 79, was accepted at
+    20.024 s although changes were sent until 87 s. Entry hosts serve the configuration
+    that they hold until a restart, and nothing after it.
     """
 
-    def test_is_borne_once_the_predecessor_is_gone(self, tmp_path: Path) -> None:
+    def test_is_tolerated_once_the_predecessor_is_removed(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, 3, 0) as system:
             replace_first(system)
             system.controls[0].kill()
             wait_until(
-                lambda: voters(system.seeds[1]) == STAYING,
-                "the replica that is gone counts for no majority",
+                lambda: voters(system.seeds[1]) == REMAINING,
+                "the replica that was killed counts for no majority",
                 REPLACED_SECONDS,
             )
             lose_disk(system, 1)
             wait_until(lambda: accepts_changes(system), "a change is accepted")
 
-    def test_is_borne_right_after_a_planned_stop(self, tmp_path: Path) -> None:
-        """The predecessor stops by SIGTERM, and counts no more from its exit on."""
+    def test_is_tolerated_right_after_a_planned_stop(self, tmp_path: Path) -> None:
+        """The predecessor stops by SIGTERM and is no voter once it has exited."""
         with PlatformSystem(tmp_path, 3, 0) as system:
             replace_first(system)
             predecessor = system.controls[0]
--- a/tests/control/test_seeds.py
+++ b/tests/control/test_seeds.py
@@ -1,4 +1,4 @@
-"""Control hosts that are told some seeds only, and no number of hosts."""
+"""Control hosts whose settings name some seeds only, and no number of hosts."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def voters(peer: str) -> set[str]:
-    """Return the hosts that vote, as the asked one sees them."""
+    """Return the hosts that vote according to the asked one."""
     known = status(peer)
     replicas = known.replicas if known else []
     return {item.replica_id.partition("/")[0] for item in replicas if item.voter}
@@ -54,7 +54,7 @@
     return host, peer
 
 
-class TestHostThatNoSeedNames:
+class TestHostOutsideTheSeeds:
     def test_joins_and_votes(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, 3, 0) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
@@ -63,10 +63,10 @@
                 lambda: "control-9" in voters(system.seeds[0]), "the fourth host votes"
             )
 
-    def test_takes_the_place_of_one_that_is_gone(self, tmp_path: Path) -> None:
-        """A machine is replaced for good by an empty one at another address.
+    def test_replaces_a_lost_host(self, tmp_path: Path) -> None:
+        """A host is permanently replaced by an empty one at another address.
 
-        Counted on, the old one would leave no room for a second loss.
+        If the old one stayed a voter, a second loss would leave no majority.
         """
         with PlatformSystem(tmp_path, 3, 0) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
@@ -83,7 +83,7 @@
 
 
 class TestLostDisk:
-    def test_host_joins_anew_and_nothing_is_lost(self, tmp_path: Path) -> None:
+    def test_host_joins_again_and_nothing_is_lost(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, 3, 0) as system:
             system.put_until_accepted(configuration(5, ROUTES, [PLAIN]))
             lost = system.controls[0]
--- a/tests/control/test_slow_disks.py
+++ b/tests/control/test_slow_disks.py
@@ -1,4 +1,4 @@
-"""Followers whose disks are slow, and the leader that they follow."""
+"""Followers with slow disks, and the leader that they follow."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
     )
 
 
-class TestHeartbeatBesideASlowSync:
-    """Guards against a lead that is lost while a follower's disk is slow."""
+class TestHeartbeatDuringASlowSync:
+    """Guards against the loss of leadership while a follower's disk is slow."""
 
-    def test_is_answered_for_what_is_synced(
+    def test_acknowledges_only_synced_entries(
         self, replica: Replica, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         receiver = Receiver(replica)
@@ -95,7 +95,7 @@
 
 
 class SlowFollowers:
-    """Vote and answer heartbeats at once, and never an append with entries."""
+    """Answer vote requests and heartbeats at once, but never appends with entries."""
 
     def to_member(self, member: object) -> SlowFollowers:
         return self
@@ -120,9 +120,9 @@
 
 
 class TestLeaderOfFollowersWithSlowDisks:
-    """Guards against a lead that is lost while its entries are being written."""
+    """Guards against the loss of leadership while followers write its entries."""
 
-    def test_keeps_the_lead(
+    def test_keeps_leading(
         self, replica: Replica, caplog: pytest.LogCaptureFixture
     ) -> None:
         clients: Any = SlowFollowers()
--- a/tests/control/test_storage.py
+++ b/tests/control/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the data folder: what is synced is read back whole, or not at all."""
+"""Tests of the data folder: synced data is read back completely or not at all."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class TestLogFiles:
-    """The log is read back as it was synced."""
+    """The log is read back exactly as it was synced."""
 
     def test_entries_survive_in_order(self, tmp_path: Path) -> None:
         entries = write_log(tmp_path, 7, segment_size=3)
@@ -66,7 +66,7 @@
         files.close()
         assert load_log(tmp_path) == [*entries[:2], make_entry(3, term=2)]
 
-    def test_dropped_segments_are_gone(self, tmp_path: Path) -> None:
+    def test_dropped_segments_are_removed(self, tmp_path: Path) -> None:
         entries = write_log(tmp_path, 7, segment_size=3)
         files = LogFiles(tmp_path)
         files.load()
@@ -74,18 +74,18 @@
         files.close()
         assert load_log(tmp_path) == entries[3:]
 
-    def test_lost_segment_refuses_to_start(self, tmp_path: Path) -> None:
+    def test_missing_segment_is_refused_at_start(self, tmp_path: Path) -> None:
         write_log(tmp_path, 7, segment_size=3)
         sorted(tmp_path.glob("log-*"))[1].unlink()
         with pytest.raises(StorageDamagedError, match="learner"):
             load_log(tmp_path)
 
     def test_tail_cut_anywhere(self, tmp_path: Path) -> None:
-        """An operator sees a replica start after a power loss in mid-write.
+        """A replica starts after a power loss in the middle of a write.
 
-        The last write reached the disk in part. If it was never synced, the start
-        cuts it; if it was synced, entries that were promised are gone, and the
-        start must refuse.
+        Only a part of the last write is on disk. If it was never synced, it is
+        truncated at the start. If it was synced, acknowledged entries are lost, and
+        the start has to fail.
         """
         entries = write_log(tmp_path, 4)
         path, mark = segment_path(tmp_path), tmp_path / MARK_NAME
@@ -101,10 +101,10 @@
             assert len(found) == length * len(entries) // len(whole)
 
     def test_byte_flipped_anywhere(self, tmp_path: Path) -> None:
-        """An operator sees a replica refuse to start on a damaged disk.
+        """A byte of the log changes after its sync, and the start has to fail.
 
-        A byte of the log decays after its sync. No entry may be read changed, and no
-        promised entry may be dropped as if it were a torn tail.
+        No changed entry may be read, and no acknowledged entry may be dropped as if it
+        were a torn tail.
         """
         entries = write_log(tmp_path, 4)
         path, mark = segment_path(tmp_path), tmp_path / MARK_NAME
@@ -185,7 +185,7 @@
         storage.close()
 
     @pytest.mark.parametrize("name", ["identity", "metadata"])
-    def test_lost_file_refuses_to_start(self, tmp_path: Path, name: str) -> None:
+    def test_missing_file_is_refused_at_start(self, tmp_path: Path, name: str) -> None:
         storage = Storage(tmp_path, "control-1")
         storage.save_metadata(ReplicaMetadata("cluster", 1, ""))
         storage.log.append([make_entry(1)])
@@ -196,7 +196,7 @@
             Storage(tmp_path, "control-1")
 
     @pytest.mark.parametrize("name", ["identity", "metadata"])
-    def test_file_damaged_anywhere_refuses_to_start(
+    def test_file_damaged_anywhere_is_refused_at_start(
         self, tmp_path: Path, name: str
     ) -> None:
         storage = Storage(tmp_path, "control-1")
--- a/tests/control/test_succession.py
+++ b/tests/control/test_succession.py
@@ -1,4 +1,4 @@
-"""Which change of the voters is due, by who has been silent for how long."""
+"""Planned membership changes, depending on how long each replica has been silent."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from jujubeslip.peers import Member, Membership, ReplicaMetadata
 
 ELECTION_SECONDS = 60.0
-# Beyond two election timeouts.
-GONE = 2.5 * ELECTION_SECONDS
-# Silent, and not yet gone.
-QUIET = 1.5 * ELECTION_SECONDS
+# Silence of more than two election timeouts, after which a replica is unresponsive.
+UNRESPONSIVE = 2.5 * ELECTION_SECONDS
+# Silence of a replica that is not yet unresponsive.
+SILENT = 1.5 * ELECTION_SECONDS
 LEARNER = "control-9/disk"
 
 
 class Subject:
-    """A leader of some replicas, which were heard as long ago as a test says."""
+    """A leader whose followers last answered as long ago as a test sets."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.planner = MembershipPlanner(self.replica)
 
     def lead(self, voter_count: int, learners: int = 0) -> None:
-        """Lead this many voters, and perhaps a learner that has caught up."""
+        """Lead this many voters, and optionally a learner that has caught up."""
         replica = self.replica
         members = [Member(replica.replica_id, "control-1", "", True)]
         for number in range(2, voter_count + 1):
@@ -74,7 +74,7 @@
             progress.match_index = replica.log.last_index
 
     def silence(self, replica_id: str, seconds: float) -> None:
-        """Let a replica have been silent for so long."""
+        """Make a replica silent for this long."""
         leadership = self.replica.leadership
         assert leadership is not None
         progress = leadership.progress_by_id[replica_id]
@@ -97,31 +97,32 @@
 
 
 class TestSilentVoter:
-    """A replica that is gone for good counts for each majority until it is removed."""
+    """An unresponsive replica counts for each majority until it is removed."""
 
-    def test_goes_at_once_from_an_even_number(self, subject: Subject) -> None:
-        """Of four voters, one of them gone, no other may be lost.
+    def test_is_removed_at_once_from_an_even_number(self, subject: Subject) -> None:
+        """Guards against a lost majority after the replacement of a host.
 
-        A host was replaced for good and its successor voted beside it. Until the old
-        one was removed, after 8 s, a disk that was lost left two of four for ever.
+        The successor of a permanently replaced host votes in addition to it. If the old
+        host stays a voter for 8 s, a disk that is lost meanwhile leaves two of four
+        voters for ever.
         """
         subject.lead(4)
-        subject.silence("control-4/disk", GONE)
+        subject.silence("control-4/disk", UNRESPONSIVE)
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-4/disk"}
 
-    def test_stays_while_it_is_quiet_for_a_moment(self, subject: Subject) -> None:
+    def test_stays_while_it_is_silent_for_a_short_time(self, subject: Subject) -> None:
         subject.lead(4)
-        subject.silence("control-4/disk", QUIET)
+        subject.silence("control-4/disk", SILENT)
         assert subject.next_voter_ids() == subject.voter_ids()
 
     def test_stays_where_all_others_are_needed(self, subject: Subject) -> None:
-        """Two voters would bear no loss of a disk, even while both work."""
+        """Two remaining voters would tolerate no lost disk, even while both work."""
         subject.lead(3)
-        subject.silence("control-3/disk", 10 * GONE + GRACE_SECONDS)
+        subject.silence("control-3/disk", 10 * UNRESPONSIVE + GRACE_SECONDS)
         assert subject.next_voter_ids() == subject.voter_ids()
 
     def test_stays_longer_in_an_odd_number(self, tmp_path: Path) -> None:
-        """Without it an even number would be left, whose majority is as large."""
+        """Without it an even number would remain, whose majority is as large."""
         subject = Subject(tmp_path / "data", election_seconds=1.0)
         subject.lead(5)
         subject.silence("control-5/disk", GRACE_SECONDS - 2)
@@ -130,13 +131,14 @@
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-5/disk"}
         subject.replica.storage.close()
 
-    def test_goes_at_once_where_another_is_gone_too(self, tmp_path: Path) -> None:
-        """Five vote, two are switched off, a disk is lost: no change is accepted.
+    def test_is_removed_at_once_if_another_is_unresponsive(
+        self, tmp_path: Path
+    ) -> None:
+        """Guards against a lost majority after two of five voters are switched off.
 
-        Old hosts were switched off one after the other, beside successors that had
-        voted for long. The first one gone is kept for 8 s, since five is odd, and the
-        second one with it. Three are left, which is a majority; the disk that is lost
-        meanwhile leaves two of five for good.
+        Two old hosts are switched off one after the other while their successors vote.
+        If both stay voters for 8 s, since five is an odd number, three voters remain as
+        a majority, and a disk that is lost meanwhile leaves two of five for ever.
         """
         subject = Subject(tmp_path / "data", election_seconds=1.0)
         subject.lead(5)
@@ -145,49 +147,51 @@
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-4/disk"}
         subject.replica.storage.close()
 
-    def test_is_left_to_operators_who_admit_each_host(self, tmp_path: Path) -> None:
+    def test_is_not_removed_where_operators_admit_hosts(self, tmp_path: Path) -> None:
         subject = Subject(tmp_path / "data", admits_any_host=False)
         subject.lead(4)
-        subject.silence("control-4/disk", GONE)
+        subject.silence("control-4/disk", UNRESPONSIVE)
         assert subject.next_voter_ids() == subject.voter_ids()
         subject.replica.storage.close()
 
 
 class TestSuccessor:
-    """A learner that has caught up, and the voters that it finds."""
+    """A learner that has caught up, with responsive, silent or unresponsive voters."""
 
-    def test_votes_beside_voters_that_all_answer(self, subject: Subject) -> None:
+    def test_is_promoted_while_all_voters_answer(self, subject: Subject) -> None:
         subject.lead(3, learners=1)
         assert subject.next_voter_ids() == subject.voter_ids() | {LEARNER}
 
-    def test_waits_while_a_voter_is_silent(self, subject: Subject) -> None:
-        """It would make four voters, of which one is about to be found gone."""
+    def test_is_not_promoted_while_a_voter_is_silent(self, subject: Subject) -> None:
+        """With it there would be four voters, of which one may be unresponsive soon."""
         subject.lead(3, learners=1)
-        subject.silence("control-3/disk", QUIET)
+        subject.silence("control-3/disk", SILENT)
         assert subject.next_voter_ids() == subject.voter_ids()
 
-    def test_takes_the_place_of_one_that_is_gone(self, subject: Subject) -> None:
+    def test_replaces_an_unresponsive_voter(self, subject: Subject) -> None:
         subject.lead(3, learners=1)
-        subject.silence("control-3/disk", GONE)
+        subject.silence("control-3/disk", UNRESPONSIVE)
         assert subject.next_voter_ids() == subject.voter_ids() - {"control-3/disk"}
 
-    def test_votes_beside_a_silent_one_where_too_few_vote(
+    def test_is_promoted_despite_a_silent_voter_if_too_few_vote(
         self, subject: Subject
     ) -> None:
         subject.lead(2, learners=1)
-        subject.silence("control-2/disk", QUIET)
+        subject.silence("control-2/disk", SILENT)
         assert LEARNER in subject.next_voter_ids()
 
 
-class TestVoterThatStops:
-    """Whether a replica that is about to stop may be removed."""
+class TestStoppingVoter:
+    """Whether a replica may be removed before its process stops."""
 
-    def test_is_spare_beside_enough_others(self, subject: Subject) -> None:
+    def test_is_surplus_if_enough_others_vote(self, subject: Subject) -> None:
         subject.lead(4)
         membership, settings = subject.replica.membership, subject.replica.settings
         assert is_surplus_voter(membership, "control-4/disk", settings)
 
-    def test_is_needed_by_as_many_as_bear_the_losses(self, subject: Subject) -> None:
+    def test_is_no_surplus_if_the_tolerated_losses_need_it(
+        self, subject: Subject
+    ) -> None:
         subject.lead(3, learners=1)
         membership, settings = subject.replica.membership, subject.replica.settings
         assert not is_surplus_voter(membership, "control-3/disk", settings)
--- a/tests/control/test_two_candidates.py
+++ b/tests/control/test_two_candidates.py
@@ -13,11 +13,11 @@
 from jujubeslip.peers import Member, PeerRefusal, VoteReply
 from tests.control.test_votes import CANDIDATE, voter
 
-LATER_BY = 1
+TERM_INCREMENT = 1
 
 
 class OtherCandidate:
-    """Grants the pre-vote, and has won the vote of this replica meanwhile."""
+    """Grants the pre-vote, and can obtain this replica's vote for itself first."""
 
     def __init__(self, replica: Replica, has_campaigned: bool) -> None:
         self._replica = replica
@@ -33,7 +33,7 @@
         if self._has_campaigned:
             replica = self._replica
             with replica.disk_lock, replica.lock:
-                replica.adopt_term(replica.term + LATER_BY, CANDIDATE)
+                replica.adopt_term(replica.term + TERM_INCREMENT, CANDIDATE)
         return VoteReply(request.term - 1, True)
 
     def request_vote(self, request: Any) -> VoteReply:
@@ -43,11 +43,15 @@
         raise PeerRefusal("unknown", "", "", 0)
 
 
-class TestCandidateThatHasVotedMeanwhile:
-    """Guards against a leader that is deposed milliseconds after its election."""
+class TestCandidateThatVotesForAnother:
+    """Guards against a leader that is deposed milliseconds after its election.
+
+    A replica votes for another candidate during its own pre-vote round; if its campaign
+    continued, its higher term would depose the other one.
+    """
 
     @pytest.mark.parametrize("has_campaigned", [True, False])
-    def test_gives_its_own_campaign_up(
+    def test_abandons_its_own_campaign(
         self, tmp_path: Path, has_campaigned: bool
     ) -> None:
         storage = Storage(tmp_path / "data", "control-1")
--- a/tests/control/test_votes.py
+++ b/tests/control/test_votes.py
@@ -1,4 +1,4 @@
-"""What a vote costs the disk of the one who gives it, and how long it is waited for."""
+"""Writes to disk that a vote needs, and how long a candidate waits for votes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SlowDisk(Storage):
-    """Counts what is saved; each save takes as long as a test says."""
+    """Counts the saves of metadata; each takes as long as a test sets."""
 
     save_seconds = 0.0
     saves = 0
@@ -34,7 +34,7 @@
 
 
 class SlowVoter:
-    """Answers a pre-vote at once, and a vote only after a while."""
+    """Answers a pre-vote at once and a vote request after a delay."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
@@ -62,7 +62,7 @@
 
 
 def voter(folder: Path, storage: Storage) -> Replica:
-    """Return one of two voters, at term 1, that hears no leader."""
+    """Return one of two voters, in term 1, which has heard no leader."""
     settings = ControlSettings(
         host_id="control-1",
         availability_zone="zone",
@@ -93,11 +93,12 @@
 
 
 class TestVoteInALaterTerm:
-    """No leader is elected while a disk is busy, though every voter would vote.
+    """Guards against elections that never succeed while a voter's disk is busy.
 
-    A voter saved the new term and then its vote, each with two syncs. The candidate
-    waited for half an election timeout: `campaigning` was logged for four terms in a
-    row and `leading` never, while pre-votes, which save nothing, were all won.
+    If a voter saves the new term and then its vote, each with two syncs, its reply
+    misses a candidate that waits for half an election timeout. Pre-votes, which save
+    nothing, all succeeded then, and `campaigning` was logged for four terms in a row
+    without `leading`.
     """
 
     def test_is_saved_once(self, tmp_path: Path, storage: SlowDisk) -> None:
@@ -117,7 +118,7 @@
         assert not receiver.request_vote(other).granted
         assert storage.metadata.voted_for == CANDIDATE
 
-    def test_refused_keeps_the_term_alone(
+    def test_refusal_saves_only_the_term(
         self, tmp_path: Path, storage: SlowDisk
     ) -> None:
         replica = voter(tmp_path, storage)
@@ -126,11 +127,12 @@
         assert storage.metadata == ReplicaMetadata("cluster", 3, "")
 
 
-class TestVoteThatComesLate:
-    """A vote that took most of an election timeout to save was thrown away.
+class TestLateVote:
+    """Guards against votes that are ignored since they took long to save.
 
-    The candidate does nothing else until its next campaign, which asks the same voters
-    to save another term: on a busy disk no campaign was ever won.
+    The candidate does nothing else until its next campaign, which makes the same voters
+    save another term. If it stopped waiting earlier, no campaign would be won while
+    disks are busy.
     """
 
     def test_counts_until_the_next_campaign(
