--- a/src/jujubeslip/control/_changes.py
+++ b/src/jujubeslip/control/_changes.py
@@ -181,10 +181,10 @@
     def _check_may_join(
         self, membership: Membership, joining: ReplicaDescription
     ) -> None:
-        known = members_of_host(membership, joining.host_id)
+        host_members = members_of_host(membership, joining.host_id)
         admits_any = self._replica.settings.admits_any_host
         if (
-            not known
+            not host_members
             and not admits_any
             and joining.host_id not in membership.admitted_host_ids
         ):
@@ -195,7 +195,7 @@
             )
         if any(
             member.voter and not self._planner.is_unresponsive(member)
-            for member in known
+            for member in host_members
         ):
             raise _refusal(
                 "replica_still_answers",
--- a/src/jujubeslip/control/_disk_probe.py
+++ b/src/jujubeslip/control/_disk_probe.py
@@ -27,8 +27,8 @@
     After a failure it is unknown which data is durable, so the replica acknowledges
     nothing until it has read back the data folder. The process has to end for that, as
     its supervisor starts it again only then. If it kept running, two disks that were
-    full for some seconds, one after the other, would leave three replicas without a
-    majority for good.
+    full for some seconds, one after the other, would permanently leave three replicas
+    without a majority.
     """
 
     def __init__(self, replica: Replica) -> None:
--- a/src/jujubeslip/control/_joining.py
+++ b/src/jujubeslip/control/_joining.py
@@ -74,7 +74,7 @@
             # Members first: seeds may no longer exist, and each then costs a timeout.
             self._join([*self._member_addresses(), *others])
             return
-        known: list[ReplicaDescription] = []
+        empty_hosts: list[ReplicaDescription] = []
         missing: list[str] = []
         for address in others:
             item = self._describe(address)
@@ -86,13 +86,13 @@
                 self._join([address, *others])
                 return
             else:
-                known.append(item)
+                empty_hosts.append(item)
         if missing:
             logger.info(
                 "waiting for hosts to bootstrap the cluster", extra={"missing": missing}
             )
-        elif self._should_bootstrap(known):
-            self._bootstrap(known)
+        elif self._should_bootstrap(empty_hosts):
+            self._bootstrap(empty_hosts)
 
     def _member_addresses(self) -> list[str]:
         replica = self._replica
--- a/src/jujubeslip/control/_leadership.py
+++ b/src/jujubeslip/control/_leadership.py
@@ -173,7 +173,9 @@
         self, membership: Membership, timestamp_by_id: Mapping[str, float]
     ) -> float:
         own = {self._replica_id: steady_seconds()}
-        known = {**timestamp_by_id, **own}
-        timestamps = [known[member.replica_id] for member in voters(membership)]
+        timestamps_with_own = {**timestamp_by_id, **own}
+        timestamps = [
+            timestamps_with_own[member.replica_id] for member in voters(membership)
+        ]
         timestamps.sort(reverse=True)
         return timestamps[quorum_size(membership) - 1]
--- a/src/jujubeslip/control/_receiver.py
+++ b/src/jujubeslip/control/_receiver.py
@@ -99,8 +99,8 @@
         if not (is_addressed and is_in_cluster) or request.entries:
             return False
         is_followed = replica.role is Role.FOLLOWER and request.term == replica.term
-        known = replica.log.term_at(request.previous_index)
-        fits = known is not None and known == request.previous_term
+        previous_term = replica.log.term_at(request.previous_index)
+        fits = previous_term is not None and previous_term == request.previous_term
         return is_followed and fits
 
     def _answer_heartbeat(self, request: AppendRequest) -> AppendReply:
@@ -204,11 +204,11 @@
         return replica.hears_leader and not request.transfer
 
     def _may_vote_for(self, request: VoteRequest) -> bool:
-        known = self._replica.storage.metadata
-        if request.term < known.term or not self._is_up_to_date(request):
+        metadata = self._replica.storage.metadata
+        if request.term < metadata.term or not self._is_up_to_date(request):
             return False
-        is_new_term = request.term > known.term
-        return is_new_term or known.voted_for in ("", request.candidate_id)
+        is_new_term = request.term > metadata.term
+        return is_new_term or metadata.voted_for in ("", request.candidate_id)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
         log = self._replica.log
--- a/src/jujubeslip/control/_recovery.py
+++ b/src/jujubeslip/control/_recovery.py
@@ -1,4 +1,4 @@
-"""Declared recovery: one survivor continues after a majority is lost for good."""
+"""Declared recovery: one survivor continues after a majority is lost permanently."""
 
 from __future__ import annotations
 
--- a/src/jujubeslip/control/_stopping.py
+++ b/src/jujubeslip/control/_stopping.py
@@ -68,7 +68,7 @@
 def leave(replica: Replica, clients: ReplicaClients, deadline: Deadline) -> None:
     """Ask the leader to remove this replica, if enough voters remain."""
     while not deadline.expired:
-        # A late vote may have elected this replica shortly before it began to stop.
+        # A late vote may have elected this replica before it began to stop.
         transfer_leadership(replica, clients, deadline)
         with replica.lock:
             if not is_surplus_voter(
--- a/src/jujubeslip/control/_succession.py
+++ b/src/jujubeslip/control/_succession.py
@@ -80,7 +80,7 @@
         """Remove an unresponsive voter if enough voters remain without it.
 
         A host that was permanently replaced would still count for every majority: of
-        four voters with one such host, a single lost disk leaves no majority for ever.
+        four voters with one such host, one lost disk permanently leaves no majority.
         If the responsive voters do not tolerate the configured number of losses, the
         unresponsive voter is removed at once, otherwise after a grace period. A removed
         voter that returns joins again.
--- a/tests/control/test_disks.py
+++ b/tests/control/test_disks.py
@@ -58,9 +58,9 @@
     """Guards against a majority that is lost through two disks full for a few seconds.
 
     A host acknowledges nothing after a failed write until it is restarted. If nothing
-    restarts it, the second such host leaves no majority for ever, although both disks
-    have had free space again for hours. The line of the failed disk is the last one in
-    the log then.
+    restarts it, the second such host permanently leaves no majority, although both
+    disks have had free space again for hours. The line of the failed disk is the last
+    one in the log then.
     """
 
     def test_hosts_restart_once_they_have_free_space(self, tmp_path: Path) -> None:
--- a/tests/control/test_leaving.py
+++ b/tests/control/test_leaving.py
@@ -24,16 +24,16 @@
 def leader_status(system: PlatformSystem) -> ControlStatus | None:
     """Return the status of the host that leads."""
     for seed in system.seeds:
-        known = status(seed)
-        if known is not None and known.leader_id == known.replica_id:
-            return known
+        leading = status(seed)
+        if leading is not None and leading.leader_id == leading.replica_id:
+            return leading
     return None
 
 
-def leader_and_another(known: ControlStatus) -> list[str]:
+def leader_and_another(leading: ControlStatus) -> list[str]:
     """Return the host that leads and the first of the others in its status."""
-    leader = known.leader_id.partition("/")[0]
-    names = [item.replica_id.partition("/")[0] for item in known.replicas]
+    leader = leading.leader_id.partition("/")[0]
+    names = [item.replica_id.partition("/")[0] for item in leading.replicas]
     return [leader, next(name for name in names if name != leader)]
 
 
@@ -44,7 +44,7 @@
     transfers leadership to the other one, which has already passed its own transfer and
     waits to be removed. As a leader does not remove itself, it exits after 2 s while
     it still leads and votes. One of four voters is missing then, and the disk that is
-    lost next leaves two for ever.
+    lost next permanently leaves no majority.
     """
 
     def test_tolerates_a_disk_lost_right_after(self, tmp_path: Path) -> None:
@@ -56,11 +56,11 @@
                     lambda name=name: name in voters(system.seeds[0]),  # type: ignore[misc]
                     f"{name} votes",
                 )
-            known = wait_until(lambda: leader_status(system), "an old host leads")
-            assert known is not None
+            leading = wait_until(lambda: leader_status(system), "an old host leads")
+            assert leading is not None
             host_by_name = {host.name: host for host in system.controls}
             stopping: list[Host] = [
-                host_by_name[name] for name in leader_and_another(known)
+                host_by_name[name] for name in leader_and_another(leading)
             ]
             for host in stopping:
                 host.signal(signal.SIGTERM)
--- a/tests/control/test_lost_voters.py
+++ b/tests/control/test_lost_voters.py
@@ -61,15 +61,15 @@
         self, voters: int, lost_count: int
     ) -> None:
         everyone = range(voters)
-        left = set(range(lost_count, voters))
+        remaining = set(range(lost_count, voters))
         found = membership(voters)
         quorum = vote_quorum(log_with(found, found))
         needed = quorum.votes_needed(lost_count)
-        elections = [set(item) for item in combinations(left, needed)]
+        elections = [set(item) for item in combinations(remaining, needed)]
         majorities = [set(item) for item in combinations(everyone, voters // 2 + 1)]
         for election in elections:
             assert all(election & other for other in elections)
-            assert all(election & majority & left for majority in majorities)
+            assert all(election & majority & remaining for majority in majorities)
 
     def test_is_half_of_an_even_number(self) -> None:
         assert VoteQuorum(4, True).votes_needed(1) == 2
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -23,7 +23,8 @@
     system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
     join(system, SUCCESSOR)
     wait_until(
-        lambda: SUCCESSOR in voters(system.seeds[0]), "the successor votes beside all"
+        lambda: SUCCESSOR in voters(system.seeds[0]),
+        "the successor votes with all others",
     )
 
 
@@ -51,9 +52,9 @@
     If a successor joins before its predecessor is found unresponsive, four replicas
     vote, one of them switched off. If that one is removed only 8 s after a leader has
     begun to lead, each majority needs all of the other three until then, and the loss
-    of a disk leaves two of four for ever: the last change, version 79, was accepted at
-    20.024 s although changes were sent until 87 s. Entry hosts serve the configuration
-    that they hold until a restart, and nothing after it.
+    of a disk permanently leaves two of four: the last change, version 79, was accepted
+    at 20.024 s although changes were sent until 87 s. Entry hosts serve the
+    configuration that they hold until a restart, and nothing after it.
     """
 
     def test_is_tolerated_once_the_predecessor_is_removed(self, tmp_path: Path) -> None:
--- a/tests/control/test_succession.py
+++ b/tests/control/test_succession.py
@@ -104,7 +104,7 @@
 
         The successor of a permanently replaced host votes in addition to it. If the old
         host stays a voter for 8 s, a disk that is lost meanwhile leaves two of four
-        voters for ever.
+        voters, permanently without a majority.
         """
         subject.lead(4)
         subject.silence("control-4/disk", UNRESPONSIVE)
@@ -138,7 +138,8 @@
 
         Two old hosts are switched off one after the other while their successors vote.
         If both stay voters for 8 s, since five is an odd number, three voters remain as
-        a majority, and a disk that is lost meanwhile leaves two of five for ever.
+        a majority, and a disk that is lost meanwhile leaves two of five, permanently
+        without a majority.
         """
         subject = Subject(tmp_path / "data", election_seconds=1.0)
         subject.lead(5)
