--- a/tests/control/test_leader_news.py
+++ b/tests/control/test_leader_news.py
@@ -1,4 +1,4 @@
-"""Tests that watchers learn of a new leader, with real processes."""
+"""Watchers are notified of a new leader, with real processes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from jujubeslip.peers import WatchReply, WatchRequest
 from tests.control.cluster import ControlCluster, ControlHost
 
-# How long a watch of an entry host may wait, in milliseconds.
+# Wait time of an entry host's watch, in milliseconds.
 WAIT_MS = 4000
-# Maximum time to learn of the new leader, in seconds: a request waits no longer for a
-# leader, so hosts that learn of it later call the old one without success.
-LEADER_KNOWN_SECONDS = 0.25
+# Limit on the delay of the notification, in seconds. With a longer one, hosts send
+# requests to the former leader that it can't serve.
+NOTIFICATION_SECONDS = 0.25
 
 
 def watch(host: ControlHost, known: WatchReply | None = None) -> WatchReply:
-    """Watch as an entry host that knows the given earlier reply."""
+    """Watch as an entry host that knows the state of an earlier reply."""
     request = WatchRequest(
         known.book_id if known else 0,
         known.version if known else 0,
@@ -38,7 +38,7 @@
     """Guards against requests that are still sent to a replaced leader."""
 
     @pytest.mark.parametrize("takeovers", [1, 2])
-    def test_is_announced_at_once(self, tmp_path: Path, takeovers: int) -> None:
+    def test_is_reported_at_once(self, tmp_path: Path, takeovers: int) -> None:
         with ControlCluster(tmp_path, 5) as cluster:
             cluster.apply(1, 0)
             for host in cluster.hosts:
@@ -50,13 +50,11 @@
         frozen = cluster.leader()
         others = [host for host in cluster.others(frozen) if host.running]
         with ThreadPoolExecutor(len(others)) as threads:
-            earlier_replies = [(host, watch(host)) for host in others]
-            waiting = [
-                threads.submit(watch, host, known) for host, known in earlier_replies
-            ]
+            watched = [(host, watch(host)) for host in others]
+            waiting = [threads.submit(watch, host, known) for host, known in watched]
             frozen.kill()
             leader = cluster.leader(others)
             elected = time.monotonic()
             replies = [item.result() for item in waiting]
-            assert time.monotonic() - elected < LEADER_KNOWN_SECONDS
+            assert time.monotonic() - elected < NOTIFICATION_SECONDS
         assert {reply.leader_address for reply in replies} == {leader.address}
