--- a/src/jujubeslip/forwarding/__init__.py
+++ b/src/jujubeslip/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Entry hosts that forward HTTP requests by the routes of an operator."""
+"""Forwarding hosts, which send HTTP requests to endpoints by an operator's routes."""
 
 from jujubeslip.forwarding._process import run_forward
 
--- a/src/jujubeslip/forwarding/_choice.py
+++ b/src/jujubeslip/forwarding/_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request."""
+"""Selects the endpoint that gets a request."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from jujubeslip.notices import Hold, ServiceHolds
 from jujubeslip.peers import EndpointRole
 
-# What another availability zone costs, in open requests: bytes between zones are paid
-# for, and a queue of two at the near endpoint is longer than the way.
+# Cost of an endpoint in another availability zone, in open requests: traffic between
+# zones is billed, and only a queue of two requests at the endpoint in the own zone
+# takes longer than the network delay.
 OTHER_ZONE_COST = 2.0
-# What an endpoint that fails every request costs, in open requests.
+# Cost of an endpoint that fails every request, in open requests.
 FAILURE_COST = 12.0
-# What an endpoint costs that says it is slow after its start, in open requests.
+# Cost of an endpoint that reports being slow after its start, in open requests.
 SLOW_START_COST = 1.0
 
 
@@ -42,7 +43,7 @@
         self._availability_zone = availability_zone
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """Return the cheapest; equal ones by lot, so that hosts choose several."""
+        """Return the cheapest, at random among equals so that hosts differ."""
         return min(candidates, key=lambda item: (self._cost(item), random.random()))
 
     def _cost(self, endpoint: Endpoint) -> float:
@@ -56,13 +57,13 @@
 
 @policies.register("least-loaded")
 class LeastLoaded:
-    """Takes the endpoint with the fewest open requests of this host: a baseline."""
+    """Takes the endpoint with the fewest open requests of this host, as a baseline."""
 
     def __init__(self, health: EndpointHealth, availability_zone: str) -> None:
         self._health = health
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """Return the one with the fewest open requests, equal ones by lot."""
+        """Return the one with the fewest open requests, at random among equals."""
         return min(
             candidates,
             key=lambda item: (
@@ -74,7 +75,7 @@
 
 @policies.register("round-robin")
 class RoundRobin:
-    """Takes the endpoints in turn: a baseline."""
+    """Takes the endpoints in turn, as a baseline."""
 
     def __init__(self, health: EndpointHealth, availability_zone: str) -> None:
         self._turns = itertools.count()
@@ -90,14 +91,14 @@
 
     def __init__(
         self,
-        book: EndpointBook,
+        registry: EndpointBook,
         health: EndpointHealth,
         policy: Policy,
         silence_seconds: float,
         hold_of: Callable[[str], Hold | None] = lambda _: None,
     ) -> None:
         self._hold_of = hold_of
-        self._book = book
+        self._registry = registry
         self._health = health
         self._policy = policy
         self._silence_seconds = silence_seconds
@@ -105,42 +106,43 @@
     def choose(
         self, service_name: str, role: EndpointRole, excluded: Collection[str]
     ) -> Endpoint | None:
-        """Return an endpoint whose start isn't excluded, None without one.
+        """Return an endpoint whose start is not excluded, None if there is none.
 
-        One that can't be reached, or was not heard for long, is only taken when there
-        is no other: a host that is cut off goes on with what it knows. One that is
-        known to be gone is never taken: prompts would be read for it in vain.
+        An endpoint that is unreachable, or was not heard from for long, is only taken
+        if there is no other: a partitioned host continues with the endpoints it knows.
+        One that is known to be replaced is never taken, because prompts would be
+        prefilled for it needlessly.
         """
         usable = self._usable(service_name, role, excluded)
         if not usable:
             return None
-        return self._policy.choose(self._sound(usable) or usable)
+        return self._policy.choose(self._healthy(usable) or usable)
 
-    def choose_sound(self, service_name: str, role: EndpointRole) -> Endpoint | None:
-        """Return an endpoint that was heard and answers, None without one."""
-        sound = self._sound(self._usable(service_name, role, ()))
-        return self._policy.choose(sound) if sound else None
+    def choose_healthy(self, service_name: str, role: EndpointRole) -> Endpoint | None:
+        """Return an endpoint that is heard from and reachable, None without one."""
+        healthy = self._healthy(self._usable(service_name, role, ()))
+        return self._policy.choose(healthy) if healthy else None
 
-    def choose_near(
+    def choose_in_zone(
         self,
         service_name: str,
         role: EndpointRole,
         excluded: Collection[str],
         availability_zone: str,
     ) -> Endpoint | None:
-        """Return one of this zone that was heard and answers, None without one."""
-        sound = self._sound(self._usable(service_name, role, excluded))
-        near = [item for item in sound if item.availability_zone == availability_zone]
+        """Return a healthy endpoint of this availability zone, None without one."""
+        healthy = self._healthy(self._usable(service_name, role, excluded))
+        near = [item for item in healthy if item.availability_zone == availability_zone]
         return self._policy.choose(near) if near else None
 
     def holds(self, service_name: str, role: EndpointRole) -> ServiceHolds:
-        """Return which endpoints of a role that stay are on hold now."""
+        """Return the holds of the endpoints of this role that are not leaving."""
         starts = (item.start_id for item in self._known(service_name, role))
         return ServiceHolds({start_id: self._hold_of(start_id) for start_id in starts})
 
     def is_over(self, endpoint: Endpoint) -> bool:
-        """Say whether another start is known to have taken this one's place."""
-        return self._book.is_over(endpoint)
+        """Return whether a later start is known to have replaced this one."""
+        return self._registry.is_over(endpoint)
 
     def _usable(
         self, service_name: str, role: EndpointRole, excluded: Collection[str]
@@ -155,14 +157,14 @@
     def _known(self, service_name: str, role: EndpointRole) -> list[Endpoint]:
         return [
             endpoint
-            for endpoint in self._book.endpoints()
+            for endpoint in self._registry.endpoints()
             if endpoint.service_name == service_name
             and endpoint.role == role
             and endpoint.stays
             and not self._health.is_replaced(endpoint.start_id)
         ]
 
-    def _sound(self, usable: Sequence[Endpoint]) -> list[Endpoint]:
+    def _healthy(self, usable: Sequence[Endpoint]) -> list[Endpoint]:
         heard_since = steady_seconds() - self._silence_seconds
         return [
             endpoint
--- a/src/jujubeslip/forwarding/_events.py
+++ b/src/jujubeslip/forwarding/_events.py
@@ -1,4 +1,4 @@
-"""Events of a stream: whole ones only, each with its id."""
+"""Splits an event stream into whole events and tracks the last event id."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class EventSplitter:
-    """Cuts a stream's bytes into events.
+    """Splits the bytes of a stream into events.
 
-    Only whole events are passed on: an endpoint may stop in the middle of one, and
-    what another endpoint sends from there would not fit to it.
+    Only whole events are relayed: an endpoint may stop in the middle of one, and what
+    another endpoint sends after a resume would not continue that event.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self.last_event_id = ""
 
     def take(self, part: bytes) -> bytes:
-        """Return the whole events that the part completes, in one piece."""
+        """Return the events that the part completes, as one byte string."""
         pending = self._pending + part
         end = 0
         for found in END_OF_EVENT.finditer(pending):
@@ -32,10 +32,10 @@
         return whole
 
     @property
-    def has_rest(self) -> bool:
-        """Say whether an event has begun and not ended."""
+    def has_partial_event(self) -> bool:
+        """Return whether an event has begun and not ended."""
         return bool(self._pending)
 
-    def drop_rest(self) -> None:
-        """Forget an event that was cut."""
+    def drop_partial_event(self) -> None:
+        """Discard an incomplete event."""
         self._pending = b""
--- a/src/jujubeslip/forwarding/_exchange.py
+++ b/src/jujubeslip/forwarding/_exchange.py
@@ -1,4 +1,4 @@
-"""One call to an endpoint: its connection, its answer's head, its body."""
+"""One HTTP exchange with an endpoint: connection, head and body of the answer."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 class Exchange:
     """Sends a request to one endpoint and reads its answer.
 
-    Used as a context: a connection whose answer was not read whole is closed, which
-    also tells the endpoint to stop working on it. What an endpoint has said of itself
-    is looked up once its connection is there: opening one may take long.
+    Used as a context manager: a connection whose answer was not read whole is closed,
+    which also makes the endpoint stop working on it. The endpoint's notices are checked
+    once its connection is open, because opening one may take long.
     """
 
     def __init__(
@@ -63,8 +63,8 @@
     def call(self, call: EndpointCall, deadline: Deadline) -> EndpointHead:
         """Send the request and return the head of its answer.
 
-        Raises EndpointRefusedError when the endpoint says that it did not run it, and
-        EndpointOnHoldError where it wants none by now.
+        Raises EndpointRefusedError if the endpoint reports that it did not run the
+        request, and EndpointOnHoldError if it accepts no requests by now.
         """
         start_id = self._endpoint.start_id
         connection = self._pool.take(start_id, self._endpoint.address)
@@ -86,29 +86,29 @@
         if head.status in SUCCESS and not head.proves_origin:
             if not call.reads_prompt_only:
                 raise EndpointAnswerError(
-                    f"{self._endpoint.address}: the answer has no mark of an endpoint."
+                    f"{self._endpoint.address}: the answer has no proof of its origin."
                 )
         return head
 
     def watch(self, deadline: Deadline) -> None:
-        """Bound the reads from now on."""
+        """Set the deadline of the following reads."""
         assert self._connection is not None
         self._connection.watch(deadline, self._gone)
 
     def read_some(self) -> bytes:
-        """Return the next bytes of the body, nothing at its proper end."""
+        """Return the next bytes of the body, empty at its regular end."""
         assert self._connection is not None and self._response is not None
         return self._connection.read_some(self._response)
 
     def read_rest(self) -> bytes:
-        """Return the rest of the body, and keep the connection if it may be."""
+        """Return the rest of the body, and keep the connection if it is reusable."""
         assert self._connection is not None and self._response is not None
         body = self._connection.read_rest(self._response)
-        self.keep()
+        self.keep_connection()
         return body
 
-    def keep(self) -> None:
-        """Keep the connection of an answer that was read whole for the next request."""
+    def keep_connection(self) -> None:
+        """Keep the connection for the next request, after the answer was read whole."""
         connection, self._connection = self._connection, None
         assert connection is not None and self._response is not None
         if self._response.will_close:
@@ -124,10 +124,10 @@
             connection.close()
 
     def _read_own_head(self, connection: EndpointConnection) -> EndpointHead:
-        """Return the head of this request's answer, past late answers to others.
+        """Return the head of this request's answer, skipping late answers to others.
 
         An endpoint may answer an earlier request a second time, just where this
-        request's answer is expected. The id that it echoes tells them apart.
+        request's answer is expected. The request id that it echoes tells them apart.
         """
         while True:
             response = self._response = connection.read_head()
--- a/src/jujubeslip/forwarding/_first_endpoints.py
+++ b/src/jujubeslip/forwarding/_first_endpoints.py
@@ -1,9 +1,9 @@
-"""Requests of a host that has just started wait for endpoints to announce themselves.
+"""Lets requests of a newly started host wait until endpoints announce themselves.
 
-The load that this answers: all hosts lose power and start at once. Endpoints go on, but
-no host knows any until their next announcements, which come within a second or so. Told
-at once that there is none, dozens of clients come back late, and those that had come
-back before are lost.
+After a power loss of all hosts, these start at once. The endpoints keep running, but no
+host knows them until their next announcements, which arrive within a second or so. If
+requests were refused at once, dozens of clients would retry too late to be in time, and
+those that had retried before would give up.
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 
 logger = logging.getLogger(__name__)
 
-# How long after its start a host may not have heard of endpoints that are there, in
-# seconds: in this time each of them announces itself twice or more.
+# How long after its start a host may not know all running endpoints, in seconds: in
+# this time each of them announces itself at least twice.
 UNKNOWN_SECONDS = 3.0
-# How long a request waits for the first one, in seconds, and which share of its
-# client's time it may take, so that enough is left for the answer.
+# Maximum wait of a request for the first endpoint, in seconds, and as a share of the
+# client's remaining time, so that enough is left for the answer.
 WAIT_SECONDS = 1.0
 WAIT_SHARE = 1 / 3
-# How often one that waits looks whether its client is still there, in seconds.
-LOOK_SECONDS = 0.1
+# How often a waiting request checks whether its client is still connected, in seconds.
+CLIENT_CHECK_SECONDS = 0.1
 
 
 class FirstEndpoints:
-    """Knows whether a host has started so lately that endpoints may be unknown."""
+    """Delays requests of a newly started host while endpoints may be unknown."""
 
-    def __init__(self, book: EndpointBook) -> None:
-        self._book = book
+    def __init__(self, registry: EndpointBook) -> None:
+        self._registry = registry
         self._unknown_until = Deadline.after(UNKNOWN_SECONDS)
 
     def wait_for(self, context: ForwardContext) -> None:
-        """Return once an endpoint can answer the request, or none is to be expected.
+        """Wait until an endpoint can answer the request, or the wait ends without one.
 
-        Raises CallerGoneError when the client goes before that.
+        Raises CallerGoneError if the client disconnects before that.
         """
-        if self._unknown_until.expired or self._knows(context.service_name):
+        if self._unknown_until.expired or self._has_endpoint(context.service_name):
             return
         limit = self._limit(context)
-        while not limit.expired and not self._knows(context.service_name):
+        while not limit.expired and not self._has_endpoint(context.service_name):
             if context.gone():
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
-            self._wait_for_news(context.service_name, limit)
+            self._wait_for_change(context.service_name, limit)
         extra = {
             "request_id": context.request.request_id,
             "service": context.service_name,
             "waited_ms": int(context.request.arrived.overdue() * 1000),
-            "found": self._knows(context.service_name),
+            "found": self._has_endpoint(context.service_name),
         }
         logger.info("request waited for the first endpoints", extra=extra)
 
@@ -61,20 +61,21 @@
         limit = Deadline.after(min(WAIT_SECONDS, share))
         return limit.earlier_of(self._unknown_until)
 
-    def _knows(self, service_name: str) -> bool:
+    def _has_endpoint(self, service_name: str) -> bool:
         return any(
-            _can_answer(endpoint, service_name) for endpoint in self._book.endpoints()
+            _can_answer(endpoint, service_name)
+            for endpoint in self._registry.endpoints()
         )
 
-    def _wait_for_news(self, service_name: str, limit: Deadline) -> None:
-        next_look = limit.earlier_of(Deadline.after(LOOK_SECONDS))
-        self._book.wait_for_news(
-            self._book.version, lambda: self._knows(service_name), next_look
+    def _wait_for_change(self, service_name: str, limit: Deadline) -> None:
+        next_check = limit.earlier_of(Deadline.after(CLIENT_CHECK_SECONDS))
+        self._registry.wait_for_news(
+            self._registry.version, lambda: self._has_endpoint(service_name), next_check
         )
 
 
 def _can_answer(endpoint: Endpoint, service_name: str) -> bool:
-    """Say whether an endpoint takes requests of a service, and not just prompts."""
+    """Return whether the endpoint answers requests, and does not only prefill."""
     return (
         endpoint.service_name == service_name
         and endpoint.role is not EndpointRole.PREFILL
--- a/src/jujubeslip/forwarding/_health.py
+++ b/src/jujubeslip/forwarding/_health.py
@@ -1,4 +1,4 @@
-"""What this host has seen of each endpoint lately."""
+"""Recent failures, backoffs and open requests of each endpoint, seen by this host."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 logger = logging.getLogger(__name__)
 
-# How long an endpoint that can't be reached is passed over, in seconds; doubled with
-# each further failure in a row. One that restarts at once is found again soon, and
-# one that is dead costs a connect timeout only now and then.
+# How long an unreachable endpoint is skipped, in seconds; doubled with each further
+# failure in a row. An endpoint that restarts at once is used again soon, and one that
+# is down costs a connect timeout only rarely.
 FIRST_PAUSE_SECONDS = 0.5
 MAXIMUM_PAUSE_SECONDS = 8.0
-# How much the latest answer counts for the share of failures: about the last ten do.
+# Weight of the latest answer in the failure share, which covers about the last ten.
 FAILURE_WEIGHT = 0.1
-# In which the share counts half as much, without further answers, in seconds: about as
-# long as ten answers take at an endpoint that one host sends two requests a second.
-# Else an endpoint that failed once is given nothing that could show it to be sound.
+# Half-life of the failure share while no answers arrive, in seconds: about the time of
+# ten answers at an endpoint to which one host sends two requests a second. Without the
+# decay, an endpoint that failed once would get no requests that could show its
+# recovery.
 FAILURE_HALF_LIFE_SECONDS = 5.0
 
 
@@ -31,17 +32,18 @@
     paused_until: Deadline = Deadline(float("-inf"))
     failure_share: float = 0.0
     answered_at: float = float("-inf")
-    """When the share was noted."""
+    """When the share was recorded."""
     open_requests: int = 0
     is_replaced: bool = False
     """Whether another endpoint has answered at its address."""
 
 
 class EndpointHealth:
-    """Open requests, failures and pauses by start; may be used by threads.
+    """Open requests, failures and pauses by endpoint start; thread-safe.
 
-    What was seen of one start says nothing of the next one under its id: passed over
-    for the one before, a new start would get nothing for seconds, or for an hour.
+    The health of one start says nothing about the next start under the same endpoint
+    id: skipped for failures of the earlier one, a new start would get no requests for
+    seconds, or for an hour.
     """
 
     def __init__(self) -> None:
@@ -53,24 +55,24 @@
         return self._get(start_id).open_requests
 
     def failure_share(self, start_id: str) -> float:
-        """Return the share of requests that failed there lately, 0 to 1."""
-        return _faded_share(self._get(start_id), steady_seconds())
+        """Return the recent share of failed requests, 0 to 1."""
+        return _decayed_failure_share(self._get(start_id), steady_seconds())
 
     def is_paused(self, start_id: str) -> bool:
-        """Say whether the endpoint is passed over for now."""
+        """Return whether the endpoint is skipped for now."""
         health = self._get(start_id)
         return health.is_replaced or not health.paused_until.expired
 
     def is_replaced(self, start_id: str) -> bool:
-        """Say whether another endpoint has answered at its address: it is gone."""
+        """Return whether another endpoint has answered at its address in its place."""
         return self._get(start_id).is_replaced
 
-    def working(self, start_id: str) -> AbstractContextManager[None]:
-        """Return a context in which the endpoint works on one more request."""
-        return self._working(start_id)
+    def track_request(self, start_id: str) -> AbstractContextManager[None]:
+        """Return a context that counts one more open request of the endpoint."""
+        return self._track_request(start_id)
 
     @contextmanager
-    def _working(self, start_id: str) -> Iterator[None]:
+    def _track_request(self, start_id: str) -> Iterator[None]:
         self._add_open(start_id, 1)
         try:
             yield
@@ -78,18 +80,18 @@
             self._add_open(start_id, -1)
 
     def note_success(self, start_id: str) -> None:
-        """Note a whole answer."""
+        """Record a whole answer."""
         self._note(start_id, failed=False)
 
     def note_failure(self, start_id: str) -> None:
-        """Note an answer that failed or did not come whole."""
+        """Record an answer that failed or was incomplete."""
         self._note(start_id, failed=True)
 
     def note_unreachable(self, start_id: str) -> None:
-        """Pass the endpoint over for a while, longer after each time in a row.
+        """Skip the endpoint for a while, longer after each failure in a row.
 
-        Failures while it is passed over are of requests that were on their way before:
-        counted, a dozen of them at one moment would keep it out for the longest time.
+        Failures while it is skipped belong to requests that were sent before: if they
+        counted, a dozen at the same moment would cause the maximum pause.
         """
         with self._lock:
             health = self._get(start_id)
@@ -109,10 +111,10 @@
             "seconds": pause,
             "failures_in_a_row": failures,
         }
-        logger.info("endpoint passed over", extra=extra)
+        logger.info("endpoint skipped", extra=extra)
 
     def note_replaced(self, start_id: str) -> None:
-        """Never use this start again: another one answers at its address."""
+        """Never use this start again, since another one answers at its address."""
         with self._lock:
             self._health_by_start[start_id] = replace(
                 self._get(start_id), is_replaced=True
@@ -134,7 +136,7 @@
         with self._lock:
             health = self._get(start_id)
             now = steady_seconds()
-            share = _faded_share(health, now)
+            share = _decayed_failure_share(health, now)
             share += FAILURE_WEIGHT * ((1.0 if failed else 0.0) - share)
             self._health_by_start[start_id] = replace(
                 health,
@@ -144,7 +146,7 @@
             )
 
 
-def _faded_share(health: _Health, now: float) -> float:
-    """Return what the share of failures counts at this instant."""
+def _decayed_failure_share(health: _Health, now: float) -> float:
+    """Return the failure share, decayed to this time."""
     age = now - health.answered_at
     return float(health.failure_share * 0.5 ** (age / FAILURE_HALF_LIFE_SECONDS))
--- a/src/jujubeslip/forwarding/_identification.py
+++ b/src/jujubeslip/forwarding/_identification.py
@@ -1,4 +1,4 @@
-"""Whose request it is, by its key and the accounts in force."""
+"""Identifies the client account of a request by its key."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 def identify(
     table: RouteTable, route: Route, request: ForwardedRequest
 ) -> tuple[ForwardedRequest, ClientAccount | None]:
-    """Return the request as its endpoint may see it, and its client account.
+    """Return the request without its key, as endpoints see it, and its client account.
 
-    The account is None on a public route whose client sent no known key, and where
-    the configuration has no accounts. Raises RequestRefusedError without a valid key.
+    The account is None on a public route if the client sent no known key, and if the
+    configuration has no accounts. Raises RequestRefusedError without a valid key.
     """
     if table.accounts is None:
         return request, None
@@ -37,17 +37,17 @@
     route: Route,
     request: ForwardedRequest,
 ) -> None:
-    """Raise RequestRefusedError if the key was taken away since the request came.
+    """Raise RequestRefusedError if the key was revoked since the request arrived.
 
-    A request may wait for seconds before it is first sent; run after the operator
-    took its key away, it would show that keys outlive their end.
+    A request may wait for seconds before it is first sent. It must not run after the
+    operator has revoked its key.
     """
     table = current_table()
     if table is None or table.accounts is None or route.public:
         return
     account = table.accounts.holder_of(request.api_key)
     if account is None or account.name != request.account_name:
-        _log_refusal(table, route, request, "its key was taken away while it waited")
+        _log_refusal(table, route, request, "its key was revoked while it waited")
         raise unknown_key(REMEDY)
 
 
--- a/src/jujubeslip/forwarding/_models.py
+++ b/src/jujubeslip/forwarding/_models.py
@@ -1,4 +1,4 @@
-"""What the parts of forwarding hand to one another."""
+"""Data classes shared by the modules of forwarding, and common refusals."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     RouteTable,
 )
 
-# A client that has less time than its route's timeout by more than this share of it has
-# asked before. Clients wait as long as they like, five sixths of the timeout and more;
-# one that was refused is told to come back later than that explains.
-CAME_BACK_SHARE = 0.2
+# A client whose deadline is shorter than its route's timeout by more than this share of
+# the timeout is retrying. Clients choose their own timeouts, of five sixths of the
+# route's and more; the Retry-After of a refusal is longer than that difference.
+CLIENT_RETRY_SHARE = 0.2
 CHARGE_ID_BYTES = 8
 
 
@@ -32,26 +32,26 @@
 
 @dataclass(frozen=True)
 class ForwardContext:
-    """A request with what its route decides."""
+    """A request with its route and everything derived from it."""
 
     request: ForwardedRequest
     table: RouteTable
     route: Route
     service_name: str
     end_by: Deadline
-    """When the client is answered at the latest."""
+    """The latest time at which the client is answered."""
     gone: Interrupted
     """Whether the client has closed its connection."""
     target_by: Deadline
-    """Until when the answer, or its first event, is in time."""
+    """When the answer, or its first event, is due."""
     account: ClientAccount | None = None
-    """The client account that asks, if it is known."""
+    """The client account of the request, if it is known."""
     check_account: Callable[[], None] = _always_accepted
-    """Raises RequestRefusedError once the account's key was taken away."""
+    """Raises RequestRefusedError once the account's key was revoked."""
 
     @property
     def cost(self) -> float:
-        """Return what the request counts against its account's limit, 0 without one."""
+        """Return the cost charged to the account's limit, 0 without a limit."""
         if self.account is None or self.account.limit is None:
             return 0.0
         prompt = self.request.prompt
@@ -61,7 +61,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return what the request has in common with others of the same content."""
+        """Return the fingerprint that requests of the same content share."""
         request = self.request
         return fingerprint_of(
             request.account_name,
@@ -73,7 +73,7 @@
 
     @property
     def came_back(self) -> bool:
-        """Say whether the client asks again after a refusal: it has waited before."""
+        """Return whether the client is retrying after a refusal."""
         usual = self.request.arrived.instant + self.route.target_ms / 1000
         return self.target_by.instant < usual
 
@@ -89,9 +89,9 @@
 
 @dataclass(frozen=True)
 class StreamedAnswer:
-    """An endpoint's answer whose events are passed on as they come.
+    """An endpoint's answer whose events are relayed as they arrive.
 
-    Iterating ends with an exception when the stream ends before its end.
+    Iterating raises an exception if the stream breaks off before its regular end.
     """
 
     status: int
@@ -104,75 +104,75 @@
 
 @dataclass
 class Attempts:
-    """The sends of one request, for the budget, its bounds, and its log line."""
+    """The sends of one request, for the retry budget, the limits, and its log line."""
 
     started: Deadline = field(default_factory=lambda: Deadline.after(0))
     sends: int = 0
     latest_sent_at: Deadline = field(default_factory=lambda: Deadline.after(0))
-    """When the latest of them began."""
+    """When the latest send began."""
     answered_from: Deadline | None = None
-    """When its endpoint began to answer, None before that."""
+    """When the endpoint of the latest send began to answer, None before that."""
     runs: int = 0
-    """Sends that may have run."""
+    """Sends whose endpoint may have run the request."""
     tried: set[str] = field(default_factory=set)
-    """Starts of endpoints that are not to be asked again."""
-    trail: list[str] = field(default_factory=list)
-    """What became of each send, in order."""
+    """Starts of endpoints that must not be asked again."""
+    steps: list[str] = field(default_factory=list)
+    """The outcome of each send and other steps, in order."""
     last_error: EndpointError | None = None
     events: int = 0
-    """Pieces of a stream that were passed on."""
+    """Relayed pieces of a stream, each of one or more events."""
     longest_gap_ms: int = 0
-    """Longest pause between two of them."""
+    """Longest pause between two of these pieces."""
     granted_ms: int | None = None
-    """When it got its first grant at an engine, from its start."""
+    """Time from the start of the request to its first grant at an engine."""
     first_event_ms: int | None = None
-    """When its first event came, from its start."""
+    """Time from the start of the request to its first event."""
     wasted_prompt_tokens: int = 0
-    """Tokens of prompts that were read for engines which refused it."""
-    prompts_asked: int = 0
-    """Calls to engines to read the prompt for another one."""
-    prompt_error: EndpointError | None = None
-    """Why the latest of them brought nothing."""
+    """Prompt tokens prefilled for engines that then refused the request."""
+    prefill_calls: int = 0
+    """Calls to prefill engines for the prompt."""
+    prefill_error: EndpointError | None = None
+    """Why the latest of these calls failed, None if it did not."""
     charge_id: str = field(default_factory=lambda: token_hex(CHARGE_ID_BYTES))
-    """Names its charge at the leader: clients may give several requests one id."""
+    """Identifies its charge at the leader; request ids are not unique among clients."""
     is_charged: bool = False
-    """Whether its account's limit was charged, or it has none."""
+    """Whether the account's limit was charged, or the account has none."""
     spent_here: float = 0.0
-    """What this host let its account spend for it, without asking the leader."""
+    """Cost that this host charged to the account without asking the leader."""
     grants_asked: int = 0
-    """Grants that the leader was asked for."""
+    """Number of grants requested from the leader."""
     found_no_room: bool = False
-    """Whether engines were there and had no room while there was time."""
-    no_room_forecast: float = 0.0
-    """How long it was expected to wait for room then, in seconds."""
+    """Whether engines were usable but had no free capacity in time."""
+    capacity_wait_forecast: float = 0.0
+    """The forecast wait for capacity at that time, in seconds."""
 
     @property
     def answered_seconds(self) -> float:
-        """Return for how long the latest send has been answered."""
+        """Return for how long the endpoint has been answering the latest send."""
         return self.answered_from.overdue() if self.answered_from else 0.0
 
     @property
     def elapsed_ms(self) -> int:
-        """Return the milliseconds since the request came."""
+        """Return the milliseconds since the request arrived."""
         return int(self.started.overdue() * 1000)
 
     def note(self, start_id: str, outcome: str) -> None:
-        """Add a step to the trail, with the milliseconds since the request came."""
-        self.trail.append(f"{self.elapsed_ms} ms {start_id}: {outcome}")
+        """Add a step, with the milliseconds since the request arrived."""
+        self.steps.append(f"{self.elapsed_ms} ms {start_id}: {outcome}")
 
     def note_events(self, gap: float) -> None:
-        """Note a piece of a stream that came this many seconds after the last."""
+        """Record a piece of a stream that came this many seconds after the last."""
         self.events += 1
         self.longest_gap_ms = max(self.longest_gap_ms, int(gap * 1000))
 
     def note_no_room(self, outcome: str, forecast: float) -> None:
-        """Note that engines are there and have no room in time."""
+        """Record that engines are usable but have no free capacity in time."""
         self.note("-", f"{outcome}, forecast {forecast:.2f} s")
         self.found_no_room = True
-        self.no_room_forecast = forecast
+        self.capacity_wait_forecast = forecast
 
     def note_error(self, start_id: str, error: EndpointError) -> None:
-        """Note a send that brought no answer."""
+        """Record a send that brought no answer."""
         self.tried.add(start_id)
         self.last_error = error
         self.runs += error.may_have_run
@@ -180,37 +180,38 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Say whether any send may have run."""
+        """Return whether an endpoint may have run the request."""
         return self.runs > 0
 
 
 @dataclass(frozen=True)
 class RoomRequest:
-    """A request that needs room at an engine."""
+    """A request that needs capacity at an engine."""
 
     context: ForwardContext
     attempts: Attempts
     engine: EngineService
     prompt: PromptShape
     limit: Deadline
-    """Until when it waits for room."""
+    """Until when it waits for capacity."""
     reads_itself: bool
-    """Whether the engine that answers has to read the prompt, too."""
+    """Whether the decode engine has to prefill the prompt, too."""
     goes_first: bool = False
-    """Whether its answer broke off: its client has part of it, and leaves after a
-    pause, with which the engine's work so far would be lost."""
+    """Whether its answer broke off: the client has a part of it and leaves after a
+    pause, so that the engines' work so far would be lost."""
     check_backoff: Callable[[], None] = _always_accepted
     """Raises RequestRefusedError while all engines are in backoff."""
 
 
-# When a client should come back, in seconds: after a moment in which an endpoint comes
-# free, and after one in which endpoints that have just started announce themselves.
+# Retry-After in seconds if endpoints refused the request, within which an endpoint
+# becomes free, and if none is known, within which newly started ones announce
+# themselves.
 BUSY_RETRY_SECONDS = 0.3
 MISSING_RETRY_SECONDS = 0.7
 
 
 def refusal_of(attempts: Attempts, deadline: Deadline) -> RequestRefusedError:
-    """Return the refusal that is true of what was tried."""
+    """Return the refusal that applies to the attempts made so far."""
     error = attempts.last_error
     if not attempts.may_have_run:
         missing = error is None
@@ -218,7 +219,7 @@
             "no_endpoint" if missing else "endpoints_refused",
             "No endpoint of the service is usable."
             if missing
-            else "No endpoint took the request.",
+            else "No endpoint accepted the request.",
             status=503,
             retry_after=MISSING_RETRY_SECONDS if missing else BUSY_RETRY_SECONDS,
         )
--- a/src/jujubeslip/forwarding/_plain_path.py
+++ b/src/jujubeslip/forwarding/_plain_path.py
@@ -1,4 +1,4 @@
-"""Requests that are answered in one piece."""
+"""Forwards requests whose answer is read whole."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from jujubeslip.peers import EndpointRole
 
 SERVER_ERROR = 500
-# A repeatable request is sent elsewhere when no answer came in this many times its
-# target, in which nine of ten answers of a sound endpoint come twice over.
-PATIENCE_TARGETS = 2.0
+# A repeatable request is sent to another endpoint if no answer came within this many
+# times its target. Nine of ten answers of a healthy endpoint take at most half of that.
+RESEND_AFTER_TARGETS = 2.0
 
 
 class PlainPath:
@@ -31,14 +31,14 @@
                 break
             if not attempts.may_have_run:
                 context.check_account()
-            if not self._sending.within_limit(context, attempts, endpoint):
+            if not self._sending.charge_endpoint_limit(context, attempts, endpoint):
                 continue
             if not self._sending.may_send(context, attempts):
                 break
             try:
                 answer = self._send(context, attempts, endpoint)
             except EndpointError as error:
-                self._sending.note_lost(context, attempts, endpoint, error)
+                self._sending.note_request_error(context, attempts, endpoint, error)
                 continue
             if answer.status < SERVER_ERROR:
                 self._sending.health.note_success(endpoint.start_id)
@@ -50,7 +50,7 @@
         raise self._sending.refusal(context, attempts, EndpointRole.PLAIN)
 
     def _note_failed(self, attempts: Attempts, endpoint: Endpoint) -> None:
-        """Note an endpoint's own failure: the request has run."""
+        """Record a failure that the endpoint itself reported: the request has run."""
         attempts.runs += 1
         attempts.tried.add(endpoint.start_id)
         self._sending.health.note_failure(endpoint.start_id)
@@ -60,20 +60,20 @@
     ) -> WholeAnswer:
         deadline = self._deadline(context, attempts)
         call = EndpointCall(endpoint.endpoint_id, context.end_by.remaining_ms())
-        working = self._sending.health.working(endpoint.start_id)
-        with working, self._sending.exchange(context, endpoint) as exchange:
+        tracked = self._sending.health.track_request(endpoint.start_id)
+        with tracked, self._sending.exchange(context, endpoint) as exchange:
             head = exchange.call(call, deadline)
             body = exchange.read_rest()
         attempts.note(endpoint.start_id, str(head.status))
         return WholeAnswer(head.status, head.headers, body)
 
     def _deadline(self, context: ForwardContext, attempts: Attempts) -> Deadline:
-        """Return until when to wait: not for long while another may be asked."""
+        """Return how long to wait: less while another endpoint may still be asked."""
         route = context.route
         if not route.repeatable or attempts.runs + 1 >= route.maximum_attempts:
             return context.end_by
         if not self._sending.budgets.has_one(context.service_name):
-            # Left, it could not be sent to another one, and its answer would be lost.
+            # No budget for another send: giving up early would only lose this answer.
             return context.end_by
-        patience = Deadline.after(PATIENCE_TARGETS * route.target_ms / 1000)
-        return context.end_by.earlier_of(patience)
+        resend_at = Deadline.after(RESEND_AFTER_TARGETS * route.target_ms / 1000)
+        return context.end_by.earlier_of(resend_at)
--- a/src/jujubeslip/forwarding/_prompts.py
+++ b/src/jujubeslip/forwarding/_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts that one engine reads for another."""
+"""Prefill of prompts at prefill engines, for the decode engines that answer."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
 
-# How long an engine may take to read a prompt for another one, in seconds: some ten
-# times what the longest prompts take. After that the answering engine reads it itself.
+# Timeout of a prefill of unknown duration, in seconds: about ten times what the longest
+# prompts take. After that the decode engine prefills the prompt itself.
 PREFILL_SECONDS = 1.5
-# Where the leader says how long reading should take, an engine may take so many times
-# as long, and this long at least, in seconds: of 12,000 prompts one in a thousand took
-# half a second. An engine that has stopped answering costs no request all its time.
-EXPECTED_TIMES = 3.0
-LEAST_SECONDS = 0.6
-# Engines that are asked to read one prompt at most.
-ENGINES_ASKED = 2
-# Errors for which a reader is not passed over: it is by then, or has read the prompt.
-_SAYS_NOTHING_OF_LATER = (
+# If the leader gave the expected duration of the prefill, the timeout is this multiple
+# of it, and at least the minimum, in seconds: of 12,000 prompts one in a thousand took
+# half a second. An engine that has stopped answering thus costs a request only part of
+# its time.
+EXPECTED_TIME_FACTOR = 3.0
+MINIMUM_SECONDS = 0.6
+# Maximum prefill calls for one prompt.
+MAXIMUM_ENGINES = 2
+# Errors after which a prefill engine is not skipped here: it is skipped already, or it
+# has prefilled the prompt.
+_ERRORS_WITHOUT_SKIP = (
     EndpointUnreachableError,
     EndpointOnHoldError,
     AnswerCutError,
@@ -41,148 +43,163 @@
 
 
 @dataclass(frozen=True)
-class PromptPlace:
-    """Where a prompt is that was read ahead."""
+class PromptLocation:
+    """Where the KV cache of a prefilled prompt is."""
 
-    reader: Endpoint | None = None
-    """The start of the engine that has it, None where none has."""
+    prefill_engine: Endpoint | None = None
+    """The start of the engine that has it, None if no engine has."""
     handle: str = ""
-    """The engine's name for it."""
+    """The handle under which the engine holds it."""
 
     @property
     def location(self) -> str:
-        """Return what the engine that answers is told, empty where nobody has it."""
-        return f"{self.reader.address}/{self.handle}" if self.reader else ""
+        """Return the location sent to the decode engine, empty if no engine has it."""
+        return (
+            f"{self.prefill_engine.address}/{self.handle}"
+            if self.prefill_engine
+            else ""
+        )
 
 
-NOT_READ = PromptPlace()
+NOT_PREFILLED = PromptLocation()
 
 
 class PromptReader:
-    """Has prompts read by the engines that only do that."""
+    """Has prompts prefilled by the service's prefill engines."""
 
     def __init__(
-        self, sending: Sending, reads_apart: bool, pressures: Pressures
+        self, sending: Sending, uses_prefill_engines: bool, pressures: Pressures
     ) -> None:
         self._sending = sending
-        self._reads_apart = reads_apart
+        self._uses_prefill_engines = uses_prefill_engines
         self._pressures = pressures
 
-    def read(
+    def prefill(
         self,
         context: ForwardContext,
         attempts: Attempts,
-        reader: Endpoint | None = None,
+        prefill_engine: Endpoint | None = None,
         read_seconds: float = 0.0,
-    ) -> PromptPlace:
-        """Have an engine read the prompt; return where it is, NOT_READ if it isn't.
+    ) -> PromptLocation:
+        """Have an engine prefill the prompt; return its location or NOT_PREFILLED.
 
-        `reader` is asked where it is given, and should need `read_seconds`. Otherwise
-        some engine is, and a second one if the first does not read it. An engine that
-        answers can read the prompt itself, but all its answers stand still meanwhile.
+        If `prefill_engine` is given, it is asked and expected to need `read_seconds`.
+        Otherwise this host chooses an engine, and a second one if the first fails. A
+        decode engine can prefill the prompt itself, but all its other streams stall
+        meanwhile.
         """
-        if not self._reads_apart or context.request.prompt is None:
-            return NOT_READ
-        if reader is not None:
-            return self._read_at_granted(context, attempts, reader, read_seconds)
+        if not self._uses_prefill_engines or context.request.prompt is None:
+            return NOT_PREFILLED
+        if prefill_engine is not None:
+            return self._prefill_at_granted(
+                context, attempts, prefill_engine, read_seconds
+            )
         while self.may_ask(context, attempts):
             endpoint = self._choose(context)
             if endpoint is None:
                 break
-            place = self._read_at(context, attempts, endpoint, _limit(0.0))
-            if place != NOT_READ:
-                return place
-        return NOT_READ
+            location = self._prefill_at(
+                context, attempts, endpoint, _prefill_deadline(0.0)
+            )
+            if location != NOT_PREFILLED:
+                return location
+        return NOT_PREFILLED
 
     def may_ask(self, context: ForwardContext, attempts: Attempts) -> bool:
-        """Say whether an engine may be asked to read the prompt, or one more.
+        """Return whether a prefill engine may be asked, or asked again.
 
-        The first call is free; a further one needs the budget for it.
+        The first call is free; a further one needs retry budget.
         """
-        if not attempts.prompts_asked:
+        if not attempts.prefill_calls:
             return True
-        if attempts.prompts_asked >= ENGINES_ASKED:
+        if attempts.prefill_calls >= MAXIMUM_ENGINES:
             return False
         return self._sending.budgets.has_one(context.service_name)
 
-    def is_lost(self, place: PromptPlace) -> bool:
-        """Say whether the engine that read the prompt has started again since.
+    def is_lost(self, location: PromptLocation) -> bool:
+        """Return whether the engine that prefilled the prompt has restarted since.
 
-        The memory ended with the earlier start. The next one names what it keeps anew:
-        by the same handle, the answer would be made from another request's prompt, and
-        no engine checks whose it is.
+        The KV cache ended with the earlier start. The next start numbers its handles
+        anew: the same handle may name another request's prompt, from which the answer
+        would then be made, because no engine checks whose prompt it is.
         """
-        reader = place.reader
-        return reader is not None and self._sending.chooser.is_over(reader)
+        prefill_engine = location.prefill_engine
+        return prefill_engine is not None and self._sending.chooser.is_over(
+            prefill_engine
+        )
 
-    def _read_at_granted(
+    def _prefill_at_granted(
         self,
         context: ForwardContext,
         attempts: Attempts,
-        reader: Endpoint,
+        prefill_engine: Endpoint,
         read_seconds: float,
-    ) -> PromptPlace:
+    ) -> PromptLocation:
         """Have this reader read the prompt; ask again where its answer was cut.
 
         It has read the prompt then, and still has it.
         """
-        place = self._read_at(context, attempts, reader, _limit(read_seconds))
-        was_cut = isinstance(attempts.prompt_error, AnswerCutError)
-        if place == NOT_READ and was_cut and self.may_ask(context, attempts):
-            return self._read_at(context, attempts, reader, _limit(read_seconds))
-        return place
+        location = self._prefill_at(
+            context, attempts, prefill_engine, _prefill_deadline(read_seconds)
+        )
+        was_cut = isinstance(attempts.prefill_error, AnswerCutError)
+        if location == NOT_PREFILLED and was_cut and self.may_ask(context, attempts):
+            return self._prefill_at(
+                context, attempts, prefill_engine, _prefill_deadline(read_seconds)
+            )
+        return location
 
     def _choose(self, context: ForwardContext) -> Endpoint | None:
         chooser = self._sending.chooser
-        return chooser.choose_sound(context.service_name, EndpointRole.PREFILL)
+        return chooser.choose_healthy(context.service_name, EndpointRole.PREFILL)
 
-    def _read_at(
+    def _prefill_at(
         self,
         context: ForwardContext,
         attempts: Attempts,
         endpoint: Endpoint,
         limit: Deadline,
-    ) -> PromptPlace:
-        """Have this engine read the prompt; return NOT_READ if it doesn't."""
-        attempts.prompt_error = None
+    ) -> PromptLocation:
+        """Have this engine prefill the prompt; return NOT_PREFILLED if it does not."""
+        attempts.prefill_error = None
         if self._sending.is_on_hold(attempts, endpoint):
-            return NOT_READ
-        attempts.prompts_asked += 1
-        if not self._sending.within_limit(context, attempts, endpoint):
-            return NOT_READ
+            return NOT_PREFILLED
+        attempts.prefill_calls += 1
+        if not self._sending.charge_endpoint_limit(context, attempts, endpoint):
+            return NOT_PREFILLED
         started = steady_seconds()
         try:
             handle = self._ask(context, endpoint, limit)
         except EndpointError as error:
-            attempts.prompt_error = error
-            self._note_unread(context, attempts, endpoint, error, started)
-            return NOT_READ
+            attempts.prefill_error = error
+            self._note_prefill_error(context, attempts, endpoint, error, started)
+            return NOT_PREFILLED
         finally:
             taken = steady_seconds() - started
             self._pressures.note_prompt(context.service_name, taken)
         self._sending.health.note_success(endpoint.start_id)
         attempts.note(endpoint.start_id, "prompt read")
-        return PromptPlace(endpoint, handle)
+        return PromptLocation(endpoint, handle)
 
     def _ask(self, context: ForwardContext, endpoint: Endpoint, limit: Deadline) -> str:
-        """Return the handle of the prompt that the endpoint has read."""
+        """Return the handle of the prompt that the endpoint has prefilled."""
         remaining = context.end_by.remaining_ms()
         call = EndpointCall(endpoint.endpoint_id, remaining, reads_prompt_only=True)
         deadline = context.end_by.earlier_of(limit)
-        working = self._sending.health.working(endpoint.start_id)
-        with working, self._sending.exchange(context, endpoint) as exchange:
+        tracked = self._sending.health.track_request(endpoint.start_id)
+        with tracked, self._sending.exchange(context, endpoint) as exchange:
             head = exchange.call(call, deadline)
             body = exchange.read_rest()
         if head.status not in SUCCESS:
             raise EndpointAnswerError(
-                f"{endpoint.address}: the prompt was not read: {head.status}."
+                f"{endpoint.address}: prefill failed with status {head.status}."
             )
         prefilled = self._sending.interface.read_prefilled(body)
         if isinstance(prefilled, Failure):
             raise EndpointAnswerError(f"{endpoint.address}: {prefilled.failure()}")
         return prefilled.unwrap().handle
 
-    def _note_unread(
+    def _note_prefill_error(
         self,
         context: ForwardContext,
         attempts: Attempts,
@@ -190,22 +207,22 @@
         error: EndpointError,
         asked_at: float,
     ) -> None:
-        """Note that a prompt was not read: that is no run of the request.
+        """Record a failed prefill, which does not count as a run of the request.
 
-        Only the first call that an engine accepts is free: others count for the
-        budget. The engine is passed over for a while, so that another one is asked. One
-        whose answer was cut has read the prompt and still has it: ask it again.
+        Only the first call that an engine accepts is free: others are charged to the
+        retry budget. The engine is skipped for a while, so that another one is asked,
+        unless its answer was cut: it has prefilled the prompt then and still has it.
         """
         self._sending.budgets.charge(context.service_name)
         call = Attempts(latest_sent_at=Deadline(asked_at))
-        self._sending.note_lost(context, call, endpoint, error)
-        if not isinstance(error, _SAYS_NOTHING_OF_LATER):
+        self._sending.note_request_error(context, call, endpoint, error)
+        if not isinstance(error, _ERRORS_WITHOUT_SKIP):
             self._sending.health.note_unreachable(endpoint.start_id)
         attempts.note(endpoint.start_id, f"prompt not read, {error.error_id}")
 
 
-def _limit(read_seconds: float) -> Deadline:
-    """Return until when an engine may take that should need so long; 0 if unknown."""
+def _prefill_deadline(read_seconds: float) -> Deadline:
+    """Return the prefill deadline for an expected duration, 0 if that is unknown."""
     if not read_seconds:
         return Deadline.after(PREFILL_SECONDS)
-    return Deadline.after(max(LEAST_SECONDS, EXPECTED_TIMES * read_seconds))
+    return Deadline.after(max(MINIMUM_SECONDS, EXPECTED_TIME_FACTOR * read_seconds))
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -1,8 +1,8 @@
-"""A slot and memory at the engine that is to answer, before the prompt is read.
+"""Reserves a slot and memory at a decode engine before the prompt is prefilled.
 
-The engines' memory is what runs out first. A prompt that was read for an engine which
-has no room is read in vain, and a request that is let in without room pushes another
-one out in the middle of its answer, whose prompt is then read again.
+The engines' memory is the resource that runs out first. Prefilling a prompt for an
+engine without free capacity is wasted work, and a request admitted without capacity
+evicts another one in the middle of its answer, whose prompt is then prefilled again.
 """
 
 from __future__ import annotations
@@ -20,32 +20,33 @@
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.forwarding._sending import Sending
-from jujubeslip.forwarding._waiting import Waiting
+from jujubeslip.forwarding._waiting import WaitingQueue
 from jujubeslip.kernel import Deadline, Ran
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineService, PromptShape
 
 logger = logging.getLogger(__name__)
 
-# How long an engine may take to answer, in seconds. It needs a millisecond or two; one
-# beyond a network partition takes all of it, and a stream has 0.9 to its first event.
+# Timeout of a question to an engine, in seconds. An engine needs a millisecond or two;
+# one behind a network partition takes all of it, and a stream has 0.9 s until its first
+# event is due.
 ANSWER_SECONDS = 0.2
-# Between two rounds over the engines while all are full, in seconds.
-PAUSE_SECONDS = 0.05
-# Engines that are asked in one round.
-ENGINES_A_ROUND = 3
+# Pause between two rounds over the engines while all are full, in seconds.
+ROUND_PAUSE_SECONDS = 0.05
+# Maximum engines asked in one round.
+ENGINES_PER_ROUND = 3
 
 
 @dataclass(frozen=True)
 class Reservation:
-    """Room at an engine, by the engine's name for it."""
+    """Reserved capacity at an engine, with the token that the engine gave for it."""
 
     endpoint: Endpoint
     token: str
 
 
 class Reservations:
-    """Takes reservations for requests, in order, until there is room."""
+    """Takes reservations for requests, in the order of their queue."""
 
     def __init__(
         self, sending: Sending, options: MemoryOptions, availability_zone: str
@@ -54,7 +55,7 @@
         self._availability_zone = availability_zone
         self._options = options
         self._reports = EngineReports(sending)
-        self._waiting_by_service: dict[str, Waiting] = {}
+        self._queue_by_service: dict[str, WaitingQueue] = {}
         self._lock = threading.Lock()
 
     def take(
@@ -65,24 +66,24 @@
         prompt: PromptShape,
         limit: Deadline,
     ) -> Reservation | None:
-        """Return room for the request, None if there is none before the limit.
+        """Return a reservation, None if there is no capacity before the limit.
 
         Raises RequestRefusedError once all engines are in backoff.
         """
-        waiting = self._waiting_for(context.service_name)
-        forecast = waiting.forecast(context)
+        queue = self._queue_for(context.service_name)
+        forecast = queue.forecast(context)
         if waits_in_vain(forecast, limit.remaining()):
-            # Told at once: held until then, it would be refused all the same.
+            # Refused at once: waiting until the limit would only delay the refusal.
             attempts.note_no_room("no room in time", forecast)
             return None
-        with waiting.place(context) as place:
-            while waiting.wait_for_turn(place, context, limit):
+        with queue.enter(context) as ticket:
+            while queue.wait_for_turn(ticket, context, limit):
                 self._sending.check_backoff(context, attempts, EndpointRole.DECODE)
                 if self._has_no_engine(context, attempts):
                     return None
                 found = self._ask_round(context, attempts, engine, prompt)
                 if found is not None:
-                    waiting.note_room()
+                    queue.note_capacity_found()
                     attempts.note(found.endpoint.start_id, "room")
                     return found
                 if limit.expired:
@@ -94,15 +95,16 @@
         attempts.note_no_room("no room in time", forecast)
         return None
 
-    def _waiting_for(self, service_name: str) -> Waiting:
+    def _queue_for(self, service_name: str) -> WaitingQueue:
         with self._lock:
-            return self._waiting_by_service.setdefault(service_name, Waiting())
+            return self._queue_by_service.setdefault(service_name, WaitingQueue())
 
     def release(self, context: ForwardContext, reservation: Reservation) -> None:
-        """Give back what was reserved.
+        """Release the reservation at its engine.
 
-        What a start held ended with it. The next one at its address counts its
-        reservations anew, and the same name may be that of another request's.
+        Reservations end with the start of the engine that gave them. The next start at
+        the same address numbers its reservations anew, so the same token may belong to
+        another request.
         """
         endpoint = reservation.endpoint
         if self._sending.chooser.is_over(endpoint):
@@ -111,23 +113,23 @@
             endpoint.endpoint_id, reservation.token
         )
         try:
-            # Also for a caller who is gone.
+            # Sent even if the client has disconnected.
             self._sending.ask(endpoint, question, Deadline.after(ANSWER_SECONDS))
         except EndpointError as error:
-            # It lapses by itself; until then the engine has less room for others.
+            # It expires by itself; until then the engine has less capacity for others.
             extra = {
                 "request_id": context.request.request_id,
                 "endpoint_id": endpoint.endpoint_id,
                 "error": str(error),
             }
-            logger.info("reservation not given back", extra=extra)
+            logger.info("reservation not released", extra=extra)
 
     def _has_no_engine(self, context: ForwardContext, attempts: Attempts) -> bool:
         role = EndpointRole.DECODE
         return self._sending.choose(context, role, attempts.tried) is None
 
     def _pause(self) -> None:
-        threading.Event().wait(PAUSE_SECONDS)
+        threading.Event().wait(ROUND_PAUSE_SECONDS)
 
     def _ask_round(
         self,
@@ -137,7 +139,7 @@
         prompt: PromptShape,
     ) -> Reservation | None:
         asked = set(attempts.tried)
-        for _ in range(ENGINES_A_ROUND):
+        for _ in range(ENGINES_PER_ROUND):
             endpoint = self._next_engine(context, asked)
             if endpoint is None:
                 return None
@@ -145,7 +147,7 @@
             was_paused = self._sending.health.is_paused(endpoint.start_id)
             growth = self._growth(context, endpoint, engine, prompt)
             if not was_paused and self._sending.health.is_paused(endpoint.start_id):
-                # It gave no report just now; asked for room, it would be as silent.
+                # It just failed to report its state, so a reservation would fail, too.
                 continue
             tokens = prompt.prompt_tokens + growth
             token = self._ask(context, endpoint, tokens, engine.reservation_ms)
@@ -158,12 +160,12 @@
     ) -> Endpoint | None:
         """Return the engine to ask next, None if all were asked.
 
-        Those of this host's availability zone come first. A host decides by itself
-        mostly since the leader's zone was cut off from its own: engines beyond the
-        border are silent, each for the whole time that an answer may take.
+        Engines of this host's availability zone come first. A host decides by itself
+        mostly because the leader's zone is partitioned from its own: engines of other
+        zones are then silent, and each costs the whole timeout.
         """
         role, chooser = EndpointRole.DECODE, self._sending.chooser
-        near = chooser.choose_near(
+        near = chooser.choose_in_zone(
             context.service_name, role, asked, self._availability_zone
         )
         return near or self._sending.choose(context, role, asked)
@@ -175,7 +177,7 @@
         engine: EngineService,
         prompt: PromptShape,
     ) -> int:
-        """Return what all answers of the engine will grow by, with this one."""
+        """Return the growth of all the engine's answers, with this one, in tokens."""
         longest = max(1, prompt.maximum_output_tokens // engine.event_tokens)
         report = self._reports.get(context, endpoint)
         if report is None:
@@ -187,7 +189,7 @@
     def _ask(
         self, context: ForwardContext, endpoint: Endpoint, tokens: int, ttl_ms: int
     ) -> str:
-        """Return the reservation's name, nothing where the engine has no room."""
+        """Return the reservation's token, empty if the engine has no free capacity."""
         question = self._sending.interface.reserve(endpoint.endpoint_id, tokens, ttl_ms)
         try:
             status, body = self._sending.ask(
@@ -208,7 +210,7 @@
             if isinstance(read, Success):
                 return read.unwrap()
             extra["problem"] = read.failure()
-            logger.info("reservation not usable", extra=extra)
+            logger.info("reservation reply of the engine is invalid", extra=extra)
             return ""
-        logger.info("no room at the engine", extra=extra)
+        logger.info("engine refused the reservation", extra=extra)
         return ""
--- a/src/jujubeslip/forwarding/_return_times.py
+++ b/src/jujubeslip/forwarding/_return_times.py
@@ -1,31 +1,32 @@
-"""When a client should come back whose request found no room.
+"""Retry-After times of requests that found no free capacity.
 
-The load that this answers: a burst refuses dozens of requests within a tenth of a
-second. Told the same time, their clients come back together, find the queue as long as
-before, and are refused again.
+In a burst, dozens of requests are refused within a tenth of a second. If all got the
+same time, their clients would retry together, find the queue as long as before, and be
+refused again.
 """
 
 from __future__ import annotations
 
 import random
 
-# The earliest return, in seconds: as long as an answer takes, so that the room of all
-# that run now is free by then. A client that has lost more of its time than its own
-# patience explains is known to have asked before.
-LEAST_SECONDS = 3.5
-# The latest one, in seconds: a client has fourteen for a summary, and heeds a third of
-# what it has left.
-MOST_SECONDS = 4.5
-# How far the times told at one moment are spread, as a share of them.
+# Minimum before spreading, in seconds: the duration of an answer, so that the capacity
+# used by all running requests is free by then. It is also long enough that the time
+# missing from the client's deadline shows the retry, beyond what its own timeout
+# explains.
+MINIMUM_SECONDS = 3.5
+# Maximum before spreading, in seconds: a client has fourteen for a long stream, and
+# waits at most a third of the time that it has left.
+MAXIMUM_SECONDS = 4.5
+# Spread of the times around their middle, as a share of it.
 SPREAD_SHARE = 0.2
 
 
-def return_seconds(forecast: float, lot: float | None = None) -> float:
-    """Return the seconds to tell a client that was expected to wait `forecast` seconds.
+def return_seconds(forecast: float, position: float | None = None) -> float:
+    """Return the Retry-After seconds of a request that was forecast to wait so long.
 
-    By then as many requests as stood before it have found room. `lot` is a number
-    between 0 and 1 that places it within the spread, drawn if it isn't given.
+    By then the requests that were queued before it have found capacity. `position`,
+    between 0 and 1, is its place within the spread, random if it is not given.
     """
-    drawn = random.random() if lot is None else lot
-    middle = min(MOST_SECONDS, max(LEAST_SECONDS, forecast))
+    drawn = random.random() if position is None else position
+    middle = min(MAXIMUM_SECONDS, max(MINIMUM_SECONDS, forecast))
     return middle * (1 + SPREAD_SHARE * (2 * drawn - 1))
--- a/src/jujubeslip/forwarding/_sending.py
+++ b/src/jujubeslip/forwarding/_sending.py
@@ -1,4 +1,4 @@
-"""What all paths share: choosing an endpoint, the budget, what a failure says."""
+"""Common to all request paths: endpoint choice, limits, retry budget, and errors."""
 
 from __future__ import annotations
 
@@ -36,21 +36,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Sends of one request at most, those that endpoints refused included: more would only
-# spend the budget that other requests need.
+# Maximum sends of one request, including those that endpoints refused: more would only
+# spend the retry budget that other requests need.
 MAXIMUM_SENDS = 4
-# The least that a client is told to stay away for an endpoint's limit, in seconds.
-LEAST_RETRY_SECONDS = 0.1
-# How far the clients that are told of a backoff are spread behind its end, in seconds.
+# Minimum Retry-After for a request refused by an endpoint's limit, in seconds.
+MINIMUM_RETRY_SECONDS = 0.1
+# Retry-After times of clients refused during a backoff are spread over this many
+# seconds after its end.
 BACKOFF_SPREAD_SECONDS = 0.5
 
-# Starts that one log line names at most.
+# Maximum start ids in one log line.
 LISTED_STARTS = 8
 
 
 @dataclass(frozen=True)
 class Sending:
-    """Sends requests to endpoints and learns from what comes of it."""
+    """Sends requests to endpoints and records the outcomes for later choices."""
 
     interface: Interface
     pool: ConnectionPool
@@ -63,17 +64,17 @@
 
     @property
     def notices(self) -> EndpointNotices:
-        """Return what endpoints have said of themselves."""
+        """Return the notices that endpoints have given about themselves."""
         return self.limits.notices
 
     def choose(
         self, context: ForwardContext, role: EndpointRole, excluded: Collection[str]
     ) -> Endpoint | None:
-        """Return an endpoint for the request, None without a usable one."""
+        """Return an endpoint for the request, None if none is usable."""
         return self.chooser.choose(context.service_name, role, excluded)
 
     def exchange(self, context: ForwardContext, endpoint: Endpoint) -> Exchange:
-        """Return a call to the endpoint, to be used as a context."""
+        """Return an exchange with the endpoint, to be used as a context manager."""
         return Exchange(
             self.pool,
             self.interface,
@@ -90,7 +91,7 @@
         deadline: Deadline,
         gone: Interrupted = never_interrupted,
     ) -> tuple[int, bytes]:
-        """Ask the endpoint something that is no request; return status and body."""
+        """Send the endpoint a question of this host; return status and body."""
         return ask_endpoint(
             self.pool,
             self.interface,
@@ -101,12 +102,12 @@
             gone,
         )
 
-    def within_limit(
+    def charge_endpoint_limit(
         self, context: ForwardContext, attempts: Attempts, endpoint: Endpoint
     ) -> bool:
-        """Charge a send to an endpoint with a limit; say whether it may go.
+        """Charge a send against the endpoint's limit; return whether it is allowed.
 
-        It may not to an endpoint that is in backoff or leaves, whatever its limit.
+        It is never allowed while the endpoint is in backoff or leaving.
         """
         if self.is_on_hold(attempts, endpoint):
             return False
@@ -116,7 +117,7 @@
         return wait == 0
 
     def is_on_hold(self, attempts: Attempts, endpoint: Endpoint) -> bool:
-        """Say whether an endpoint that was chosen is in backoff or leaves by now."""
+        """Return whether the chosen endpoint is in backoff or leaving by now."""
         hold = self.notices.hold_of(endpoint.start_id)
         if hold is not None:
             attempts.note(endpoint.start_id, f"on hold, {hold.reason.value}")
@@ -125,10 +126,10 @@
     def refusal(
         self, context: ForwardContext, attempts: Attempts, role: EndpointRole
     ) -> RequestRefusedError:
-        """Return the refusal that is true of what was tried.
+        """Return the refusal that applies to the attempts made so far.
 
-        Where an endpoint was tried and refused, it may take the request in a moment:
-        the client need not wait until others are held no more.
+        An endpoint that refused the request may accept it a moment later, so the client
+        need not wait until the holds of other endpoints end.
         """
         holds = self.chooser.holds(context.service_name, role)
         first = holds.first_to_end
@@ -137,26 +138,26 @@
             return refusal_of(attempts, context.end_by)
         if was_refused and not holds.cover_all:
             return refusal_of(attempts, context.end_by)
-        return _refusal_until(context, holds, first)
+        return _hold_refusal(context, holds, first)
 
     def check_backoff(
         self, context: ForwardContext, attempts: Attempts, role: EndpointRole
     ) -> None:
-        """Raise the refusal of a request that has not run while all are in backoff.
+        """Refuse a request that has not run while all endpoints are in backoff.
 
-        Limits leave room within moments; a backoff lasts for seconds.
+        Endpoint limits free capacity within moments, but a backoff lasts for seconds.
         """
         if attempts.may_have_run:
             return
         holds = self.chooser.holds(context.service_name, role)
         first = holds.first_to_end if holds.cover_all else None
         if first is not None and first.reason is HoldReason.BACKOFF:
-            raise _refusal_until(context, holds, first)
+            raise _hold_refusal(context, holds, first)
 
     def may_send(self, context: ForwardContext, attempts: Attempts) -> bool:
-        """Count one more send; say whether the bounds and the budget allow it.
+        """Return whether limits and retry budget allow one more send, and count it.
 
-        Raises RequestRefusedError where the request has not run and is quarantined.
+        Raises RequestRefusedError if the request has not run and is quarantined.
         """
         if not attempts.may_have_run:
             self.quarantine.check(context)
@@ -173,10 +174,10 @@
         return True
 
     def is_open(self, context: ForwardContext, attempts: Attempts) -> bool:
-        """Say whether the bounds of the route allow one more send.
+        """Return whether the route's limits allow one more send.
 
-        Asked before anything is waited for: a request that can't be sent again is
-        answered at once.
+        Callers check this before they wait for anything, so that a request that must
+        not be sent again is answered at once.
         """
         if attempts.sends == 0:
             return True
@@ -188,14 +189,14 @@
             return False
         return attempts.runs < context.route.maximum_attempts
 
-    def note_lost(
+    def note_request_error(
         self,
         context: ForwardContext,
         attempts: Attempts,
         endpoint: Endpoint,
         error: EndpointError,
     ) -> None:
-        """Learn from a request that an endpoint may have run without an answer."""
+        """Record that a request to an endpoint, which may have run it, failed."""
         if isinstance(error, AnswerCutError):
             self.crashes.note_cut(context, attempts, endpoint)
         self.note_error(attempts, endpoint, error)
@@ -203,14 +204,14 @@
     def note_error(
         self, attempts: Attempts, endpoint: Endpoint, error: EndpointError
     ) -> None:
-        """Learn from a call to an endpoint that brought no answer."""
+        """Record that a call to an endpoint brought no answer."""
         attempts.note_error(endpoint.start_id, error)
         if isinstance(error, EndpointUnreachableError):
             self.health.note_unreachable(endpoint.start_id)
         elif isinstance(error, EndpointReplacedError):
             self.health.note_replaced(endpoint.start_id)
         elif isinstance(error, EndpointRoleError):
-            # Its next announcement tells the new role.
+            # Its next announcement reports the new role.
             self.health.note_unreachable(endpoint.start_id)
         elif not isinstance(error, EndpointRefusedError | EndpointOnHoldError):
             self.health.note_failure(endpoint.start_id)
@@ -218,15 +219,18 @@
                 self.health.note_unreachable(endpoint.start_id)
 
 
-def _refusal_until(
+def _hold_refusal(
     context: ForwardContext, holds: ServiceHolds, first: Hold
 ) -> RequestRefusedError:
-    """Return the refusal while endpoints are on hold, the first of them until then."""
-    wait = max(LEAST_RETRY_SECONDS, first.until.remaining())
+    """Return the refusal of a request while endpoints are on hold.
+
+    `first` is the hold that ends first.
+    """
+    wait = max(MINIMUM_RETRY_SECONDS, first.until.remaining())
     if first.reason is HoldReason.LIMIT:
         return RequestRefusedError(
             "endpoint_limit",
-            "The endpoints take no more requests now, by the limits that they named.",
+            "The endpoints accept no more requests now, by the limits that they named.",
             retry_after=wait,
         )
     extra = {
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -1,4 +1,4 @@
-"""A request from its route to its answer."""
+"""Handles one forwarded request: its route, its context, its path, its log line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from jujubeslip.forwarding._identification import check_account, identify
 from jujubeslip.forwarding._meters import ForwardMeters
 from jujubeslip.forwarding._models import (
-    CAME_BACK_SHARE,
+    CLIENT_RETRY_SHARE,
     Answer,
     Attempts,
     ForwardContext,
@@ -34,18 +34,19 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a request waits for the configuration of a host that has just started, in
-# seconds: control hosts that started with it have a leader by then. Most clients come
-# back once, and would meet a host that is no further.
+# How long a request waits for the first configuration of a newly started host, in
+# seconds: control hosts that started at the same time have elected a leader by then.
+# Most clients retry only once, and would find a host that still has no configuration.
 CONFIGURATION_SECONDS = 1.0
-# At most this share of its client's time, so that enough is left for the answer.
+# The wait takes at most this share of the client's timeout, so that enough is left for
+# the answer.
 CONFIGURATION_SHARE = 1 / 3
-# When a client should come back whose request has waited in vain, in seconds.
+# Retry-After of a request that is refused because no configuration arrived, in seconds.
 NO_CONFIGURATION_RETRY_SECONDS = 1.0
 
 
 class ForwardService:
-    """Finds the route, sends the request on its path, and logs what became of it."""
+    """Finds the route, forwards the request on its path, and logs the outcome."""
 
     def __init__(
         self,
@@ -113,7 +114,7 @@
             table=table,
             route=route,
             service_name=_draw_service(route),
-            end_by=_end_of(request, route),
+            end_by=_end_deadline(request, route),
             gone=gone,
             target_by=target_of(request, route),
             account=account,
@@ -123,7 +124,7 @@
         )
 
     def _table_for(self, request: ForwardedRequest) -> RouteTable:
-        """Return the routes in force; a host that has just started gets them soon."""
+        """Return the routes in force, waiting for them on a newly started host."""
         table = self._routes.table
         if table is not None:
             return table
@@ -172,7 +173,7 @@
                 "service": context.service_name,
                 "outcome": outcome,
                 "ran": _ran(attempts, outcome),
-                "sends": attempts.trail,
+                "sends": attempts.steps,
                 "duration_ms": int((steady_seconds() - started.instant) * 1000),
                 "granted_ms": attempts.granted_ms,
                 "first_event_ms": attempts.first_event_ms,
@@ -190,7 +191,7 @@
 
 
 def _client_waits_ms(request: ForwardedRequest) -> int | None:
-    """Return how long the client said that it would wait, None if it didn't."""
+    """Return the client timeout that the request named, None if it named none."""
     if request.client_deadline is None:
         return None
     return int((request.client_deadline.instant - request.arrived.instant) * 1000)
@@ -200,13 +201,13 @@
     """Return whether an endpoint ran the request, as far as this host can know."""
     if outcome in ("whole", "left") or outcome.isdigit():
         return "yes"
-    # A client that leaves while its request is at an endpoint: that may have run it.
+    # The client disconnected after a send: the endpoint may have run the request.
     left_midway = outcome == CallerGoneError.error_id and attempts.sends > 0
     return "unknown" if attempts.may_have_run or left_midway else "no"
 
 
 def _draw_service(route: Route) -> str:
-    """Return one of the route's services by lot, in proportion to the weights."""
+    """Return one of the route's services at random, in proportion to the weights."""
     if len(route.shares) == 1:
         return route.shares[0].service_name
     names = [share.service_name for share in route.shares]
@@ -215,24 +216,24 @@
 
 
 def target_of(request: ForwardedRequest, route: Route) -> Deadline:
-    """Return until when the answer is in time, counted from the client's first try.
+    """Return when the answer is due, counted from the client's first try.
 
-    A client that comes back after a refusal says how much time it has left of the
-    route's timeout: what is missing has passed since it asked first. A little that is
-    missing is the client's own patience.
+    The deadline of a client that retries after a refusal shows how much of the route's
+    timeout is left; the missing time has passed since its first try. A small difference
+    means only that the client's own timeout is shorter than the route's.
     """
     target = Deadline(request.arrived.instant + route.target_ms / 1000)
     if request.client_deadline is None:
         return target
     left = request.client_deadline.instant - request.arrived.instant
     missing = route.timeout_ms / 1000 - left
-    if missing <= CAME_BACK_SHARE * route.timeout_ms / 1000:
+    if missing <= CLIENT_RETRY_SHARE * route.timeout_ms / 1000:
         return target
     return Deadline(target.instant - missing)
 
 
-def _end_of(request: ForwardedRequest, route: Route) -> Deadline:
-    """Return when the client gives up or the route's timeout ends, what is earlier."""
+def _end_deadline(request: ForwardedRequest, route: Route) -> Deadline:
+    """Return the client's deadline or the end of the route's timeout, if earlier."""
     limit = Deadline(request.arrived.instant + route.timeout_ms / 1000)
     if request.client_deadline is None:
         return limit
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -1,4 +1,4 @@
-"""Requests to engines: room, the prompt, then the answer that streams."""
+"""Forwards streamed requests: obtains a grant, prefills the prompt, streams events."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     StreamedAnswer,
     WholeAnswer,
 )
-from jujubeslip.forwarding._prompts import NOT_READ, PromptPlace, PromptReader
+from jujubeslip.forwarding._prompts import NOT_PREFILLED, PromptLocation, PromptReader
 from jujubeslip.forwarding._return_times import return_seconds
 from jujubeslip.forwarding._sending import Sending
 from jujubeslip.interfaces import EndpointCall, EndpointHead
@@ -38,26 +38,27 @@
 )
 from jujubeslip.peers import EndpointRole
 
-# Share of the pause that its client bears for which an engine may be silent before
-# another one goes on with a stream that may be resumed. An engine that reads a prompt
-# again is silent for a second or two; what is left is enough to start elsewhere.
+# Share of the client's maximum pause between events after which a silent engine is
+# given up and a resumable stream continues at another one. An engine that recomputes
+# an evicted prompt is silent for a second or two; the rest of the pause is enough to
+# start elsewhere.
 SILENCE_SHARE = 2 / 3
 
 
 @dataclass
 class _Run:
-    """A run at an engine whose first events have come."""
+    """A request running at an engine whose first events have arrived."""
 
     endpoint: Endpoint
     head: EndpointHead
     exchange: Exchange
-    first: bytes
+    first_events: bytes
     splitter: EventSplitter
     stack: ExitStack
 
 
 class StreamPath:
-    """Takes room at an engine, has the prompt read, and passes the answer on."""
+    """Obtains a grant at an engine, prefills the prompt, and relays the stream."""
 
     def __init__(self, sending: Sending, prompts: PromptReader, grants: Grants) -> None:
         self._sending = sending
@@ -65,7 +66,7 @@
         self._grants = grants
 
     def answer(self, context: ForwardContext, attempts: Attempts) -> Answer:
-        """Return the answer once its first events are there."""
+        """Return the answer once its first events have arrived."""
         started = self._start(context, attempts, "")
         if isinstance(started, WholeAnswer):
             return started
@@ -77,35 +78,41 @@
     def _start(
         self, context: ForwardContext, attempts: Attempts, resume_after: str
     ) -> _Run | WholeAnswer:
-        """Start the run at some engine, or raise the refusal that is true."""
+        """Start a run at an engine, or raise the refusal that fits the attempts."""
         failed: WholeAnswer | None = None
-        # None before anybody was asked to read it; NOT_READ once the answering engine
-        # has to read it itself.
-        prompt_at = NOT_READ if resume_after else None
+        # None until a prefill engine was asked; NOT_PREFILLED once the decode engine
+        # has to prefill the prompt itself.
+        prompt_location = NOT_PREFILLED if resume_after else None
         while self._sending.is_open(context, attempts):
-            grant = self._find_grant(context, attempts, prompt_at == NOT_READ)
+            grant = self._find_grant(
+                context, attempts, prompt_location == NOT_PREFILLED
+            )
             if grant is None:
                 break
-            with ExitStack() as kept:
-                kept.callback(grant.at_end)
+            with ExitStack() as resources:
+                resources.callback(grant.at_end)
                 with ExitStack() as before_run:
                     before_run.callback(grant.before_run)
-                    if not self._sending.within_limit(
+                    if not self._sending.charge_endpoint_limit(
                         context, attempts, grant.endpoint
                     ):
                         continue
-                    prompt_at = self._prompt_for(context, attempts, grant, prompt_at)
-                    if not self._is_prepared(attempts, grant, prompt_at):
+                    prompt_location = self._locate_prompt(
+                        context, attempts, grant, prompt_location
+                    )
+                    if not self._can_start(attempts, grant, prompt_location):
                         continue
                     if not self._sending.may_send(context, attempts):
                         break
-                call = _call(context, grant, prompt_at, resume_after)
+                call = _call(context, grant, prompt_location, resume_after)
                 try:
-                    started = self._run(context, attempts, grant.endpoint, call, kept)
+                    started = self._run(
+                        context, attempts, grant.endpoint, call, resources
+                    )
                 except EndpointError as error:
-                    self._note_error(context, attempts, grant, prompt_at, error)
-                    if prompt_at is not None and not _left_prompt(error):
-                        prompt_at = NOT_READ
+                    self._note_error(context, attempts, grant, prompt_location, error)
+                    if prompt_location is not None and not _left_prompt_unused(error):
+                        prompt_location = NOT_PREFILLED
                     continue
             if isinstance(started, _Run):
                 grant.prompt_read()
@@ -116,68 +123,70 @@
             return failed
         raise self._sending.refusal(context, attempts, EndpointRole.DECODE)
 
-    def _is_prepared(
-        self, attempts: Attempts, grant: Grant, prompt_at: PromptPlace | None
+    def _can_start(
+        self, attempts: Attempts, grant: Grant, prompt_location: PromptLocation | None
     ) -> bool:
-        """Say whether the run can begin at the granted engine now."""
+        """Return whether the run can start at the granted engine now."""
         if self._sending.chooser.is_over(grant.endpoint):
-            # It started again while the prompt was read.
+            # The engine restarted during the prefill.
             attempts.tried.add(grant.endpoint.start_id)
             return False
         if self._sending.is_on_hold(attempts, grant.endpoint):
             return False
-        # Where the granted reader has not read it, the leader knows of another one, or
-        # else has to know which engine that answers reads it now: its answers stand
-        # still meanwhile.
-        is_unread = prompt_at in (None, NOT_READ)
+        # When the granted prefill engine failed, the leader has to grant another one,
+        # or has to know which decode engine prefills the prompt: that engine's other
+        # streams stall meanwhile.
+        is_unread = prompt_location in (None, NOT_PREFILLED)
         return not (is_unread and grant.reader is not None)
 
-    def _prompt_for(
+    def _locate_prompt(
         self,
         context: ForwardContext,
         attempts: Attempts,
         grant: Grant,
-        prompt_at: PromptPlace | None,
-    ) -> PromptPlace | None:
-        """Return where the prompt is, after having it read if nobody has tried yet.
-
-        None where the granted reader did not read it, and another one may be asked. The
-        leader has to grant that one: a reader that this host chooses may be the next
-        one that refuses, and the engine that answers would read the prompt, which stops
-        its other answers.
+        prompt_location: PromptLocation | None,
+    ) -> PromptLocation | None:
+        """Return where the prompt's KV cache is, prefilling it on the first attempt.
+
+        None means that the granted prefill engine failed and another one may be asked.
+        The leader has to grant that one: an engine that this host chooses by itself may
+        refuse, too, and the decode engine would then prefill the prompt, which stalls
+        its other streams.
         """
-        if prompt_at is not None and self._prompts.is_lost(prompt_at):
-            attempts.note("-", "prompt lost with its engine")
-            prompt_at = NOT_READ
+        if prompt_location is not None and self._prompts.is_lost(prompt_location):
+            attempts.note("-", "prompt lost, its prefill engine restarted")
+            prompt_location = NOT_PREFILLED
         if grant.reads_itself:
-            return prompt_at
-        if prompt_at is None:
-            prompt_at = self._read_prompt(context, attempts, grant)
+            return prompt_location
+        if prompt_location is None:
+            prompt_location = self._prefill_prompt(context, attempts, grant)
         grant.prompt_read()
-        return prompt_at
+        return prompt_location
 
-    def _read_prompt(
+    def _prefill_prompt(
         self, context: ForwardContext, attempts: Attempts, grant: Grant
-    ) -> PromptPlace | None:
-        reader = grant.reader
-        place = self._prompts.read(context, attempts, reader, grant.read_seconds)
-        is_unread = place == NOT_READ and reader is not None
+    ) -> PromptLocation | None:
+        prefill_engine = grant.reader
+        location = self._prompts.prefill(
+            context, attempts, prefill_engine, grant.read_seconds
+        )
+        is_unread = location == NOT_PREFILLED and prefill_engine is not None
         asks_again = is_unread and self._prompts.may_ask(context, attempts)
-        return None if asks_again else place
+        return None if asks_again else location
 
     def _note_error(
         self,
         context: ForwardContext,
         attempts: Attempts,
         grant: Grant,
-        prompt_at: PromptPlace | None,
+        prompt_location: PromptLocation | None,
         error: EndpointError,
     ) -> None:
-        self._sending.note_lost(context, attempts, grant.endpoint, error)
-        was_read = prompt_at is not None and prompt_at != NOT_READ
+        self._sending.note_request_error(context, attempts, grant.endpoint, error)
+        was_read = prompt_location is not None and prompt_location != NOT_PREFILLED
         if was_read and isinstance(error, EndpointRefusedError):
-            # What it refused may be the prompt's memory, which lapses; the same engine
-            # can read the prompt itself.
+            # The refusal may concern the prompt's KV cache, which expires; the same
+            # engine can still prefill the prompt itself.
             attempts.tried.discard(grant.endpoint.start_id)
             if context.request.prompt is not None:
                 attempts.wasted_prompt_tokens += context.request.prompt.prompt_tokens
@@ -185,21 +194,21 @@
     def _find_grant(
         self, context: ForwardContext, attempts: Attempts, reads_itself: bool
     ) -> Grant | None:
-        """Return a grant at an engine, None if none is usable.
+        """Return a grant at an engine, None if no engine is usable.
 
-        Raises RequestRefusedError when engines are there and have no room in time.
+        Raises RequestRefusedError if engines exist but have no free capacity in time.
         """
         grant = self._grants.find(context, attempts, reads_itself)
         if grant is None and attempts.found_no_room and not attempts.may_have_run:
-            raise no_room(attempts)
+            raise no_capacity_refusal(attempts)
         if grant is not None and not attempts.may_have_run:
-            self._check_again(context, grant)
+            self._recheck_request(context, grant)
         return grant
 
-    def _check_again(self, context: ForwardContext, grant: Grant) -> None:
-        """Give the grant back if the request was disallowed while it waited.
+    def _recheck_request(self, context: ForwardContext, grant: Grant) -> None:
+        """Return the grant and raise if the request was disallowed while it waited.
 
-        Its account's key may have been taken away, or its content quarantined.
+        The key of its account may have been revoked, or its content quarantined.
         """
         try:
             context.check_account()
@@ -210,7 +219,7 @@
             raise
 
     def _note_failed(self, attempts: Attempts, endpoint: Endpoint) -> None:
-        """Note an engine's own failure: the request has run."""
+        """Record a failure that the engine itself reported: the request has run."""
         attempts.runs += 1
         attempts.tried.add(endpoint.start_id)
         self._sending.health.note_failure(endpoint.start_id)
@@ -221,41 +230,45 @@
         attempts: Attempts,
         endpoint: Endpoint,
         call: EndpointCall,
-        kept: ExitStack,
+        resources: ExitStack,
     ) -> _Run | WholeAnswer:
-        """Return the run once its first events have come, or the engine's failure.
+        """Return the run once its first events have arrived, or the engine's failure.
 
-        What is kept for the run passes to it when it is returned.
+        A returned run takes over `resources` and closes them at its end.
         """
         with ExitStack() as stack:
             health = self._sending.health
-            stack.enter_context(health.working(endpoint.start_id))
+            stack.enter_context(health.track_request(endpoint.start_id))
             exchange = stack.enter_context(self._sending.exchange(context, endpoint))
-            head = exchange.call(call, self._silent_by(context, attempts))
+            head = exchange.call(call, self._silence_deadline(context, attempts))
             if head.status not in SUCCESS:
                 attempts.note(endpoint.start_id, str(head.status))
                 return WholeAnswer(head.status, head.headers, exchange.read_rest())
             splitter = EventSplitter()
-            first = b""
-            while not first:
+            first_events = b""
+            while not first_events:
                 part = exchange.read_some()
                 if not part:
-                    raise AnswerCutError(f"{endpoint.address}: a stream of no event.")
-                first = splitter.take(part)
+                    raise AnswerCutError(
+                        f"{endpoint.address}: the stream ended before its first event."
+                    )
+                first_events = splitter.take(part)
             attempts.note(endpoint.start_id, "streams")
             attempts.answered_from = Deadline.after(0)
             if attempts.first_event_ms is None:
                 attempts.first_event_ms = attempts.elapsed_ms
-            stack.push(kept.pop_all())
-            held = stack.pop_all()
-        return _Run(endpoint, head, exchange, first, splitter, held)
-
-    def _silent_by(self, context: ForwardContext, attempts: Attempts) -> Deadline:
-        """Return until when an engine may be silent now.
-
-        Beyond a network partition, or with its answer lost, an engine is silent until
-        the client leaves. Where the stream may not go on elsewhere, or not for want of
-        budget, silence is no reason to end it sooner.
+            stack.push(resources.pop_all())
+            run_resources = stack.pop_all()
+        return _Run(endpoint, head, exchange, first_events, splitter, run_resources)
+
+    def _silence_deadline(
+        self, context: ForwardContext, attempts: Attempts
+    ) -> Deadline:
+        """Return the time until which the engine may send nothing.
+
+        An engine behind a network partition, or one whose answer was lost, stays silent
+        until the client leaves. If the stream must not continue elsewhere, or the retry
+        budget does not allow it, nothing is gained by ending the wait sooner.
         """
         route = context.route
         may_go_on = attempts.runs + 1 < route.maximum_attempts and route.repeatable
@@ -269,7 +282,7 @@
     def _events(
         self, context: ForwardContext, attempts: Attempts, started: _Run
     ) -> Iterator[bytes]:
-        """Yield the events, also those of further runs after one that broke off."""
+        """Yield the events, resuming at other engines when a run breaks off."""
         run = started
         while True:
             try:
@@ -277,12 +290,12 @@
                 self._sending.health.note_success(run.endpoint.start_id)
                 return
             except EndpointError as error:
-                self._sending.note_lost(context, attempts, run.endpoint, error)
+                self._sending.note_request_error(context, attempts, run.endpoint, error)
                 last_event_id = run.splitter.last_event_id
             finally:
                 run.stack.close()
             if not (context.route.resumable and last_event_id):
-                raise AnswerCutError("The stream broke off and can't be resumed.")
+                raise AnswerCutError("The stream broke off and cannot be resumed.")
             resumed = self._start(context, attempts, last_event_id)
             if isinstance(resumed, WholeAnswer):
                 raise AnswerCutError("The stream broke off and was not resumed.")
@@ -291,12 +304,12 @@
     def _events_of(
         self, context: ForwardContext, attempts: Attempts, run: _Run
     ) -> Iterator[bytes]:
-        """Yield the events of one run until its proper end."""
-        yield run.first
+        """Yield the events of one run until its regular end."""
+        yield run.first_events
         latest = steady_seconds()
         is_harmless = False
         while True:
-            run.exchange.watch(self._silent_by(context, attempts))
+            run.exchange.watch(self._silence_deadline(context, attempts))
             part = run.exchange.read_some()
             if not part:
                 break
@@ -309,27 +322,32 @@
                     self._sending.quarantine.note_harmless(context)
                     is_harmless = True
                 yield whole
-        if run.splitter.has_rest:
-            raise AnswerCutError(f"{run.endpoint.address}: the last event is cut.")
-        run.exchange.keep()
+        if run.splitter.has_partial_event:
+            raise AnswerCutError(
+                f"{run.endpoint.address}: the stream ended in the middle of an event."
+            )
+        run.exchange.keep_connection()
 
 
 def _call(
     context: ForwardContext,
     grant: Grant,
-    prompt_at: PromptPlace | None,
+    prompt_location: PromptLocation | None,
     resume_after: str,
 ) -> EndpointCall:
     return EndpointCall(
         grant.endpoint.endpoint_id,
         context.end_by.remaining_ms(),
-        prompt_at=prompt_at.location if prompt_at else "",
+        prompt_at=prompt_location.location if prompt_location else "",
         resume_after=resume_after,
     )
 
 
-def _left_prompt(error: EndpointError) -> bool:
-    """Say whether a prompt's memory, which can be taken once, was surely left."""
+def _left_prompt_unused(error: EndpointError) -> bool:
+    """Return whether the error proves that the prompt's KV cache was not fetched.
+
+    A KV cache can be fetched only once.
+    """
     kinds = (
         EndpointUnreachableError,
         EndpointReplacedError,
@@ -339,10 +357,10 @@
     return isinstance(error, kinds)
 
 
-def no_room(attempts: Attempts) -> RequestRefusedError:
-    """Return the refusal of a request that has not run for want of room."""
+def no_capacity_refusal(attempts: Attempts) -> RequestRefusedError:
+    """Return the refusal of a request that found no free capacity and has not run."""
     return RequestRefusedError(
         "no_room",
-        "No engine has had room for the request in time.",
-        retry_after=return_seconds(attempts.no_room_forecast),
+        "No engine had free capacity for the request in time.",
+        retry_after=return_seconds(attempts.capacity_wait_forecast),
     )
--- a/src/jujubeslip/forwarding/_waiting.py
+++ b/src/jujubeslip/forwarding/_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room at an engine, and how long that will take."""
+"""Queue of requests that wait for capacity at an engine, and its wait forecast."""
 
 from __future__ import annotations
 
@@ -11,63 +11,66 @@
 from jujubeslip.forwarding._models import ForwardContext
 from jujubeslip.kernel import Deadline, Ran, steady_seconds
 
-# How often one that waits for its turn looks whether its caller is still there.
-LOOK_SECONDS = 0.1
-# How much the latest interval between two requests that found room counts, and what
-# is assumed before the first one, in seconds.
+# How often a queued request checks whether its client is still connected, in seconds.
+CLIENT_CHECK_SECONDS = 0.1
+# Weight of the latest interval between two requests that found capacity in the moving
+# average, and the value assumed before the first one, in seconds.
 INTERVAL_WEIGHT = 0.2
 FIRST_INTERVAL_SECONDS = 0.25
 
 
-class Waiting:
-    """Requests of one service that wait for room, of which one at a time asks.
+class WaitingQueue:
+    """Requests of one service that wait for capacity; one at a time asks the engines.
 
-    Those that can still be answered in time go first, the earliest target before the
-    others; late ones follow. All would otherwise ask again and again, and the engines
-    would spend their time on refusing.
+    Requests that can still meet their target go first, ordered by target; late ones
+    follow. Without the queue all of them would ask repeatedly, and the engines would
+    spend their time on refusals.
     """
 
     def __init__(self) -> None:
-        self._targets_by_turn: dict[int, float] = {}
-        self._last_turn = 0
+        self._targets_by_ticket: dict[int, float] = {}
+        self._last_ticket = 0
         self._interval = FIRST_INTERVAL_SECONDS
         self._busy_since = steady_seconds()
         self._changed = threading.Condition()
 
     @contextmanager
-    def place(self, context: ForwardContext) -> Iterator[int]:
-        """Take a place among those that wait; yield its number."""
+    def enter(self, context: ForwardContext) -> Iterator[int]:
+        """Hold a place in the queue; yield its ticket number."""
         with self._changed:
-            if not self._targets_by_turn:
+            if not self._targets_by_ticket:
                 self._busy_since = steady_seconds()
-            self._last_turn += 1
-            own = self._last_turn
-            self._targets_by_turn[own] = context.target_by.instant
+            self._last_ticket += 1
+            ticket = self._last_ticket
+            self._targets_by_ticket[ticket] = context.target_by.instant
         try:
-            yield own
+            yield ticket
         finally:
             with self._changed:
-                del self._targets_by_turn[own]
+                del self._targets_by_ticket[ticket]
                 self._changed.notify_all()
 
     def forecast(self, context: ForwardContext) -> float:
-        """Return how long a request that comes now would wait, in seconds."""
+        """Return the expected wait of a request that arrives now, in seconds."""
         now = steady_seconds()
-        own = urgency(context.target_by.instant, now)
+        own_urgency = urgency(context.target_by.instant, now)
         with self._changed:
             ahead = sum(
-                urgency(target, now) <= own for target in self._targets_by_turn.values()
+                urgency(target, now) <= own_urgency
+                for target in self._targets_by_ticket.values()
             )
             return ahead * self._interval
 
-    def wait_for_turn(self, own: int, context: ForwardContext, limit: Deadline) -> bool:
-        """Wait until this request is the next one; False when the limit comes first.
+    def wait_for_turn(
+        self, ticket: int, context: ForwardContext, limit: Deadline
+    ) -> bool:
+        """Wait until this request is next; return False if the limit comes first.
 
-        Raises CallerGoneError when nobody waits for it any more.
+        Raises CallerGoneError if the client disconnects.
         """
         with self._changed:
-            while not self._is_next(own):
-                self._changed.wait(LOOK_SECONDS)
+            while not self._is_next(ticket):
+                self._changed.wait(CLIENT_CHECK_SECONDS)
                 if context.gone():
                     message = "The client closed its connection."
                     raise CallerGoneError(message, Ran.NO)
@@ -75,18 +78,18 @@
                     return False
         return True
 
-    def note_room(self) -> None:
-        """Note that a request has found room, for the forecast."""
+    def note_capacity_found(self) -> None:
+        """Record that a request has found capacity, for the forecast."""
         now = steady_seconds()
         with self._changed:
             sample = now - self._busy_since
             self._interval += INTERVAL_WEIGHT * (sample - self._interval)
             self._busy_since = now
 
-    def _is_next(self, own: int) -> bool:
+    def _is_next(self, ticket: int) -> bool:
         now = steady_seconds()
         ranked = min(
-            (urgency(target, now), turn)
-            for turn, target in self._targets_by_turn.items()
+            (urgency(target, now), queued)
+            for queued, target in self._targets_by_ticket.items()
         )
-        return ranked[1] == own
+        return ranked[1] == ticket
--- a/src/jujubeslip/tracing/_causes.py
+++ b/src/jujubeslip/tracing/_causes.py
@@ -163,7 +163,7 @@
 def _no_endpoint(end: RequestEnd, lines: Sequence[Line]) -> str:
     return (
         "Refused, not run: its host knew no usable endpoint of the service; see its "
-        "lines `endpoint changed` and `endpoint passed over` before that."
+        "lines `endpoint changed` and `endpoint skipped` before that."
     )
 
 
--- a/tests/forwarding/test_refused_prompts.py
+++ b/tests/forwarding/test_refused_prompts.py
@@ -22,7 +22,7 @@
 from jujubeslip.kernel import Deadline, load_plugins
 from jujubeslip.peers import EndpointRole
 from tests.fakes.engines import engine
-from tests.forwarding.test_starts import book_of, sending
+from tests.forwarding.test_starts import book_of, build_sender
 
 REFUSES = EndpointRefusedError(503, "changes its role", may_have_run=False)
 CUT = AnswerCutError("closed without answer")
@@ -49,8 +49,8 @@
         readers = [engine(name, EndpointRole.PREFILL) for name in outcome_by_reader]
         budgets = RetryBudgets(BudgetOptions(0.0, 10.0, budget), lambda: 1)
         book = book_of(engine("engine"), *readers)
-        ways = replace(sending(book), budgets=budgets)
-        prompts = PromptReader(ways, True, Pressures())
+        sender = replace(build_sender(book), budgets=budgets)
+        prompts = PromptReader(sender, True, Pressures())
         self.asked: list[str] = []
         self.granted: list[str] = []
 
@@ -73,7 +73,7 @@
             raise SentError
 
         grants: Any = SimpleNamespace(find=find)
-        self._path = StreamPath(ways, prompts, grants)
+        self._path = StreamPath(sender, prompts, grants)
         monkeypatch.setattr(self._path, "_run", run)
 
     def answer(self) -> None:
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -21,7 +21,7 @@
 from jujubeslip.routes import EngineService, PromptShape
 from tests.fakes.engines import engine
 from tests.fakes.platform_worker import PlatformWorker
-from tests.forwarding.test_starts import sending
+from tests.forwarding.test_starts import build_sender
 
 OWN_ZONE, OTHER_ZONE = "zone-1", "zone-2"
 OPTIONS = MemoryOptions(margin=0.05, caution=1.0)
@@ -60,8 +60,8 @@
     """Return the room that a request finds, and how long that took."""
     book = EndpointBook()
     book.take(endpoints)
-    ways = sending(book)
-    reservations = Reservations(ways, OPTIONS, OWN_ZONE)
+    sender = build_sender(book)
+    reservations = Reservations(sender, OPTIONS, OWN_ZONE)
     context: Any = SimpleNamespace(
         request=SimpleNamespace(request_id="r-1"),
         service_name="model",
@@ -71,9 +71,9 @@
     engine_service = EngineService(slots=8, reservation_ms=2000)
     limit = Deadline.after(seconds)
     for _ in range(5 if busy else 0):
-        ways.health._add_open(busy, 1)
+        sender.health._add_open(busy, 1)
     if paused:
-        ways.health.note_unreachable(paused)
+        sender.health.note_unreachable(paused)
     began = time.monotonic()
     found = reservations.take(context, Attempts(), engine_service, PROMPT, limit)
     return found, time.monotonic() - began
@@ -140,11 +140,11 @@
         own = at(near.address, "near", OWN_ZONE)
         book = EndpointBook()
         book.take([own])
-        ways = sending(book)
-        reservations = Reservations(ways, OPTIONS, OWN_ZONE)
+        sender = build_sender(book)
+        reservations = Reservations(sender, OPTIONS, OWN_ZONE)
         near.reservations["r1"] = 100
         refusal = read_head(503, [("Retry-After", backoff)])
-        ways.limits.notices.note_answer(own, refusal, 0.0)
+        sender.limits.notices.note_answer(own, refusal, 0.0)
         request: Any = SimpleNamespace(request_id="r-1")
         context: Any = SimpleNamespace(request=request)
         reservations.release(context, Reservation(own, "r1"))
--- a/tests/forwarding/test_return_times.py
+++ b/tests/forwarding/test_return_times.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from jujubeslip.forwarding._models import CAME_BACK_SHARE, Attempts
+from jujubeslip.forwarding._models import CLIENT_RETRY_SHARE, Attempts
 from jujubeslip.forwarding._return_times import (
-    LEAST_SECONDS,
-    MOST_SECONDS,
+    MAXIMUM_SECONDS,
+    MINIMUM_SECONDS,
     SPREAD_SHARE,
     return_seconds,
 )
-from jujubeslip.forwarding._stream_path import no_room
+from jujubeslip.forwarding._stream_path import no_capacity_refusal
 
 # How long each of a burst's refused requests was expected to wait, in seconds: the
 # queue of a recorded burst, in which grants came at 11.5 a second.
@@ -37,7 +37,7 @@
     def test_refusal_tells_the_time_from_the_forecast(self) -> None:
         attempts = Attempts()
         attempts.note_no_room("no grant in time", 4.0)
-        seconds = no_room(attempts).retry_after
+        seconds = no_capacity_refusal(attempts).retry_after
         assert seconds is not None
         assert abs(seconds - 4.0) <= 4.0 * SPREAD_SHARE
 
@@ -45,7 +45,12 @@
 class TestReturnSeconds:
     @pytest.mark.parametrize(
         ("forecast", "middle"),
-        [(0.0, LEAST_SECONDS), (1.0, LEAST_SECONDS), (4.0, 4.0), (60.0, MOST_SECONDS)],
+        [
+            (0.0, MINIMUM_SECONDS),
+            (1.0, MINIMUM_SECONDS),
+            (4.0, 4.0),
+            (60.0, MAXIMUM_SECONDS),
+        ],
     )
     def test_follow_the_forecast_within_bounds(
         self, forecast: float, middle: float
@@ -58,4 +63,4 @@
         """The time that it has lost by then is more than its own patience explains."""
         timeout_seconds = 14.0
         earliest = return_seconds(0.0, 0.0)
-        assert earliest >= CAME_BACK_SHARE * timeout_seconds
+        assert earliest >= CLIENT_RETRY_SHARE * timeout_seconds
--- a/tests/forwarding/test_starts.py
+++ b/tests/forwarding/test_starts.py
@@ -23,7 +23,7 @@
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import PromptPlace, PromptReader
+from jujubeslip.forwarding._prompts import PromptLocation, PromptReader
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._reservations import Reservation, Reservations
 from jujubeslip.forwarding._sending import Sending
@@ -61,7 +61,7 @@
     return book
 
 
-def sending(book: EndpointBook) -> Sending:
+def build_sender(book: EndpointBook) -> Sending:
     health = EndpointHealth()
     crash_book, harmless = CrashBook(), HarmlessContents()
     contact = LeaderContact(PeerIdentity("host", 1, "secret"), lambda _: False)
@@ -87,19 +87,19 @@
     def test_next_start_is_used(self) -> None:
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
         book = book_of(earlier)
-        ways = sending(book)
-        ways.health.note_replaced(earlier.start_id)
-        ways.health.note_failure(earlier.start_id)
-        assert ways.chooser.choose_sound("model", EndpointRole.DECODE) is None
+        sender = build_sender(book)
+        sender.health.note_replaced(earlier.start_id)
+        sender.health.note_failure(earlier.start_id)
+        assert sender.chooser.choose_healthy("model", EndpointRole.DECODE) is None
         book.take([later])
-        found = ways.chooser.choose_sound("model", EndpointRole.DECODE)
+        found = sender.chooser.choose_healthy("model", EndpointRole.DECODE)
         assert found is not None and found.start_id == later.start_id
-        assert ways.health.failure_share(later.start_id) == 0
+        assert sender.health.failure_share(later.start_id) == 0
 
     def test_request_that_it_refused_may_go_to_the_next(self) -> None:
         earlier = start(FIRST)
         book = book_of(earlier)
-        chooser = sending(book).chooser
+        chooser = build_sender(book).chooser
         tried = {earlier.start_id}
         assert chooser.choose("model", EndpointRole.DECODE, tried) is None
         book.take([start(SECOND)])
@@ -142,7 +142,7 @@
             context: Any = SimpleNamespace(
                 request=SimpleNamespace(request_id="r"), gone=lambda: False
             )
-            reservations = Reservations(sending(book), options, "zone-1")
+            reservations = Reservations(build_sender(book), options, "zone-1")
             reservations.release(context, Reservation(earlier, "r1"))
             assert ("r1" in worker.reservations) is known
 
@@ -154,7 +154,7 @@
         worker = PlatformWorker("engine", "model", "decode", started_at_ms=reports)
         with worker:
             earlier = start(FIRST, address=worker.address)
-            kept = EngineReports(sending(book_of(earlier)))
+            kept = EngineReports(build_sender(book_of(earlier)))
             context: Any = SimpleNamespace(gone=lambda: False)
             taken = kept.get(context, earlier)
             assert (taken is None) is (reports == SECOND)
@@ -177,13 +177,13 @@
 
     def test_is_kept_for_that_one_alone(self) -> None:
         with PlatformWorker("engine", "model", "decode") as worker:
-            ways = sending(book_of())
+            sender = build_sender(book_of())
             for started_at_ms in (FIRST, FIRST, SECOND):
                 asked = start(started_at_ms, address=worker.address)
-                question = ways.interface.ask_report("engine")
-                ways.ask(asked, question, Deadline.after(2))
-            assert ways.pool.idle_count == len(worker.sockets) == 2
-            ways.pool.close_all()
+                question = sender.interface.ask_report("engine")
+                sender.ask(asked, question, Deadline.after(2))
+            assert sender.pool.idle_count == len(worker.sockets) == 2
+            sender.pool.close_all()
 
 
 class FailingExchange:
@@ -225,9 +225,9 @@
         reader = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
         later = start(SECOND, EndpointRole.PREFILL, endpoint_id="reader")
         book = book_of(reader, start(FIRST))
-        ways = sending(book)
-        prompts = PromptReader(ways, True, Pressures())
-        monkeypatch.setattr(prompts, "read", lambda *_: PromptPlace(reader, "h1"))
+        sender = build_sender(book)
+        prompts = PromptReader(sender, True, Pressures())
+        monkeypatch.setattr(prompts, "prefill", lambda *_: PromptLocation(reader, "h1"))
         calls: list[EndpointCall] = []
         asked: list[bool] = []
 
@@ -240,13 +240,13 @@
         stubbed: Any = SimpleNamespace(
             is_open=lambda *_: len(calls) < 2,
             may_send=lambda *_: True,
-            chooser=ways.chooser,
-            health=ways.health,
-            note_lost=ways.note_lost,
-            quarantine=ways.quarantine,
-            within_limit=lambda *_: True,
+            chooser=sender.chooser,
+            health=sender.health,
+            note_request_error=sender.note_request_error,
+            quarantine=sender.quarantine,
+            charge_endpoint_limit=lambda *_: True,
             is_on_hold=lambda *_: False,
-            refusal=ways.refusal,
+            refusal=sender.refusal,
             exchange=lambda *_: FailingExchange(calls, happens),
         )
         grants: Any = SimpleNamespace(find=grant)
@@ -282,14 +282,14 @@
         reader = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
         book = book_of(reader, earlier)
-        ways = sending(book)
-        prompts = PromptReader(ways, True, Pressures())
+        sender = build_sender(book)
+        prompts = PromptReader(sender, True, Pressures())
 
-        def read(*_: object) -> PromptPlace:
+        def read(*_: object) -> PromptLocation:
             book.take([later])
-            return PromptPlace(reader, "h1")
+            return PromptLocation(reader, "h1")
 
-        monkeypatch.setattr(prompts, "read", read)
+        monkeypatch.setattr(prompts, "prefill", read)
         given = [Grant(earlier, reader), Grant(later, reader)]
         calls: list[EndpointCall] = []
         sent_to: list[str] = []
@@ -301,13 +301,13 @@
         stubbed: Any = SimpleNamespace(
             is_open=lambda *_: not calls,
             may_send=lambda *_: True,
-            chooser=ways.chooser,
-            health=ways.health,
-            note_lost=ways.note_lost,
-            quarantine=ways.quarantine,
-            within_limit=lambda *_: True,
+            chooser=sender.chooser,
+            health=sender.health,
+            note_request_error=sender.note_request_error,
+            quarantine=sender.quarantine,
+            charge_endpoint_limit=lambda *_: True,
             is_on_hold=lambda *_: False,
-            refusal=ways.refusal,
+            refusal=sender.refusal,
             exchange=exchange,
         )
         grants: Any = SimpleNamespace(find=lambda *_: given.pop(0))
--- a/tests/forwarding/test_targets.py
+++ b/tests/forwarding/test_targets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from jujubeslip.forwarding._models import CAME_BACK_SHARE, ForwardContext
+from jujubeslip.forwarding._models import CLIENT_RETRY_SHARE, ForwardContext
 from jujubeslip.forwarding._service import target_of
 from jujubeslip.kernel import Deadline
 
@@ -63,6 +63,6 @@
     @pytest.mark.parametrize("passed_ms", [3_000, 4_600])
     def test_is_late_since_its_first_try(self, passed_ms: int) -> None:
         asked = context(TIMEOUT_MS - passed_ms)
-        assert passed_ms > CAME_BACK_SHARE * TIMEOUT_MS
+        assert passed_ms > CLIENT_RETRY_SHARE * TIMEOUT_MS
         assert target_ms(asked) == TARGET_MS - passed_ms
         assert asked.came_back
