--- a/tests/forwarding/test_choice.py
+++ b/tests/forwarding/test_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoints a host may choose from."""
+"""Which endpoints a forwarding host chooses from."""
 
 from __future__ import annotations
 
@@ -29,35 +29,35 @@
 SILENCE_SECONDS = 5.0
 
 
-class TestWithoutSoundEndpoints:
-    """A zone is cut off, and all engines of the other zones are out of reach.
+class TestWithoutHealthyEndpoints:
+    """Guards against choosing an engine that is known to be replaced.
 
-    What is left beside them is an engine that crashed half a minute before. Eleven
-    streams had their prompts read, got room at its address, and were refused by the
-    engine that has it now, four times each: it was only passed over, and taken as the
-    last one left.
+    In a partitioned zone all engines of other zones are unreachable, and one more
+    crashed half a minute before. It was only skipped, and so chosen as the last one
+    left: eleven streams had their prompts prefilled, got a reservation at its address,
+    and were refused by the engine that has the address now, four times each.
     """
 
     @staticmethod
     def choice_of(*endpoints: Endpoint) -> tuple[Chooser, EndpointHealth]:
-        book, health = EndpointBook(), EndpointHealth()
-        book.take(
+        registry, health = EndpointBook(), EndpointHealth()
+        registry.take(
             replace(item, address=f"10.0.0.{number}:80")
             for number, item in enumerate(endpoints)
         )
         policy = LeastCost(health, "zone-1")
-        return Chooser(book, health, policy, SILENCE_SECONDS), health
+        return Chooser(registry, health, policy, SILENCE_SECONDS), health
 
-    def test_one_that_cannot_be_reached_is_tried(self) -> None:
+    def test_unreachable_one_is_tried(self) -> None:
         chooser, health = self.choice_of(engine("silent"))
         health.note_unreachable("silent")
         chosen = chooser.choose("model", EndpointRole.DECODE, ())
         assert chosen is not None and chosen.endpoint_id == "silent"
 
-    def test_one_that_is_gone_is_not(self) -> None:
-        chooser, health = self.choice_of(engine("gone"))
-        health.note_replaced("gone")
-        assert health.is_paused("gone")
+    def test_replaced_one_is_not(self) -> None:
+        chooser, health = self.choice_of(engine("replaced"))
+        health.note_replaced("replaced")
+        assert health.is_paused("replaced")
         assert chooser.choose("model", EndpointRole.DECODE, ()) is None
 
 
@@ -66,19 +66,19 @@
 
     @staticmethod
     def chooser_of(**holds: Hold | None) -> Chooser:
-        book, health = EndpointBook(), EndpointHealth()
-        book.take(
+        registry, health = EndpointBook(), EndpointHealth()
+        registry.take(
             replace(engine(name), address=f"10.0.0.{number}:80")
             for number, name in enumerate(holds)
         )
         policy = LeastCost(health, "zone-1")
-        return Chooser(book, health, policy, SILENCE_SECONDS, holds.__getitem__)
+        return Chooser(registry, health, policy, SILENCE_SECONDS, holds.__getitem__)
 
-    def test_the_hold_that_ends_first_is_told(self) -> None:
+    def test_the_hold_that_ends_first_is_reported(self) -> None:
         long = Hold(HoldReason.BACKOFF, Deadline.after(9))
         short = Hold(HoldReason.LIMIT, Deadline.after(1))
-        gone = Hold(HoldReason.LEAVING, NEVER)
-        chooser = self.chooser_of(a=long, b=short, c=gone)
+        leaving = Hold(HoldReason.LEAVING, NEVER)
+        chooser = self.chooser_of(a=long, b=short, c=leaving)
         holds = chooser.holds("model", EndpointRole.DECODE)
         assert holds.first_to_end is short
         assert holds.cover_all
@@ -88,13 +88,13 @@
         chooser = self.chooser_of(a=Hold(HoldReason.BACKOFF, Deadline.after(9)), b=None)
         assert not chooser.holds("model", EndpointRole.DECODE).cover_all
 
-    def test_none_returns_where_all_leave(self) -> None:
+    def test_no_hold_ends_if_all_are_leaving(self) -> None:
         chooser = self.chooser_of(a=Hold(HoldReason.LEAVING, NEVER))
         assert chooser.holds("model", EndpointRole.DECODE).first_to_end is None
 
 
 class TestHoldThatBeginsWhileAConnectionIsOpened:
-    """Guards against requests that are placed just when a backoff begins."""
+    """Guards against requests that are sent just when a backoff begins."""
 
     def test_nothing_is_sent(self) -> None:
         load_plugins()
--- a/tests/forwarding/test_first_configuration.py
+++ b/tests/forwarding/test_first_configuration.py
@@ -1,4 +1,4 @@
-"""Requests that come to a host which has just started and has no configuration yet."""
+"""Requests that reach a newly started host which has no configuration yet."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Routes(RoutesFollower):
-    """A follower whose configuration the test puts in force."""
+    """A routes follower that applies a configuration after a given time."""
 
     def __init__(self) -> None:
         table = SimpleNamespace(
@@ -38,7 +38,7 @@
 
 
 def refusal_of(routes: Routes, client_seconds: float | None = None) -> str:
-    """Return why a request is refused; without a route it always is."""
+    """Return the error id of a request, which is always refused for want of a route."""
     unused: Any = None
     service = ForwardService(routes, unused, unused, unused)
     request: Any = SimpleNamespace(
@@ -55,22 +55,23 @@
     return refused.value.error_id
 
 
-class TestHostThatHasJustStarted:
-    """All hosts lose power and start at once; for 0.8 s none has a configuration.
+class TestNewlyStartedHost:
+    """Guards against refusals while a newly started host waits for its configuration.
 
-    Clients were told to come back in half a second, met hosts that were no further, and
-    were lost: 56 of 58 requests of two seconds ended refused, twice each.
+    All hosts lose power and start at once; for 0.8 s none has a configuration. Clients
+    that retried after half a second still found no configuration and gave up: 56 of 58
+    requests of two seconds were refused twice.
     """
 
-    def test_lets_requests_wait_for_its_configuration(self) -> None:
+    def test_requests_wait_for_its_configuration(self) -> None:
         routes = Routes()
         routes.put_after(0.3)
         assert refusal_of(routes) == "no_route"
 
-    def test_refuses_them_when_none_comes(self) -> None:
+    def test_requests_are_refused_if_none_arrives(self) -> None:
         assert refusal_of(Routes()) == "no_configuration"
 
-    def test_keeps_most_of_their_time_for_the_answer(self) -> None:
+    def test_most_of_the_time_is_left_for_the_answer(self) -> None:
         routes = Routes()
         began = time.monotonic()
         assert refusal_of(routes, client_seconds=0.6) == "no_configuration"
--- a/tests/forwarding/test_first_endpoints.py
+++ b/tests/forwarding/test_first_endpoints.py
@@ -1,4 +1,4 @@
-"""Requests that come to a host which has just started and knows no endpoint yet."""
+"""Requests that reach a newly started host which knows no endpoint yet."""
 
 from __future__ import annotations
 
@@ -31,61 +31,62 @@
     )
 
 
-def announce_after(book: EndpointBook, seconds: float, role: EndpointRole) -> None:
+def announce_after(registry: EndpointBook, seconds: float, role: EndpointRole) -> None:
     def announce() -> None:
         time.sleep(seconds)
-        book.take([engine("e-1", role)])
+        registry.take([engine("e-1", role)])
 
     threading.Thread(target=announce, daemon=True).start()
 
 
-def waited(first: FirstEndpoints, asking: Any) -> float:
+def waited(discovery: FirstEndpoints, request_context: Any) -> float:
     began = time.monotonic()
-    first.wait_for(asking)
+    discovery.wait_for(request_context)
     return time.monotonic() - began
 
 
-class TestHostThatHasJustStarted:
-    """All hosts lose power for 1.2 s; their endpoints announce themselves 0.3 s later.
+class TestNewlyStartedHost:
+    """Guards against refusals between the configuration and the first announcement.
 
-    The hosts had a configuration from 42.73 s on and knew endpoints from 42.90 s on. In
-    between 64 requests ended with no_endpoint, 17 of them streams. Their clients had to
-    come back, and those that had come back before were lost.
+    All hosts lose power for 1.2 s, and the endpoints announce themselves 0.3 s after
+    the restart. For 0.17 s the hosts had a configuration and knew no endpoint: 64
+    requests ended with no_endpoint, 17 of them streams. Their clients had to retry, and
+    those that had retried before gave up.
     """
 
     @pytest.mark.parametrize("role", [EndpointRole.PLAIN, EndpointRole.DECODE])
-    def test_lets_requests_wait_for_an_endpoint(self, role: EndpointRole) -> None:
-        book = EndpointBook()
-        announce_after(book, 0.3, role)
-        assert 0.2 < waited(FirstEndpoints(book), context()) < WAIT_SECONDS
-
-    def test_an_engine_that_only_reads_prompts_is_not_enough(self) -> None:
-        book = EndpointBook()
-        book.take([engine("p-1", EndpointRole.PREFILL)])
-        announce_after(book, 0.3, EndpointRole.DECODE)
-        assert 0.2 < waited(FirstEndpoints(book), context()) < WAIT_SECONDS
-
-    def test_does_not_hold_them_for_long(self) -> None:
+    def test_requests_wait_for_an_endpoint(self, role: EndpointRole) -> None:
+        registry = EndpointBook()
+        announce_after(registry, 0.3, role)
+        assert 0.2 < waited(FirstEndpoints(registry), context()) < WAIT_SECONDS
+
+    def test_a_prefill_engine_does_not_end_the_wait(self) -> None:
+        registry = EndpointBook()
+        registry.take([engine("p-1", EndpointRole.PREFILL)])
+        announce_after(registry, 0.3, EndpointRole.DECODE)
+        assert 0.2 < waited(FirstEndpoints(registry), context()) < WAIT_SECONDS
+
+    def test_wait_is_bounded(self) -> None:
         seconds = waited(FirstEndpoints(EndpointBook()), context())
         assert WAIT_SECONDS <= seconds < WAIT_SECONDS + 0.3
 
-    def test_keeps_most_of_their_time_for_the_answer(self) -> None:
+    def test_most_of_the_time_is_left_for_the_answer(self) -> None:
         assert waited(FirstEndpoints(EndpointBook()), context(seconds=0.6)) < 0.4
 
-    def test_lets_a_client_go(self) -> None:
+    def test_disconnect_ends_the_wait(self) -> None:
         with pytest.raises(CallerGoneError):
             FirstEndpoints(EndpointBook()).wait_for(context(gone=True))
 
-    def test_lets_no_request_wait_where_an_endpoint_is_known(self) -> None:
-        book = EndpointBook()
-        book.take([engine("e-1", EndpointRole.DECODE)])
-        assert waited(FirstEndpoints(book), context()) < 0.1
+    def test_requests_do_not_wait_if_an_endpoint_is_known(self) -> None:
+        registry = EndpointBook()
+        registry.take([engine("e-1", EndpointRole.DECODE)])
+        assert waited(FirstEndpoints(registry), context()) < 0.1
 
 
-class TestHostThatHasRunForLong:
-    """What can't be served is refused at once: nobody announces that service."""
+class TestLongRunningHost:
+    """Requests of a service without endpoints are refused at once."""
 
-    def test_lets_no_request_wait(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        first = FirstEndpoints(EndpointBook())
-        monkeypatch.setattr(first, "_unknown_until", Deadline.after(0))
-        assert waited(first, context()) < 0.1
+    def test_requests_do_not_wait(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        discovery = FirstEndpoints(EndpointBook())
+        monkeypatch.setattr(discovery, "_unknown_until", Deadline.after(0))
+        assert waited(discovery, context()) < 0.1
--- a/tests/forwarding/test_health.py
+++ b/tests/forwarding/test_health.py
@@ -1,4 +1,4 @@
-"""How long an endpoint that can't be reached is passed over."""
+"""How long unreachable endpoints are skipped, and how failure shares decay."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from jujubeslip.kernel import _deadlines
 from tests.fakes.clock import Clock
 
-# In which what was seen of failures counts half as much.
+# Half-life of the failure share.
 HALF_LIFE_SECONDS = 5.0
 
 
@@ -22,11 +22,11 @@
 
 
 class TestPause:
-    def test_of_requests_that_fail_together_is_short(self, clock: Clock) -> None:
-        """A link fails for a moment while a dozen requests are on their way.
+    def test_is_short_if_requests_fail_at_the_same_time(self, clock: Clock) -> None:
+        """A link fails for a moment while a dozen requests are in transit.
 
-        Each counted by itself, they would keep the endpoint out for eight seconds,
-        and the only engine that reads prompts would be missed by all of them.
+        If each of them counted, the endpoint would be skipped for eight seconds, even
+        if it is the only prefill engine.
         """
         health = EndpointHealth()
         for _ in range(12):
@@ -35,7 +35,7 @@
         clock.now += _health.FIRST_PAUSE_SECONDS + 0.01
         assert not health.is_paused("engine")
 
-    def test_grows_with_each_failure_after_it(self, clock: Clock) -> None:
+    def test_grows_with_each_later_failure(self, clock: Clock) -> None:
         health = EndpointHealth()
         health.note_unreachable("engine")
         clock.now += _health.FIRST_PAUSE_SECONDS + 0.01
@@ -46,12 +46,13 @@
         assert not health.is_paused("engine")
 
 
-class TestShareOfFailures:
-    def test_fades_without_answers(self, clock: Clock) -> None:
-        """One question to an engine times out, and its neighbour gets all requests.
+class TestFailureShare:
+    def test_decays_without_answers(self, clock: Clock) -> None:
+        """Guards against an engine that gets no requests after a single failure.
 
-        The share of failures fell with the engine's answers alone, and it was given
-        nothing to answer: for 29 s all 313 requests went to the other one.
+        One question to an engine timed out. Its failure share fell only with further
+        answers, and it got no requests to answer: for 29 s all 313 requests went to the
+        other engine.
         """
         health = EndpointHealth()
         for _ in range(5):
@@ -62,7 +63,7 @@
         clock.now += 20 * HALF_LIFE_SECONDS
         assert health.failure_share("engine") < 0.001
 
-    def test_grows_from_what_is_left_of_it(self, clock: Clock) -> None:
+    def test_grows_from_its_decayed_value(self, clock: Clock) -> None:
         health = EndpointHealth()
         health.note_failure("engine")
         clock.now += 20 * HALF_LIFE_SECONDS
--- a/tests/forwarding/test_large_configuration.py
+++ b/tests/forwarding/test_large_configuration.py
@@ -1,4 +1,4 @@
-"""How a host takes over a configuration of thousands of routes."""
+"""How a host fetches and applies a configuration of thousands of routes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def configuration() -> str:
-    """Return an operator's configuration, with names that nobody can guess."""
+    """Return a configuration with random names, which compress badly."""
     draw = random.Random(1)
     limits = {
         "maxHeaderBytes": 16_384,
@@ -47,45 +47,46 @@
         for number in range(ROUTES)
     ]
     services = [{"name": "orders", "healthPath": "/health", "maxConns": 100}]
-    told = {
+    declaration = {
         "version": VERSION,
         "routes": routes,
         "services": services,
         "limits": limits,
     }
-    return json.dumps(told)
+    return json.dumps(declaration)
 
 
 class TestConfigurationOfThousandsOfRoutes:
-    """An operator adds two thousand routes, and changes some of them five times.
+    """Guards against fetches of large configurations that block the hosts' links.
 
-    Sixty-eight hosts fetched 450 KB for each change over links of 5 Mbit/s. None came
-    in the 0.6 s that a fetch may take, so that each was fetched again; requests waited
-    behind them on the links, and of 723 in two seconds 20 were in time.
+    An operator adds two thousand routes and changes some of them five times.
+    Sixty-eight hosts fetched 450 KB for each change over links of 5 Mbit/s. No fetch
+    ended within its timeout of 0.6 s, so each was repeated; requests waited behind them
+    on the links, and of 723 in two seconds 20 were in time.
     """
 
     @pytest.fixture
-    def held(self) -> PackedConfiguration:
-        """Return what a control host tells of its configuration."""
+    def packed(self) -> PackedConfiguration:
+        """Return the packed configuration that a control host serves."""
         table = ConfigurationTable()
         table.put(VersionedCommand(VERSION, configuration()))
         return table.packed_current()
 
-    def test_takes_a_tenth_of_a_second_of_a_link(
-        self, held: PackedConfiguration
+    def test_transfer_takes_less_than_a_tenth_of_a_second(
+        self, packed: PackedConfiguration
     ) -> None:
-        seconds = len(held.packed_declaration) / LINK_BYTES_A_SECOND
+        seconds = len(packed.packed_declaration) / LINK_BYTES_A_SECOND
         assert seconds < 0.1 < FETCH_SECONDS
 
-    def test_is_put_in_force(
-        self, held: PackedConfiguration, monkeypatch: pytest.MonkeyPatch
+    def test_is_applied(
+        self, packed: PackedConfiguration, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        follower = self.follower(monkeypatch, held)
+        follower = self.follower(monkeypatch, packed)
         follower.take(News("control-1", VERSION, 1))
         assert follower.table is not None
         assert (follower.version, len(follower.table.routes)) == (VERSION, ROUTES)
 
-    def test_that_is_damaged_is_left(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_is_ignored_if_damaged(self, monkeypatch: pytest.MonkeyPatch) -> None:
         damaged = PackedConfiguration(VERSION, b"no compressed text")
         follower = self.follower(monkeypatch, damaged)
         follower.take(News("control-1", VERSION, 1))
@@ -93,10 +94,10 @@
 
     @staticmethod
     def follower(
-        monkeypatch: pytest.MonkeyPatch, told: PackedConfiguration
+        monkeypatch: pytest.MonkeyPatch, packed: PackedConfiguration
     ) -> RoutesFollower:
-        """Return a follower of a control host that tells this."""
-        peer = SimpleNamespace(get_packed_configuration=lambda known: told)
+        """Return a follower of a control host that serves this configuration."""
+        peer = SimpleNamespace(get_packed_configuration=lambda known: packed)
 
         def call(operation: Callable[[Any], Any], timeout: float) -> Any:
             return operation(peer)
--- a/tests/forwarding/test_plain_requests.py
+++ b/tests/forwarding/test_plain_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are answered in one piece, with workers that fail in each way."""
+"""Plain requests, with workers that refuse, fail, hang or lose their answers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def workers(system: PlatformSystem) -> Iterator[list[PlatformWorker]]:
-    """Two workers that are there for one test, and no others."""
+    """Run two workers for one test, and no others."""
     added = [
         system.add(PlatformWorker(f"w-{next(NUMBERS)}", "plain")) for _ in range(2)
     ]
@@ -53,7 +53,7 @@
 
 
 class TestAnswer:
-    def test_comes_unchanged_with_the_mark_of_its_worker(
+    def test_is_unchanged_and_proves_its_origin(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         reply = system.ask(UNSAFE + "?a=%2F&b=1", "POST", b"body")
@@ -66,7 +66,7 @@
             b"body",
         )
 
-    def test_worker_gets_the_time_that_is_left_and_its_own_id(
+    def test_worker_gets_the_remaining_time_and_its_own_id(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         system.ask(SAFE, deadline_ms=900)
@@ -78,7 +78,7 @@
     def test_headers_that_only_the_system_sets_are_dropped(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
-        """A client that names another's memory or holds capacity must not get it."""
+        """Clients must not fetch another client's KV cache or reserve capacity."""
         sent = {"Kv-From": "1.1.1.1:1/h", "Pin-Ms": "9", "Kv-Hold": "x", "Stage": "s"}
         system.ask(SAFE, headers={**sent, "Extra": "kept"})
         run = [run for worker in workers for run in worker.runs][0]
@@ -86,8 +86,8 @@
         assert run.headers["Extra"] == "kept"
 
 
-class TestWorkerThatRefuses:
-    def test_another_one_runs_the_request(
+class TestWorkerThatRefusesRequests:
+    def test_another_worker_runs_the_request(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for _ in range(6):
@@ -96,7 +96,7 @@
             workers[0].faults.refuse = 0
         assert len(run_ids(workers)) == 6
 
-    def test_refusal_is_true_when_all_refuse(
+    def test_request_is_refused_if_all_workers_refuse(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
@@ -108,13 +108,14 @@
 
 
 class TestWorkerThatLosesItsAnswer:
-    """A worker runs a shift confirmation, and its connection ends without an answer.
+    """Guards against an unsafe request that runs twice.
 
-    Nobody knows whether it counts. Sent again, a cleaner could be sent twice; told
-    "not run", the client would send it again itself.
+    A worker runs a request, and its connection ends without an answer. Nobody knows
+    whether the request has run. It must not be sent again, and the client must not be
+    told "not run", or it would send the request again itself.
     """
 
-    def test_unsafe_request_runs_once_and_promises_nothing(
+    def test_unsafe_request_runs_once_and_fails_with_502(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
@@ -123,7 +124,7 @@
         assert reply.status == 502
         assert len(run_ids(workers)) == 1
 
-    def test_safe_request_is_answered_by_another(
+    def test_safe_request_is_answered_by_another_worker(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         workers[0].faults.lose = workers[1].faults.lose = 1
@@ -134,7 +135,7 @@
         assert second.status == 200
         assert len(run_ids(workers)) == 3
 
-    def test_attempts_of_the_route_are_not_exceeded(
+    def test_maximum_attempts_of_the_route_are_not_exceeded(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
@@ -142,14 +143,14 @@
         assert system.ask(ONCE).status == 502
         assert len(run_ids(workers)) == 1
 
-    def test_answer_that_is_cut_is_not_passed_on(
+    def test_incomplete_answer_is_not_relayed(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
             worker.faults.cut = 1
         assert system.ask(UNSAFE, "POST").status == 502
 
-    def test_own_failure_keeps_its_status_and_mark(
+    def test_failure_of_the_worker_keeps_its_status_and_stamp(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
@@ -160,10 +161,11 @@
 
 
 class TestWorkerThatAnswersTwice:
-    """A worker sends a second answer behind the first, on the same connection.
+    """Guards against answers that reach the wrong request.
 
-    The next request on that connection would get it: a board would show the line of
-    another stop. Its id tells that it is for another request.
+    A worker sends a second answer after the first on the same connection, and the next
+    request on that connection would get it. The request id in the answer shows that it
+    is for another request.
     """
 
     def test_second_answer_reaches_no_other_request(
@@ -177,7 +179,7 @@
             assert reply.status == 200
             assert reply.headers["server-stamp"].endswith(request_id)
 
-    def test_answer_without_length_ends_with_its_connection(
+    def test_answer_without_length_ends_at_the_connection_close(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         for worker in workers:
@@ -195,7 +197,7 @@
         reply = system.ask(UNSAFE, "POST", deadline_ms=600)
         assert reply.status == 504
 
-    def test_safe_request_is_sent_elsewhere_before_its_time_is_over(
+    def test_safe_request_is_sent_elsewhere_before_its_timeout(
         self, system: PlatformSystem, workers: list[PlatformWorker]
     ) -> None:
         workers[0].faults.hang = 1
@@ -204,5 +206,5 @@
 
 
 class TestNoRoute:
-    def test_is_told_with_404(self, system: PlatformSystem) -> None:
+    def test_is_answered_with_404(self, system: PlatformSystem) -> None:
         assert system.ask("/nowhere/x").status == 404
--- a/tests/forwarding/test_refused_prompts.py
+++ b/tests/forwarding/test_refused_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts that their granted reader did not read, and who is asked next."""
+"""Prompts that the granted prefill engine did not prefill, and who is asked next."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from jujubeslip.kernel import Deadline, load_plugins
 from jujubeslip.peers import EndpointRole
 from tests.fakes.engines import engine
-from tests.forwarding.test_starts import book_of, build_sender
+from tests.forwarding.test_starts import build_sender, registry_of
 
 REFUSES = EndpointRefusedError(503, "changes its role", may_have_run=False)
 CUT = AnswerCutError("closed without answer")
@@ -34,40 +34,44 @@
 
 
 class SentError(Exception):
-    """The request was sent to the engine that answers; the test needs no more."""
+    """The request was sent to the decode engine, where these tests end."""
 
 
 class Host:
-    """A forwarding host whose leader grants one reader after the other."""
+    """A forwarding host whose leader grants one prefill engine after another."""
 
     def __init__(
         self,
         monkeypatch: pytest.MonkeyPatch,
-        outcome_by_reader: dict[str, list[EndpointError | str]],
+        outcomes_by_engine: dict[str, list[EndpointError | str]],
         budget: float = 100,
     ) -> None:
-        readers = [engine(name, EndpointRole.PREFILL) for name in outcome_by_reader]
+        prefill_engines = [
+            engine(name, EndpointRole.PREFILL) for name in outcomes_by_engine
+        ]
         budgets = RetryBudgets(BudgetOptions(0.0, 10.0, budget), lambda: 1)
-        book = book_of(engine("engine"), *readers)
-        sender = replace(build_sender(book), budgets=budgets)
+        registry = registry_of(engine("engine"), *prefill_engines)
+        sender = replace(build_sender(registry), budgets=budgets)
         prompts = PromptReader(sender, True, Pressures())
         self.asked: list[str] = []
         self.granted: list[str] = []
 
-        def ask(_: object, reader: Any, __: object) -> str:
-            self.asked.append(reader.endpoint_id)
-            outcome = outcome_by_reader[reader.endpoint_id].pop(0)
+        def ask(_: object, prefill_engine: Any, __: object) -> str:
+            self.asked.append(prefill_engine.endpoint_id)
+            outcome = outcomes_by_engine[prefill_engine.endpoint_id].pop(0)
             if isinstance(outcome, EndpointError):
                 raise outcome
             return outcome
 
         monkeypatch.setattr(prompts, "_ask", ask)
-        waiting = list(readers)
+        not_granted = list(prefill_engines)
 
         def find(_: object, __: object, reads_itself: bool) -> Grant:
-            reader = None if reads_itself or not waiting else waiting.pop(0)
-            self.granted.append(reader.endpoint_id if reader else "")
-            return Grant(engine("engine"), reader, reads_itself=reads_itself)
+            prefill_engine = (
+                None if reads_itself or not not_granted else not_granted.pop(0)
+            )
+            self.granted.append(prefill_engine.endpoint_id if prefill_engine else "")
+            return Grant(engine("engine"), prefill_engine, reads_itself=reads_itself)
 
         def run(*_: object) -> None:
             raise SentError
@@ -88,24 +92,23 @@
             self._path.answer(context, Attempts())
 
 
-class TestReaderThatRefuses:
-    """A reader that changes its role refuses a prompt; another one is idle.
+class TestPrefillEngineThatRefuses:
+    """Guards against a second prefill engine that the host chooses by itself.
 
-    The host chose a second reader by itself, which was changing its role, too. The
-    request then asked for an engine that reads the prompt itself, waited for 3.2 s,
-    since that would have stopped the other answers there for too long, and was refused:
+    A prefill engine that changes its role refuses a prompt while another one is idle.
+    The second engine, chosen by the host, was changing its role, too. The request then
+    waited 3.2 s for a decode engine that prefills the prompt itself, since that would
+    have stalled the other streams there for too long, and was refused:
     `prompt not read, endpoint_refused` twice, then `no grant in time`.
     """
 
-    def test_is_left_to_the_leader_to_replace(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
+    def test_leader_grants_another_one(self, monkeypatch: pytest.MonkeyPatch) -> None:
         host = Host(monkeypatch, {"changing": [REFUSES], "idle": ["handle"]})
         host.answer()
         assert host.asked == ["changing", "idle"]
         assert host.granted == ["changing", "idle"]
 
-    def test_second_refusal_leaves_it_to_the_engine_that_answers(
+    def test_after_two_refusals_the_decode_engine_prefills(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         refusing: dict[str, list[EndpointError | str]] = {
@@ -118,7 +121,7 @@
         assert host.asked == ["one", "two"]
         assert host.granted == ["one", "two", ""]
 
-    def test_without_budget_no_second_reader_is_asked(
+    def test_without_retry_budget_no_second_one_is_asked(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         host = Host(monkeypatch, {"one": [REFUSES], "two": ["handle"]}, budget=0)
@@ -127,8 +130,8 @@
         assert host.granted == ["one", ""]
 
 
-class TestReaderWhoseAnswerIsCut:
-    """The reader has read the prompt and keeps it; only its answer was lost."""
+class TestPrefillEngineWhoseAnswerIsCut:
+    """The engine has prefilled the prompt and keeps it; only its answer was lost."""
 
     def test_is_asked_again(self, monkeypatch: pytest.MonkeyPatch) -> None:
         host = Host(monkeypatch, {"one": [CUT, "handle"], "two": ["handle"]})
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -1,4 +1,4 @@
-"""Which engines a host that decides by itself asks for room, and for how long."""
+"""Reservations by a host without a leader: which engines it asks, and how long."""
 
 from __future__ import annotations
 
@@ -57,10 +57,10 @@
 def reserve(
     *endpoints: Endpoint, busy: str = "", paused: str = "", seconds: float = 0.65
 ) -> tuple[Reservation | None, float]:
-    """Return the room that a request finds, and how long that took."""
-    book = EndpointBook()
-    book.take(endpoints)
-    sender = build_sender(book)
+    """Return the reservation that a request gets, and how long that took."""
+    registry = EndpointBook()
+    registry.take(endpoints)
+    sender = build_sender(registry)
     reservations = Reservations(sender, OPTIONS, OWN_ZONE)
     context: Any = SimpleNamespace(
         request=SimpleNamespace(request_id="r-1"),
@@ -79,10 +79,11 @@
     return found, time.monotonic() - began
 
 
-class TestZoneThatIsCutOff:
-    """A zone is cut off; its hosts decide by themselves, and know engines beyond.
+class TestPartitionedZone:
+    """Guards against time spent on silent engines of other zones.
 
-    Those are silent: each may take 0.4 s for its report, 0.4 s for a connection and as
+    The hosts of a partitioned zone have no leader and still know the engines of other
+    zones. Each of those may cost 0.4 s for its report, 0.4 s for a connection and as
     long for the reservation. Of 14 streams in the zone five were refused, after up to
     1.4 s.
     """
@@ -96,31 +97,31 @@
         assert found is not None and found.endpoint.endpoint_id == "near"
         assert seconds < 0.2
 
-    def test_a_silent_one_costs_little(
+    def test_a_silent_engine_costs_little(
         self, near: PlatformWorker, silent_address: str
     ) -> None:
-        """It may be in the own zone, too: a crash leaves it as silent."""
+        """A crashed engine of the own zone is silent, too."""
         own = at(near.address, "near", OWN_ZONE)
         silent = at(silent_address, "silent", OWN_ZONE)
         found, seconds = reserve(own, silent, busy=own.start_id)
         assert found is not None and found.endpoint.endpoint_id == "near"
         assert seconds < 0.4
 
-    def test_one_that_is_passed_over_is_asked_where_no_other_is_left(
+    def test_a_skipped_engine_is_asked_if_no_other_is_left(
         self, near: PlatformWorker
     ) -> None:
-        """The cut has ended, and all that were silent are still passed over."""
+        """The partition has ended, and engines that were silent are still skipped."""
         own = at(near.address, "near", OWN_ZONE)
         found, seconds = reserve(own, paused=own.start_id, seconds=0.3)
         assert found is not None and seconds < 0.2
 
-    def test_others_are_asked_where_the_own_zone_has_none(
+    def test_other_zones_are_asked_if_the_own_zone_has_no_engine(
         self, near: PlatformWorker
     ) -> None:
         found, _ = reserve(at(near.address, "near", OTHER_ZONE))
         assert found is not None
 
-    def test_others_are_asked_where_the_own_zone_is_full(
+    def test_other_zones_are_asked_if_the_own_zone_is_full(
         self, near: PlatformWorker
     ) -> None:
         with PlatformWorker("full", "model", "decode") as full:
@@ -133,14 +134,14 @@
 
 
 class TestReservationAtAnEngineInBackoff:
-    """Guards against reservations that are given back within an engine's backoff."""
+    """Guards against calls that release a reservation during an engine's backoff."""
 
     @pytest.mark.parametrize("backoff", ["", "3"])
-    def test_lapses_by_itself(self, near: PlatformWorker, backoff: str) -> None:
+    def test_expires_by_itself(self, near: PlatformWorker, backoff: str) -> None:
         own = at(near.address, "near", OWN_ZONE)
-        book = EndpointBook()
-        book.take([own])
-        sender = build_sender(book)
+        registry = EndpointBook()
+        registry.take([own])
+        sender = build_sender(registry)
         reservations = Reservations(sender, OPTIONS, OWN_ZONE)
         near.reservations["r1"] = 100
         refusal = read_head(503, [("Retry-After", backoff)])
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under the id that they had, with two control hosts."""
+"""Endpoints that restart under the same id, with several control hosts."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 SAFE, UNSAFE, STREAM, RESUMED = "/safe/x", "/unsafe/x", "/stream/x", "/resumed/x"
 # Events of a stream that lasts for about a second.
 LONG_STREAM = 80
-# A start that has announced itself is used within this, in seconds.
+# Time within which an announced start is used, in seconds.
 FOUND_SECONDS = 3.0
-# Announcements that a worker made before it started again.
+# Number of announcements that a worker made before its restart.
 EARLIER_ANNOUNCEMENTS = 500
 
 
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def started(system: PlatformSystem) -> Iterator[list[PlatformWorker]]:
-    """Collect what a test announces; all of it leaves with the test."""
+    """Collect the workers that a test announces, and withdraw them after the test."""
     workers: list[PlatformWorker] = []
     yield workers
     for worker in workers:
@@ -68,7 +68,7 @@
     stage: str = "",
     service: str = "plain",
 ) -> PlatformWorker:
-    """Announce a worker that has announced itself often."""
+    """Announce a worker whose announcement sequence is already high."""
     worker = PlatformWorker(
         f"w-{next(NUMBERS)}", service, stage, started_at_ms=FIRST_START_MS
     )
@@ -98,7 +98,7 @@
 
 
 def is_used(system: PlatformSystem, worker: PlatformWorker, path: str = SAFE) -> bool:
-    """Ask once, and say whether the worker ran that."""
+    """Ask once, and return whether the worker ran the request."""
     headers = PROMPT if path == STREAM else None
     system.ask(path, "POST", b"x", headers=headers, deadline_ms=900)
     return system.last_request_id in worker.run_ids()
@@ -131,11 +131,12 @@
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-class TestKilledAndBackAtOnce:
-    """An operator's container is killed, and its supervisor starts it again at once.
+class TestKilledAndRestartedAtOnce:
+    """Guards against ignoring the announcements of a restarted worker.
 
-    Users of the only worker get 503 for minutes: the announcements of the new start
-    count from 1 and are taken for late ones of the start before.
+    A container is killed, and its supervisor restarts it at once. The announcements of
+    the new start are numbered from 1 again. If they were taken for late ones of the
+    earlier start, clients of the only worker would get 503 for minutes.
     """
 
     @pytest.mark.parametrize("same_address", [True, False])
@@ -149,7 +150,7 @@
         later = restart(system, started, earlier, same_address)
         wait_used(system, later)
 
-    def test_of_several_starts_the_last_one_is_used(
+    def test_last_of_several_starts_is_used(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         worker = plain_worker(system, started)
@@ -157,27 +158,28 @@
             worker = restart(system, started, worker, same_address=False)
         wait_used(system, worker)
 
-    def test_new_start_that_reads_prompts_answers_nobody(
+    def test_new_start_as_prefill_engine_answers_no_requests(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
-        """Its stage is another one: sent there, requests would all be refused."""
+        """Requests sent to the new start, whose stage differs, would all be refused."""
         stays = add(system, started, "decode", "model")
         earlier = add(system, started, "decode", "model")
         wait_used(system, earlier, STREAM, within=8.0)
         later = restart(system, started, earlier, False, "prefill")
         wait_until(
             lambda: is_used(system, stays, STREAM) and bool(later.prompts_read),
-            "the new start reads prompts",
+            "the new start prefills prompts",
             8.0,
         )
         assert later.runs == []
 
 
-class TestBackWhileItWasLeaving:
-    """A worker says that it leaves, and its next start has the same id.
+class TestRestartedWhileLeaving:
+    """Guards against applying the leaving of one start to the next.
 
-    Its users wait for minutes: leaving is never taken back, and the new start gets
-    nothing for as long as the leaving of the one before is remembered.
+    A worker announces that it leaves, and its next start has the same id. Leaving is
+    never withdrawn, so the new start would get no requests for minutes, as long as the
+    leaving of the earlier start is remembered.
     """
 
     @pytest.mark.parametrize("removed", [True, False])
@@ -192,10 +194,12 @@
         wait_used(system, later)
 
 
-class TestLateNewsOfTheEarlierStart:
-    """Calls of a start that is gone arrive at another control host after the next one.
+class TestLateCallsOfTheEarlierStart:
+    """Guards against late calls that change the state of the new start.
 
-    The new start is told to leave, or requests go to the address of before.
+    Calls of an ended start reach another control host after the first calls of the next
+    start. The new start would be marked as leaving, or requests would go to the earlier
+    address.
     """
 
     @pytest.mark.parametrize("state", ["ready", "draining"])
@@ -210,10 +214,10 @@
         asked = [is_used(system, later) for _ in range(5)]
         assert asked == [True] * 5
 
-    def test_removal_keeps_the_new_start_out_for_seconds_only(
+    def test_removal_excludes_the_new_start_for_seconds_only(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
-        """A removal names no start, so that it may be the new start's own."""
+        """The removal names no start, so it may be a call of the new start itself."""
         earlier = plain_worker(system, started)
         later = restart(system, started, earlier)
         wait_used(system, later)
@@ -221,7 +225,7 @@
         assert not is_used(system, later)
         wait_used(system, later, within=16.0)
 
-    def test_removal_that_tells_its_start_changes_nothing(
+    def test_removal_that_names_its_start_changes_nothing(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         earlier = plain_worker(system, started)
@@ -231,7 +235,7 @@
         time.sleep(0.3)
         assert [is_used(system, later) for _ in range(5)] == [True] * 5
 
-    def test_own_removal_of_the_new_start_counts(
+    def test_removal_by_the_new_start_itself_takes_effect(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         later = restart(system, started, plain_worker(system, started))
@@ -239,7 +243,7 @@
         system.withdraw(later)
         assert system.leave(later, control=2) == 200
         for _ in range(6):
-            # It goes on announcing itself until it exits.
+            # It continues to announce itself until it exits.
             assert system.beat(later) == 200
             time.sleep(0.5)
             assert not is_used(system, later)
@@ -247,9 +251,9 @@
 
 
 class TestUnsafeRequest:
-    """A worker is killed over a shift confirmation, and is back before its client is.
+    """Guards against an unsafe request that runs at both starts of a worker.
 
-    Sent again to the new start, a cleaner could be sent twice.
+    A worker is killed while it runs the request and restarts before the client retries.
     """
 
     def test_runs_once_over_both_starts(
@@ -269,16 +273,17 @@
 
 
 class TestStreamInProgress:
-    """An engine is killed in the middle of a summary, and is back at once.
+    """Guards against streams that start from the beginning after a restart.
 
-    Its next start knows nothing of the summary. Begun anew there, its reader would see
-    the same lines twice.
+    An engine is killed in the middle of a stream and restarts at once. Its next start
+    knows nothing of the stream; if it began again there, the client would get the same
+    events twice.
     """
 
     def stream_over_a_restart(
         self, system: PlatformSystem, started: list[PlatformWorker], path: str
     ) -> tuple[Reply, PlatformWorker, PlatformWorker]:
-        """Kill the engine in the middle of a stream; return it, and its next start."""
+        """Kill the engine in mid-stream; return the reply, it, and its next start."""
         add(system, started, "prefill", "model")
         engine = add(system, started, "decode", "model")
         engine.events = LONG_STREAM
@@ -304,7 +309,7 @@
             }
         return by_id[run], engine, later
 
-    def test_runs_once_where_it_cannot_be_resumed(
+    def test_runs_once_if_it_is_not_resumable(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         reply, engine, later = self.stream_over_a_restart(system, started, STREAM)
@@ -314,7 +319,7 @@
         ran = [run for worker in started for run in worker.run_ids()]
         assert ran.count(request_id) == 1
 
-    def test_goes_on_behind_its_last_event_where_it_can(
+    def test_resumes_after_its_last_event_if_it_is_resumable(
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         reply, engine, later = self.stream_over_a_restart(system, started, RESUMED)
@@ -330,10 +335,11 @@
         assert [bool(run.headers.get("Last-Event-Id")) for run in resumed] == [True]
 
 
-class TestLeaderThatChanges:
-    """The control host that leads dies just as an engine starts again.
+class TestChangeOfTheLeader:
+    """Guards against a new leader that grants the earlier start of an engine.
 
-    The next leader knows of the earlier start, too, and would grant that.
+    The leading control host dies just when an engine restarts. The next leader knows
+    the earlier start, too.
     """
 
     def test_new_start_of_an_engine_gets_grants(
--- a/tests/forwarding/test_return_times.py
+++ b/tests/forwarding/test_return_times.py
@@ -1,4 +1,4 @@
-"""When clients are told to come back that found no room."""
+"""Retry-After times of requests that found no free capacity."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 )
 from jujubeslip.forwarding._stream_path import no_capacity_refusal
 
-# How long each of a burst's refused requests was expected to wait, in seconds: the
-# queue of a recorded burst, in which grants came at 11.5 a second.
+# Forecast waits of the refused requests of a recorded burst, in seconds: their places
+# in the queue, with 11.5 grants a second.
 FORECASTS = [place / 11.5 for place in range(8, 48)]
 
 
 class TestBurstOfRefusals:
-    """Forty summaries are refused within a moment, and come back as one crowd.
+    """Guards against clients that all retry at the same moment.
 
-    All were told 1.5 s: in the log of a burst, seven requests that had been refused
-    stood in the queue again within 20 ms, were late by then, and held up each other.
+    Forty streams are refused at once. When all got a Retry-After of 1.5 s, seven
+    refused requests of a burst were queued again within 20 ms, were late by then, and
+    delayed each other.
     """
 
-    def test_clients_come_back_one_after_another(self) -> None:
-        lots = random.Random(1)
-        told = [return_seconds(forecast, lots.random()) for forecast in FORECASTS]
-        returns_by_tenth = Counter(int(seconds * 10) for seconds in told)
-        assert max(returns_by_tenth.values()) <= 11
+    def test_clients_retry_one_after_another(self) -> None:
+        positions = random.Random(1)
+        times = [return_seconds(forecast, positions.random()) for forecast in FORECASTS]
+        retries_by_tenth = Counter(int(seconds * 10) for seconds in times)
+        assert max(retries_by_tenth.values()) <= 11
 
-    def test_refusal_tells_the_time_from_the_forecast(self) -> None:
+    def test_refusal_takes_the_time_from_the_forecast(self) -> None:
         attempts = Attempts()
         attempts.note_no_room("no grant in time", 4.0)
         seconds = no_capacity_refusal(attempts).retry_after
@@ -42,7 +43,7 @@
         assert abs(seconds - 4.0) <= 4.0 * SPREAD_SHARE
 
 
-class TestReturnSeconds:
+class TestRetryAfterSeconds:
     @pytest.mark.parametrize(
         ("forecast", "middle"),
         [
@@ -59,8 +60,8 @@
         assert return_seconds(forecast, 0.0) == middle * (1 - SPREAD_SHARE)
         assert return_seconds(forecast, 1.0) == middle * (1 + SPREAD_SHARE)
 
-    def test_show_that_the_client_asked_before(self) -> None:
-        """The time that it has lost by then is more than its own patience explains."""
+    def test_show_that_the_client_is_retrying(self) -> None:
+        """The time lost by then is more than a short client timeout explains."""
         timeout_seconds = 14.0
         earliest = return_seconds(0.0, 0.0)
         assert earliest >= CLIENT_RETRY_SHARE * timeout_seconds
--- a/tests/forwarding/test_starts.py
+++ b/tests/forwarding/test_starts.py
@@ -1,4 +1,4 @@
-"""What an entry host keeps of one start of an endpoint says nothing of the next."""
+"""State kept for one start of an endpoint is not used for its next start."""
 
 from __future__ import annotations
 
@@ -51,17 +51,17 @@
     address: str = "127.0.0.1:1",
     endpoint_id: str = "engine",
 ) -> Endpoint:
-    told = engine(endpoint_id, role, started_at_ms=started_at_ms)
-    return replace(told, address=address)
+    announced = engine(endpoint_id, role, started_at_ms=started_at_ms)
+    return replace(announced, address=address)
 
 
-def book_of(*endpoints: Endpoint) -> EndpointBook:
-    book = EndpointBook()
-    book.take(endpoints)
-    return book
+def registry_of(*endpoints: Endpoint) -> EndpointBook:
+    registry = EndpointBook()
+    registry.take(endpoints)
+    return registry
 
 
-def build_sender(book: EndpointBook) -> Sending:
+def build_sender(registry: EndpointBook) -> Sending:
     health = EndpointHealth()
     crash_book, harmless = CrashBook(), HarmlessContents()
     contact = LeaderContact(PeerIdentity("host", 1, "secret"), lambda _: False)
@@ -69,100 +69,102 @@
     return Sending(
         interfaces.get("platform"),
         ConnectionPool(),
-        Chooser(book, health, LeastCost(health, "zone-1"), 10.0),
+        Chooser(registry, health, LeastCost(health, "zone-1"), 10.0),
         health,
         RetryBudgets(BudgetOptions(0.1, 10.0, 100), lambda: 1),
-        CrashWatch(book, crash_book, harmless, lambda: None),
+        CrashWatch(registry, crash_book, harmless, lambda: None),
         Quarantine(crash_book, harmless),
         EndpointLimits(charges, "host", lambda: 1),
     )
 
 
-class TestStartThatWasPassedOver:
-    """An endpoint dies, another one answers at its address, and it starts again.
+class TestStartThatWasSkipped:
+    """Guards against skipping an endpoint for failures of its earlier start.
 
-    Passed over by its id, the new start would get nothing for an hour.
+    An endpoint dies, another one answers at its address, and it starts again. If it
+    were skipped by its endpoint id, the new start would get no requests for an hour.
     """
 
     def test_next_start_is_used(self) -> None:
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
-        book = book_of(earlier)
-        sender = build_sender(book)
+        registry = registry_of(earlier)
+        sender = build_sender(registry)
         sender.health.note_replaced(earlier.start_id)
         sender.health.note_failure(earlier.start_id)
         assert sender.chooser.choose_healthy("model", EndpointRole.DECODE) is None
-        book.take([later])
+        registry.take([later])
         found = sender.chooser.choose_healthy("model", EndpointRole.DECODE)
         assert found is not None and found.start_id == later.start_id
         assert sender.health.failure_share(later.start_id) == 0
 
-    def test_request_that_it_refused_may_go_to_the_next(self) -> None:
+    def test_request_that_it_refused_may_go_to_the_next_start(self) -> None:
         earlier = start(FIRST)
-        book = book_of(earlier)
-        chooser = build_sender(book).chooser
+        registry = registry_of(earlier)
+        chooser = build_sender(registry).chooser
         tried = {earlier.start_id}
         assert chooser.choose("model", EndpointRole.DECODE, tried) is None
-        book.take([start(SECOND)])
+        registry.take([start(SECOND)])
         assert chooser.choose("model", EndpointRole.DECODE, tried) is not None
 
 
 class TestGrantAtAnotherStart:
-    """The leader and this host have not heard of the same starts of an engine.
+    """Guards against requests sent to a start other than the granted one.
 
-    Sent there all the same, the request would go to an address of before, or to a
-    start whose memory the leader has counted for the one before.
+    The leader and this host know different starts of an engine. The request would go to
+    an outdated address, or to a start whose memory the leader has not accounted for.
     """
 
-    @pytest.mark.parametrize(("granted", "heard"), [(FIRST, SECOND), (SECOND, FIRST)])
-    def test_is_given_back(self, granted: int, heard: int) -> None:
+    @pytest.mark.parametrize(("granted", "known"), [(FIRST, SECOND), (SECOND, FIRST)])
+    def test_is_returned(self, granted: int, known: int) -> None:
         class LeaderOfThatStart(Leader):
             def ask(self, *_: object) -> AdmissionAnswer:
                 return AdmissionAnswer(start(granted).start_id, "", 0.0, 0.1)
 
         leader = LeaderOfThatStart()
-        assert find(book_of(start(heard)), leader) is None
+        assert find(registry_of(start(known)), leader) is None
         assert leader.ended == [("r-1", 0)]
 
 
 class TestReservationOfTheEarlierStart:
-    """An engine with a reservation is killed, and its next start counts from one.
+    """Guards against releasing the reservation of another request.
 
-    Given back there, the same name would take the room of another request.
+    An engine with a reservation is killed, and its next start numbers reservations from
+    one again. A release there would free the reservation with the same token.
     """
 
     @pytest.mark.parametrize("known", [True, False])
-    def test_is_not_given_back_to_the_next(self, known: bool) -> None:
+    def test_is_not_released_at_the_next_start(self, known: bool) -> None:
         with PlatformWorker("engine", "model", "decode") as worker:
             worker.reservations["r1"] = 500
             earlier = start(FIRST, address=worker.address)
-            book = book_of(earlier)
+            registry = registry_of(earlier)
             if known:
-                book.take([start(SECOND, address=worker.address)])
+                registry.take([start(SECOND, address=worker.address)])
             options = MemoryOptions(margin=0.05, caution=1.5)
             context: Any = SimpleNamespace(
                 request=SimpleNamespace(request_id="r"), gone=lambda: False
             )
-            reservations = Reservations(build_sender(book), options, "zone-1")
+            reservations = Reservations(build_sender(registry), options, "zone-1")
             reservations.release(context, Reservation(earlier, "r1"))
             assert ("r1" in worker.reservations) is known
 
 
 class TestReportOfAnotherStart:
     @pytest.mark.parametrize("reports", [FIRST, SECOND, None])
-    def test_is_not_taken(self, reports: int | None) -> None:
-        """The next start answers at the same address, by the same id."""
+    def test_is_not_used(self, reports: int | None) -> None:
+        """The next start answers at the same address under the same id."""
         worker = PlatformWorker("engine", "model", "decode", started_at_ms=reports)
         with worker:
             earlier = start(FIRST, address=worker.address)
-            kept = EngineReports(build_sender(book_of(earlier)))
+            kept = EngineReports(build_sender(registry_of(earlier)))
             context: Any = SimpleNamespace(gone=lambda: False)
             taken = kept.get(context, earlier)
             assert (taken is None) is (reports == SECOND)
 
 
 class TestConnectionToTheEarlierStart:
-    def test_is_not_used_for_the_next(self) -> None:
-        """A request sent over it would be lost, and may have run for all one knows."""
+    def test_is_not_used_for_the_next_start(self) -> None:
+        """A request sent over it would be lost, with unknown outcome."""
         with PlatformWorker("engine", "model", "decode") as worker:
             earlier = start(FIRST, address=worker.address)
             later = start(SECOND, address=worker.address)
@@ -175,9 +177,9 @@
             fresh.close()
             kept.close()
 
-    def test_is_kept_for_that_one_alone(self) -> None:
+    def test_is_kept_for_its_own_start_only(self) -> None:
         with PlatformWorker("engine", "model", "decode") as worker:
-            sender = build_sender(book_of())
+            sender = build_sender(registry_of())
             for started_at_ms in (FIRST, FIRST, SECOND):
                 asked = start(started_at_ms, address=worker.address)
                 question = sender.interface.ask_report("engine")
@@ -187,11 +189,11 @@
 
 
 class FailingExchange:
-    """Notes the call, lets something happen, and reaches nobody."""
+    """Records the call, runs a callback, and fails as unreachable."""
 
-    def __init__(self, calls: list[EndpointCall], happens: Any) -> None:
+    def __init__(self, calls: list[EndpointCall], callback: Any) -> None:
         self._calls = calls
-        self._happens = happens
+        self._callback = callback
 
     def __enter__(self) -> Self:
         return self
@@ -206,37 +208,39 @@
 
     def call(self, call: EndpointCall, deadline: Deadline) -> None:
         self._calls.append(call)
-        self._happens()
+        self._callback()
         raise EndpointUnreachableError("nobody there")
 
 
-class TestPromptThatTheEarlierStartRead:
-    """An engine reads a prompt, and starts again before it is fetched.
+class TestPromptPrefilledByTheEarlierStart:
+    """Guards against answers made from another request's prompt.
 
-    The engine that was to answer can't be reached, and another one is granted then.
-    By the same handle, the next start may keep another request's prompt: a passenger
-    would read the answer to somebody else.
+    A prefill engine restarts before the decode engine fetches the KV cache; the decode
+    engine is unreachable, and another one is granted. Under the same handle, the next
+    start may hold another request's prompt, and the client would get its answer.
     """
 
     @pytest.mark.parametrize("restarts", [True, False])
-    def test_is_not_fetched_from_the_next(
+    def test_is_not_fetched_from_the_next_start(
         self, monkeypatch: pytest.MonkeyPatch, restarts: bool
     ) -> None:
-        reader = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
+        prefill_engine = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
         later = start(SECOND, EndpointRole.PREFILL, endpoint_id="reader")
-        book = book_of(reader, start(FIRST))
-        sender = build_sender(book)
+        registry = registry_of(prefill_engine, start(FIRST))
+        sender = build_sender(registry)
         prompts = PromptReader(sender, True, Pressures())
-        monkeypatch.setattr(prompts, "prefill", lambda *_: PromptLocation(reader, "h1"))
+        monkeypatch.setattr(
+            prompts, "prefill", lambda *_: PromptLocation(prefill_engine, "h1")
+        )
         calls: list[EndpointCall] = []
         asked: list[bool] = []
 
         def grant(_: object, __: object, reads_itself: bool) -> Grant:
             asked.append(reads_itself)
             answers = start(FIRST, endpoint_id=f"engine-{len(asked)}")
-            return Grant(answers, None if reads_itself else reader)
+            return Grant(answers, None if reads_itself else prefill_engine)
 
-        happens = (lambda: book.take([later])) if restarts else (lambda: None)
+        callback = (lambda: registry.take([later])) if restarts else (lambda: None)
         stubbed: Any = SimpleNamespace(
             is_open=lambda *_: len(calls) < 2,
             may_send=lambda *_: True,
@@ -247,7 +251,7 @@
             charge_endpoint_limit=lambda *_: True,
             is_on_hold=lambda *_: False,
             refusal=sender.refusal,
-            exchange=lambda *_: FailingExchange(calls, happens),
+            exchange=lambda *_: FailingExchange(calls, callback),
         )
         grants: Any = SimpleNamespace(find=grant)
         context: Any = SimpleNamespace(
@@ -260,37 +264,39 @@
         path = StreamPath(stubbed, prompts, grants)
         with pytest.raises(RequestRefusedError):
             path.answer(context, Attempts())
-        location = f"{reader.address}/h1"
+        location = f"{prefill_engine.address}/h1"
         assert [call.prompt_at for call in calls] == [
             location,
             "" if restarts else location,
         ]
-        # Nobody has it any more: the leader is asked for an engine that reads it.
+        # No engine has it any more, so the grant has to be for an engine that prefills
+        # it.
         assert asked == ([False, False, True] if restarts else [False, False])
 
 
-class TestEngineThatStartsAgainWhileThePromptIsRead:
-    """An engine is granted, and is back at another address before the prompt is read.
+class TestEngineThatRestartsDuringThePrefill:
+    """Guards against requests sent to the earlier address of a restarted engine.
 
-    Sent to the address of before, the request waits for a connection in vain, or
-    reaches whoever has that address now.
+    A granted engine restarts at another address before the prefill is done. At the
+    earlier address the request would wait for a connection that cannot be opened, or
+    reach another endpoint that has this address now.
     """
 
     def test_gets_nothing_at_its_earlier_address(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        reader = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
+        prefill_engine = start(FIRST, EndpointRole.PREFILL, endpoint_id="reader")
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
-        book = book_of(reader, earlier)
-        sender = build_sender(book)
+        registry = registry_of(prefill_engine, earlier)
+        sender = build_sender(registry)
         prompts = PromptReader(sender, True, Pressures())
 
         def read(*_: object) -> PromptLocation:
-            book.take([later])
-            return PromptLocation(reader, "h1")
+            registry.take([later])
+            return PromptLocation(prefill_engine, "h1")
 
         monkeypatch.setattr(prompts, "prefill", read)
-        given = [Grant(earlier, reader), Grant(later, reader)]
+        given = [Grant(earlier, prefill_engine), Grant(later, prefill_engine)]
         calls: list[EndpointCall] = []
         sent_to: list[str] = []
 
--- a/tests/forwarding/test_stops.py
+++ b/tests/forwarding/test_stops.py
@@ -26,13 +26,16 @@
 
 
 class TestRequestOverAnIdleConnection:
-    """A dispatcher's connection was idle when its host was told to stop.
+    """Guards against a stopping host that accepts a request it cannot finish.
 
-    Six seconds later, while the host still finishes an open stream, a new summary is
-    asked for over it. The host takes it, and ends a second later in its middle.
+    A client's connection is idle when its host is told to stop. Six seconds later,
+    while the host still finishes an open stream, a new request arrives over it. The
+    host accepted it and exited a second later in the middle of the answer.
     """
 
-    def test_is_refused_once_the_balancer_knows(self, tmp_path: Path) -> None:
+    def test_is_refused_once_the_load_balancer_has_noticed(
+        self, tmp_path: Path
+    ) -> None:
         with PlatformSystem(tmp_path) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
             worker = system.add(PlatformWorker("w-1", "plain"))
@@ -47,7 +50,7 @@
                 system.entries[0].signal(signal.SIGTERM)
                 wait_until(
                     lambda: "no further requests" in system.entries[0].output(),
-                    "the host takes no more",
+                    "the host accepts no more",
                 )
                 idle.request("GET", "/slow/x", headers={"Host": HOST})
                 response = idle.getresponse()
@@ -58,15 +61,15 @@
             assert (refusal["error"], refusal["ran"]) == ("entry_stopping", "no")
 
 
-class TestRequestInTheLastMoment:
-    """A board polls over a kept connection while its host ends.
+class TestRequestDuringTheExit:
+    """Guards against requests that a host forwards just before it exits.
 
-    The host has no open request left, decides to end, and then reads the poll and
-    sends it on. The process ends 10 ms later, and the board's confirmation is lost
-    though its endpoint was at work on it.
+    A client polls over a kept connection. The host has no open request left, decides to
+    exit, and then reads the poll and forwards it. The process exits 10 ms later, and
+    the answer is lost though an endpoint is running the request.
     """
 
-    def test_is_refused_and_not_sent_on(self) -> None:
+    def test_is_refused_and_not_forwarded(self) -> None:
         open_requests = OpenRequests(10)
         assert open_requests.try_enter()
         open_requests.close()
@@ -99,7 +102,7 @@
 
 
 def poll(address: str) -> int:
-    """Ask over kept connections until none can be opened; return how often 200 came."""
+    """Poll over kept connections until none can be opened; count the answers of 200."""
     answered = 0
     while True:
         connection = http.client.HTTPConnection(address, timeout=10)
@@ -110,7 +113,7 @@
         try:
             answered += poll_over(connection)
         except (OSError, http.client.HTTPException):
-            # The host ended before it read the request, or closed as it had said.
+            # The host exited before it read the request, or closed as announced.
             continue
         finally:
             connection.close()
@@ -126,11 +129,10 @@
 
 
 class TestPlannedStop:
-    """The platform stops hosts one after the other while boards poll.
+    """Guards against requests lost in a rolling stop of the hosts under load.
 
-    A host that ends at once cuts its open requests off; one that still says that it
-    is ready gets new ones; one that doesn't announce the close of its connections
-    meets requests that cross it.
+    A host that exits at once breaks off its open requests; one that still reports ready
+    gets new ones; one that closes connections unannounced loses requests in transit.
     """
 
     def test_open_request_is_answered_and_the_close_announced(
@@ -148,17 +150,19 @@
                 )
                 wait_until(lambda: len(worker.runs) > before, "the request runs")
                 system.entries[0].signal(signal.SIGTERM)
-                wait_until(lambda: not system.ready(), "not ready any more")
+                wait_until(lambda: not system.ready(), "the host is not ready any more")
                 reply = open_request.result()
             assert (reply.status, reply.whole) == (200, True)
             assert reply.headers["connection"] == "close"
             process = system.entries[0].process
             assert process is not None and process.wait() == 0
 
-    def test_ends_within_its_limit_though_a_request_hangs(self, tmp_path: Path) -> None:
-        """A worker is silent; the platform would kill the process at its limit.
+    def test_exits_within_its_limit_though_a_request_hangs(
+        self, tmp_path: Path
+    ) -> None:
+        """A worker is silent, and the platform would kill the process at its limit.
 
-        Killed, it would cut off all other answers that are still on their way.
+        The kill would break off all other answers that are still in transit.
         """
         with PlatformSystem(tmp_path, stop_limit_ms=4000) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
@@ -173,7 +177,7 @@
                 process = system.entries[0].process
                 assert process is not None and process.wait() == 0
 
-    def test_reload_signal_ends_nothing(self, tmp_path: Path) -> None:
+    def test_reload_signal_does_not_stop_the_host(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path) as system:
             system.put_until_accepted(configuration(1, ROUTES, [PLAIN]))
             system.add(PlatformWorker("w-1", "plain"))
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: room first, then the prompt, then events in order to their end."""
+"""Forwarded streams: the grant, the prefill, and all events in order."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture(scope="module", params=[True, False], ids=["leader", "alone"])
 def asks_leader(request: pytest.FixtureRequest) -> bool:
-    """Say whether the leader gives grants, or each host asks the engines itself."""
+    """Return whether the leader gives grants, or each host asks the engines itself."""
     return bool(request.param)
 
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Engines:
-    """One engine that reads prompts, and two that answer."""
+    """One prefill engine and two decode engines."""
 
     prefill: PlatformWorker
     decode: tuple[PlatformWorker, PlatformWorker]
@@ -108,8 +108,8 @@
     return [int(line[4:]) for line in lines if line.startswith("id: ")]
 
 
-class TestWholePath:
-    def test_room_is_taken_before_the_prompt_is_read(
+class TestCompleteStream:
+    def test_capacity_is_reserved_before_the_prompt_is_prefilled(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         reply = ask(system)
@@ -125,17 +125,17 @@
             wait_until(was_granted, "the grant is on record")
         assert runner.runs[0].headers["Kv-From"].startswith(engines.prefill.address)
 
-    def test_no_prompt_is_read_while_no_engine_has_room(
+    def test_no_prompt_is_prefilled_while_no_engine_has_capacity(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
-        """A prompt that is read for an engine without room is read in vain."""
+        """Prefilling a prompt for an engine without free capacity is wasted work."""
         for worker in engines.decode:
             worker.faults.no_room = 3
         reply = ask(system)
         assert reply.whole
         assert len(engines.prefill.prompts_read) == 1
 
-    def test_room_that_was_reserved_is_given_back(
+    def test_reservation_is_released(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         ask(system)
@@ -143,12 +143,13 @@
 
 
 class TestEngineThatChangesItsRole:
-    """An engine is ordered to answer, and refuses prompts until the change is done.
+    """Guards against prefills at a decode engine while a prefill engine is available.
 
-    Read by an engine that answers, the prompt would make all its answers stand still.
+    A prefill engine that is ordered to become a decode engine refuses prompts until the
+    change is done. A prefill at a decode engine would stall all its streams.
     """
 
-    def test_another_engine_reads_the_prompt(
+    def test_another_engine_prefills_the_prompt(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         other = PlatformWorker(f"e-{next(NUMBERS)}", "model", "prefill")
@@ -168,11 +169,11 @@
 
 
 class TestPromptWhoseAnswerIsLost:
-    """The only engine that reads prompts reads one, and its answer is lost on the way.
+    """Guards against a prefill at the decode engine after a lost prefill answer.
 
-    An engine that answers would need three times as long, and stop all its answers for
-    that. The engine that has read the prompt still has most of it: asked once more, it
-    answers soon.
+    The only prefill engine prefills a prompt, and its answer is lost in transit. A
+    decode engine would need three times as long and stall all its streams meanwhile.
+    The prefill engine still has most of the prompt: asked again, it answers soon.
     """
 
     def test_is_asked_for_again_at_the_same_engine(
@@ -186,11 +187,12 @@
         assert "Kv-From" in run.headers
 
 
-class TestReaderThatStopsAnswering:
-    """An engine takes a prompt and says nothing any more; its address still connects.
+class TestPrefillEngineThatStopsAnswering:
+    """Guards against waiting for a silent prefill engine until the stream is late.
 
-    Waited for as long as reading could take at worst, the summary's first words would
-    be late. It is left, and told so by the closed connection.
+    An engine takes a prompt and sends nothing any more, though its address still
+    accepts connections. Waiting for the longest possible prefill would make the first
+    event late, so the host closes the connection, which also informs the engine.
     """
 
     def test_is_left_before_the_answer_is_late(
@@ -201,14 +203,15 @@
         assert len(engines.prefill.gone_clients) == 1
 
 
-class TestPromptThatNobodyReads:
-    """Each answer of the only engine that reads prompts is lost.
+class TestPromptWhosePrefillAlwaysFails:
+    """Guards against a prefill at a decode engine that the leader does not know of.
 
-    The answering engine reads the prompt itself. Where the leader gives grants, it has
-    to know of that: two such prompts in a row would stop all answers of the engine.
+    Each answer of the only prefill engine is lost, so the decode engine prefills the
+    prompt itself. If the leader gives grants, it has to grant that: two such prompts in
+    a row would stall all streams of the engine.
     """
 
-    def test_is_read_by_the_answering_engine_with_a_grant_for_that(
+    def test_is_prefilled_by_the_decode_engine_with_a_grant_for_that(
         self, system: PlatformSystem, engines: Engines, asks_leader: bool
     ) -> None:
         given_before = grants_at(system, engines)
@@ -226,13 +229,14 @@
             assert system.logged("grant at an engine")[-1]["reader_id"] == ""
 
 
-class TestPromptThatLapsed:
-    """The memory of a prompt is gone when the answering engine fetches it.
+class TestPromptThatExpired:
+    """Guards against losing a request whose prefilled KV cache has expired.
 
-    The request has not run; the engine can read the prompt itself, more slowly.
+    The decode engine finds no KV cache when it fetches the prompt. The request has not
+    run, and the engine can prefill the prompt itself, more slowly.
     """
 
-    def test_answering_engine_reads_it_itself(
+    def test_decode_engine_prefills_it_itself(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         for worker in engines.decode:
@@ -244,13 +248,14 @@
 
 
 class TestStreamThatBreaksOff:
-    """An engine dies in the middle of an event of a rider summary.
+    """Guards against garbled or silently truncated streams.
 
-    A client that took the rest of that event from another engine, or an event twice,
-    would show garbled text; one that took the cut for the end would lose the detour.
+    An engine dies in the middle of an event. A client that got the rest of that event
+    from another engine, or an event twice, would show garbled text; one that took the
+    cut for the regular end would lose a part of the text.
     """
 
-    def test_goes_on_behind_the_last_whole_event(
+    def test_resumes_after_the_last_whole_event(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         for worker in engines.decode:
@@ -261,11 +266,11 @@
         assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5] or not reply.whole
         assert event_ids(reply) == sorted(set(event_ids(reply)))
 
-    def test_other_engine_finishes_it(
+    def test_is_finished_by_another_engine(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         def is_finished_elsewhere() -> bool:
-            """Ask once; say whether the engine that breaks off had the stream."""
+            """Ask once; return whether the engine that breaks off had the stream."""
             for worker in engines.decode:
                 worker.runs.clear()
             engines.decode[0].faults.cut_stream_after = 3
@@ -274,9 +279,9 @@
             assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
             return len(engines.runs()) == 2
 
-        wait_until(is_finished_elsewhere, "a stream goes on at the other engine")
+        wait_until(is_finished_elsewhere, "a stream resumes at the other engine")
 
-    def test_does_not_look_complete_where_it_may_not_go_on(
+    def test_does_not_look_complete_if_it_is_not_resumable(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         for worker in engines.decode:
@@ -288,13 +293,13 @@
 
 
 class TestRunThatLosesItsAnswer:
-    """An engine closes before the first event, while the others have no room.
+    """Guards against waiting for capacity that the request must not use.
 
-    The request may have run and may not run again. Its client must not wait for room
-    that it can't use.
+    An engine closes the connection before the first event. The request may have run and
+    must not run again, so its client must not wait for another grant.
     """
 
-    def test_is_answered_without_asking_for_room_again(
+    def test_is_answered_without_asking_for_capacity_again(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         given_before = grants_at(system, engines)
@@ -304,22 +309,23 @@
         assert reply.status == 502
         for worker in engines.decode:
             worker.faults.lose = 0
-        # One more request, whose room is asked for after all that of the first one.
+        # The capacity of this request is asked for after all that of the first one.
         assert ask(system).status == 200
 
         def asked() -> int:
             own = [worker.questions.count("reserve") for worker in engines.decode]
             return sum(own) + grants_at(system, engines) - given_before
 
-        wait_until(lambda: asked() >= 2, "room for both is on record")
+        wait_until(lambda: asked() >= 2, "capacity for both is on record")
         assert asked() == 2
 
 
-class TestStreamThatStandsStill:
-    """An engine pushes a summary out of its memory and reads its prompt again.
+class TestStalledStream:
+    """Guards against giving up a stream whose engine recomputes its prompt.
 
-    The stream is silent for a second or two; no other engine has room. Left for that
-    silence, the summary would be lost though its engine goes on with it.
+    An engine evicts a running request and prefills its prompt again. The stream is
+    silent for a second or two, and no other engine has free capacity. If the host gave
+    it up, the answer would be lost though its engine continues it.
     """
 
     def test_is_waited_for(self, system: PlatformSystem, engines: Engines) -> None:
@@ -331,19 +337,20 @@
 
 
 class TestEngineThatFallsSilent:
-    """A zone is cut off, and an engine beyond its border sends no more events.
+    """Guards against waiting for an engine behind a network partition.
 
-    Its connection stays open. Waited for, the client leaves after a pause of 3.6 s: in
-    one cut seven streams ended so.
+    An availability zone is partitioned, and an engine in another zone sends no more
+    events while its connection stays open. The client leaves after a pause of 3.6 s;
+    seven streams ended so in one partition.
     """
 
     SILENT_SECONDS = 6.0
 
-    def test_is_left_while_the_client_still_waits(
+    def test_is_abandoned_while_the_client_still_waits(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         def is_finished_elsewhere() -> bool:
-            """Ask once; say whether the engine that falls silent had the stream."""
+            """Ask once; return whether the silent engine had the stream."""
             for worker in engines.decode:
                 worker.runs.clear()
             silent = engines.decode[0]
@@ -355,13 +362,13 @@
             assert time.monotonic() - began < self.SILENT_SECONDS
             return len(engines.runs()) == 2
 
-        wait_until(is_finished_elsewhere, "a stream goes on at the other engine")
+        wait_until(is_finished_elsewhere, "a stream resumes at the other engine")
 
-    def test_is_left_before_its_first_event(
+    def test_is_abandoned_before_its_first_event(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         def is_answered_elsewhere() -> bool:
-            """Ask once; say whether the engine that falls silent had the stream."""
+            """Ask once; return whether the silent engine had the stream."""
             for worker in engines.decode:
                 worker.runs.clear()
             engines.decode[0].run_seconds = self.SILENT_SECONDS
@@ -372,7 +379,7 @@
 
         wait_until(is_answered_elsewhere, "the stream starts at the other engine")
 
-    def test_is_waited_for_where_its_stream_may_not_go_on(
+    def test_is_waited_for_if_its_stream_is_not_resumable(
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         for worker in engines.decode:
@@ -382,11 +389,8 @@
         assert len(engines.runs()) == 1
 
 
-class TestClientThatLeaves:
-    """A dispatcher closes the page while the summary is being written.
-
-    The engine's memory must not stay held for a caller who is gone.
-    """
+class TestClientThatDisconnects:
+    """Guards against engine memory that stays in use for a disconnected client."""
 
     def test_engine_stops_within_half_a_second(
         self, system: PlatformSystem, engines: Engines
@@ -402,7 +406,7 @@
         connection.close()
         wait_until(
             lambda: any("left" in worker.gone_clients for worker in engines.decode),
-            "the engine sees its caller go",
+            "the engine notices the disconnect",
         )
         for worker in engines.decode:
             worker.events = 5
--- a/tests/forwarding/test_streams_after_restart.py
+++ b/tests/forwarding/test_streams_after_restart.py
@@ -1,4 +1,4 @@
-"""Equal streams beside a fatal content, just after all hosts have started anew."""
+"""Equal streams beside a crashing request, just after a restart of all hosts."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 
-FATAL, EQUAL = b"this ends the process", b"poll"
+CRASHING, EQUAL = b"this ends the process", b"poll"
 ENTRIES = 3
 CRASHES = 3
 # Events of a stream that lasts for more than a second.
 LONG_STREAM = 130
-# From the first run of a stream to the fatal request beside it, in seconds: its first
-# event has come then, and it has not been answered for long.
+# Time from the start of a stream to the crashing request beside it, in seconds: the
+# first event has arrived by then, but the stream has not run for long.
 BESIDE_SECONDS = 0.1
 
 
@@ -44,9 +44,9 @@
 
 @pytest.fixture
 def engine(system: PlatformSystem) -> Iterator[Fleet]:
-    """Return one engine, which is started anew each time it has ended."""
+    """Run one engine, which is restarted each time it has exited."""
     with Fleet(
-        system, 1, "model", stage="decode", crashes_on=FATAL, events=LONG_STREAM
+        system, 1, "model", stage="decode", crashes_on=CRASHING, events=LONG_STREAM
     ) as fleet:
         yield fleet
 
@@ -63,7 +63,7 @@
         )
 
 
-def start_all_anew(system: PlatformSystem) -> None:
+def restart_all_hosts(system: PlatformSystem) -> None:
     hosts = [*system.controls, *system.entries]
     for host in hosts:
         host.kill()
@@ -73,29 +73,32 @@
         wait_until(lambda entry=entry: system.ready(entry), "the host is ready")  # type: ignore[misc]
 
 
-def end_engine(system: PlatformSystem, engine: Fleet, entry: int) -> None:
-    """Send the fatal content while the engine answers one of the equal streams."""
+def crash_engine(system: PlatformSystem, engine: Fleet, entry: int) -> None:
+    """Send the crashing content while the engine answers one of the equal streams."""
     runs = len(engine.run_ids())
     with ThreadPoolExecutor(1) as pool:
         stream = pool.submit(send, system, EQUAL, entry)
         wait_until(lambda: len(engine.run_ids()) > runs, "the stream runs")
         time.sleep(BESIDE_SECONDS)
-        send(system, FATAL, (entry + 1) % ENTRIES)
+        send(system, CRASHING, (entry + 1) % ENTRIES)
         assert not stream.result().whole
 
 
-class TestEqualStreamsAfterAllHostsStartedAnew:
-    """Guards against holding back a stream that ran well before the loss of memory."""
+class TestEqualStreamsAfterARestartOfAllHosts:
+    """Guards against quarantining a stream that ran well before the hosts restarted.
 
-    def test_are_served_on(self, system: PlatformSystem, engine: Fleet) -> None:
+    The hosts lose their record of harmless contents with the restart.
+    """
+
+    def test_are_still_served(self, system: PlatformSystem, engine: Fleet) -> None:
         wait_served(system, EQUAL)
-        start_all_anew(system)
+        restart_all_hosts(system)
         for number in range(CRASHES):
             wait_served(system, b"other-%d" % number)
-            end_engine(system, engine, number)
+            crash_engine(system, engine, number)
         wait_until(
-            lambda: b"request_quarantined" in send(system, FATAL, 0).body,
-            "the fatal content is refused",
+            lambda: b"request_quarantined" in send(system, CRASHING, 0).body,
+            "the crashing content is refused",
         )
         replies = [send(system, EQUAL, entry) for entry in range(ENTRIES)]
         refused = [b"request_quarantined" in reply.body for reply in replies]
--- a/tests/forwarding/test_targets.py
+++ b/tests/forwarding/test_targets.py
@@ -1,4 +1,4 @@
-"""Until when an answer is in time, for a client that asks first or comes back."""
+"""When an answer is due, for first tries and for retries of clients."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def context(client_waits_ms: float | None) -> ForwardContext:
-    """Return the context of a request whose client waits for so long."""
+    """Return the context of a request with this client timeout."""
     client_deadline = (
         None if client_waits_ms is None else Deadline(ARRIVED + client_waits_ms / 1000)
     )
@@ -30,38 +30,39 @@
 
 
 def target_ms(asked: ForwardContext) -> int:
-    """Return how long after its arrival the answer is in time."""
+    """Return the time from the arrival of the request until its answer is due."""
     return round((asked.target_by.instant - ARRIVED) * 1000)
 
 
-class TestClientsOfSomePatience:
-    """Five of six summaries are late in a burst, though half of them could be in time.
+class TestClientsWithTheirOwnTimeout:
+    """Guards against first tries that are taken for retries.
 
-    A client waits as long as it likes, here for 11.9 to 14 s of the route's 14. What
-    was missing counted as time that had passed since a first try: of 216 requests in a
-    log of twelve seconds, all but a few of which came for the first time, 187 were
-    taken for late ones, waited behind those that seemed in time, up to 3.2 s, and were
-    granted an engine late.
+    Clients choose their own timeouts, here 11.9 to 14 s with a route timeout of 14 s.
+    When the missing time counted as passed since a first try, 187 of 216 requests in
+    twelve seconds, nearly all of them first tries, were taken for late ones. They
+    waited up to 3.2 s behind those that seemed in time and were granted an engine late:
+    five of six streams of a burst were late, though half of them could be in time.
     """
 
     @pytest.mark.parametrize("waits_ms", [14_000, 13_700, 12_800, 11_900])
-    def test_are_in_time_for_the_whole_target(self, waits_ms: int) -> None:
+    def test_have_the_whole_target(self, waits_ms: int) -> None:
         asked = context(waits_ms)
         assert target_ms(asked) == TARGET_MS
         assert not asked.came_back
 
-    def test_without_a_deadline_are_too(self) -> None:
+    def test_have_it_without_a_deadline(self) -> None:
         assert target_ms(context(None)) == TARGET_MS
 
 
-class TestClientThatComesBack:
-    """It was refused and told to come back after three seconds or so.
+class TestClientThatRetries:
+    """Guards against retries that delay requests which can still be in time.
 
-    Its answer is late whenever it comes, so those that can be in time go first.
+    The client was refused and retries after about three seconds. Its answer is late in
+    any case, so requests that can be in time go first.
     """
 
     @pytest.mark.parametrize("passed_ms", [3_000, 4_600])
-    def test_is_late_since_its_first_try(self, passed_ms: int) -> None:
+    def test_target_counts_from_the_first_try(self, passed_ms: int) -> None:
         asked = context(TIMEOUT_MS - passed_ms)
         assert passed_ms > CLIENT_RETRY_SHARE * TIMEOUT_MS
         assert target_ms(asked) == TARGET_MS - passed_ms
