--- a/src/jujubeslip/forwarding/_choice.py
+++ b/src/jujubeslip/forwarding/_choice.py
@@ -132,8 +132,10 @@
     ) -> Endpoint | None:
         """Return a healthy endpoint of this availability zone, None without one."""
         healthy = self._healthy(self._usable(service_name, role, excluded))
-        near = [item for item in healthy if item.availability_zone == availability_zone]
-        return self._policy.choose(near) if near else None
+        in_zone = [
+            item for item in healthy if item.availability_zone == availability_zone
+        ]
+        return self._policy.choose(in_zone) if in_zone else None
 
     def holds(self, service_name: str, role: EndpointRole) -> ServiceHolds:
         """Return the holds of the endpoints of this role that are not leaving."""
--- a/src/jujubeslip/forwarding/_exchange.py
+++ b/src/jujubeslip/forwarding/_exchange.py
@@ -49,7 +49,7 @@
         self._interface = interface
         self._endpoint = endpoint
         self._request = request
-        self._gone = gone
+        self._client_disconnected = gone
         self._connection: EndpointConnection | None = None
         self._response: http.client.HTTPResponse | None = None
         self._head: EndpointHead | None = None
@@ -76,7 +76,7 @@
         headers = self._interface.endpoint_headers(request, call)
         sent_at = steady_seconds()
         connection.send(request.method, request.target, headers, request.body)
-        connection.watch(deadline, self._gone)
+        connection.watch(deadline, self._client_disconnected)
         head = self._read_own_head(connection)
         if not head.misdirected:
             self._notices.note_answer(self._endpoint, head, sent_at)
@@ -93,7 +93,7 @@
     def watch(self, deadline: Deadline) -> None:
         """Set the deadline of the following reads."""
         assert self._connection is not None
-        self._connection.watch(deadline, self._gone)
+        self._connection.watch(deadline, self._client_disconnected)
 
     def read_some(self) -> bytes:
         """Return the next bytes of the body, empty at its regular end."""
--- a/src/jujubeslip/forwarding/_models.py
+++ b/src/jujubeslip/forwarding/_models.py
@@ -74,8 +74,8 @@
     @property
     def came_back(self) -> bool:
         """Return whether the client is retrying after a refusal."""
-        usual = self.request.arrived.instant + self.route.target_ms / 1000
-        return self.target_by.instant < usual
+        first_try_target = self.request.arrived.instant + self.route.target_ms / 1000
+        return self.target_by.instant < first_try_target
 
 
 @dataclass(frozen=True)
@@ -214,14 +214,14 @@
     """Return the refusal that applies to the attempts made so far."""
     error = attempts.last_error
     if not attempts.may_have_run:
-        missing = error is None
+        none_known = error is None
         return RequestRefusedError(
-            "no_endpoint" if missing else "endpoints_refused",
+            "no_endpoint" if none_known else "endpoints_refused",
             "No endpoint of the service is usable."
-            if missing
+            if none_known
             else "No endpoint accepted the request.",
             status=503,
-            retry_after=MISSING_RETRY_SECONDS if missing else BUSY_RETRY_SECONDS,
+            retry_after=MISSING_RETRY_SECONDS if none_known else BUSY_RETRY_SECONDS,
         )
     assert error is not None
     late = deadline.expired
--- a/src/jujubeslip/forwarding/_prompts.py
+++ b/src/jujubeslip/forwarding/_prompts.py
@@ -32,7 +32,7 @@
 EXPECTED_TIME_FACTOR = 3.0
 MINIMUM_SECONDS = 0.6
 # Maximum prefill calls for one prompt.
-MAXIMUM_ENGINES = 2
+MAXIMUM_PREFILL_CALLS = 2
 # Errors after which a prefill engine is not skipped here: it is skipped already, or it
 # has prefilled the prompt.
 _ERRORS_WITHOUT_SKIP = (
@@ -112,7 +112,7 @@
         """
         if not attempts.prefill_calls:
             return True
-        if attempts.prefill_calls >= MAXIMUM_ENGINES:
+        if attempts.prefill_calls >= MAXIMUM_PREFILL_CALLS:
             return False
         return self._sending.budgets.has_one(context.service_name)
 
@@ -135,9 +135,9 @@
         prefill_engine: Endpoint,
         read_seconds: float,
     ) -> PromptLocation:
-        """Have this reader read the prompt; ask again where its answer was cut.
+        """Have the granted engine prefill the prompt; ask again if its answer is cut.
 
-        It has read the prompt then, and still has it.
+        An engine whose answer was cut has prefilled the prompt and still has it.
         """
         location = self._prefill_at(
             context, attempts, prefill_engine, _prefill_deadline(read_seconds)
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -81,11 +81,11 @@
                 self._sending.check_backoff(context, attempts, EndpointRole.DECODE)
                 if self._has_no_engine(context, attempts):
                     return None
-                found = self._ask_round(context, attempts, engine, prompt)
-                if found is not None:
+                reservation = self._ask_round(context, attempts, engine, prompt)
+                if reservation is not None:
                     queue.note_capacity_found()
-                    attempts.note(found.endpoint.start_id, "room")
-                    return found
+                    attempts.note(reservation.endpoint.start_id, "room")
+                    return reservation
                 if limit.expired:
                     break
                 if context.gone():
@@ -165,10 +165,10 @@
         zones are then silent, and each costs the whole timeout.
         """
         role, chooser = EndpointRole.DECODE, self._sending.chooser
-        near = chooser.choose_in_zone(
+        in_zone = chooser.choose_in_zone(
             context.service_name, role, asked, self._availability_zone
         )
-        return near or self._sending.choose(context, role, asked)
+        return in_zone or self._sending.choose(context, role, asked)
 
     def _growth(
         self,
@@ -178,12 +178,16 @@
         prompt: PromptShape,
     ) -> int:
         """Return the growth of all the engine's answers, with this one, in tokens."""
-        longest = max(1, prompt.maximum_output_tokens // engine.event_tokens)
+        maximum_events = max(1, prompt.maximum_output_tokens // engine.event_tokens)
         report = self._reports.get(context, endpoint)
         if report is None:
             return prompt.maximum_output_tokens
         return growth_of(
-            report, prompt.prompt_tokens, engine.event_tokens, longest, self._options
+            report,
+            prompt.prompt_tokens,
+            engine.event_tokens,
+            maximum_events,
+            self._options,
         )
 
     def _ask(
@@ -210,7 +214,7 @@
             if isinstance(read, Success):
                 return read.unwrap()
             extra["problem"] = read.failure()
-            logger.info("reservation reply of the engine is invalid", extra=extra)
+            logger.info("engine sent an invalid reservation reply", extra=extra)
             return ""
         logger.info("engine refused the reservation", extra=extra)
         return ""
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -55,12 +55,12 @@
         stream_path: StreamPath,
         meters: ForwardMeters,
         limits: AccountLimits | None = None,
-        first_endpoints: FirstEndpoints | None = None,
+        initial_discovery: FirstEndpoints | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self._quarantine = quarantine or Quarantine(CrashBook(), HarmlessContents())
         self._limits = limits
-        self._first_endpoints = first_endpoints
+        self._initial_discovery = initial_discovery
         self._meters = meters
         self._routes = routes
         self._plain_path = plain_path
@@ -72,8 +72,8 @@
         attempts = Attempts()
         try:
             self._quarantine.check(context)
-            if self._first_endpoints is not None:
-                self._first_endpoints.wait_for(context)
+            if self._initial_discovery is not None:
+                self._initial_discovery.wait_for(context)
             if context.route.kind is RouteKind.STREAM:
                 answer = self._stream_path.answer(context, attempts)
             else:
@@ -113,7 +113,7 @@
             request=request,
             table=table,
             route=route,
-            service_name=_draw_service(route),
+            service_name=_pick_service(route),
             end_by=_end_deadline(request, route),
             gone=gone,
             target_by=target_of(request, route),
@@ -202,11 +202,11 @@
     if outcome in ("whole", "left") or outcome.isdigit():
         return "yes"
     # The client disconnected after a send: the endpoint may have run the request.
-    left_midway = outcome == CallerGoneError.error_id and attempts.sends > 0
-    return "unknown" if attempts.may_have_run or left_midway else "no"
+    left_after_send = outcome == CallerGoneError.error_id and attempts.sends > 0
+    return "unknown" if attempts.may_have_run or left_after_send else "no"
 
 
-def _draw_service(route: Route) -> str:
+def _pick_service(route: Route) -> str:
     """Return one of the route's services at random, in proportion to the weights."""
     if len(route.shares) == 1:
         return route.shares[0].service_name
@@ -225,15 +225,15 @@
     target = Deadline(request.arrived.instant + route.target_ms / 1000)
     if request.client_deadline is None:
         return target
-    left = request.client_deadline.instant - request.arrived.instant
-    missing = route.timeout_ms / 1000 - left
-    if missing <= CLIENT_RETRY_SHARE * route.timeout_ms / 1000:
+    remaining = request.client_deadline.instant - request.arrived.instant
+    elapsed = route.timeout_ms / 1000 - remaining
+    if elapsed <= CLIENT_RETRY_SHARE * route.timeout_ms / 1000:
         return target
-    return Deadline(target.instant - missing)
+    return Deadline(target.instant - elapsed)
 
 
 def _end_deadline(request: ForwardedRequest, route: Route) -> Deadline:
-    """Return the client's deadline or the end of the route's timeout, if earlier."""
+    """Return the earlier of the client's deadline and the end of the route timeout."""
     limit = Deadline(request.arrived.instant + route.timeout_ms / 1000)
     if request.client_deadline is None:
         return limit
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -54,7 +54,7 @@
     exchange: Exchange
     first_events: bytes
     splitter: EventSplitter
-    stack: ExitStack
+    resources: ExitStack
 
 
 class StreamPath:
@@ -136,8 +136,8 @@
         # When the granted prefill engine failed, the leader has to grant another one,
         # or has to know which decode engine prefills the prompt: that engine's other
         # streams stall meanwhile.
-        is_unread = prompt_location in (None, NOT_PREFILLED)
-        return not (is_unread and grant.reader is not None)
+        not_prefilled = prompt_location in (None, NOT_PREFILLED)
+        return not (not_prefilled and grant.reader is not None)
 
     def _locate_prompt(
         self,
@@ -170,8 +170,8 @@
         location = self._prompts.prefill(
             context, attempts, prefill_engine, grant.read_seconds
         )
-        is_unread = location == NOT_PREFILLED and prefill_engine is not None
-        asks_again = is_unread and self._prompts.may_ask(context, attempts)
+        not_prefilled = location == NOT_PREFILLED and prefill_engine is not None
+        asks_again = not_prefilled and self._prompts.may_ask(context, attempts)
         return None if asks_again else location
 
     def _note_error(
@@ -183,8 +183,8 @@
         error: EndpointError,
     ) -> None:
         self._sending.note_request_error(context, attempts, grant.endpoint, error)
-        was_read = prompt_location is not None and prompt_location != NOT_PREFILLED
-        if was_read and isinstance(error, EndpointRefusedError):
+        was_prefilled = prompt_location is not None and prompt_location != NOT_PREFILLED
+        if was_prefilled and isinstance(error, EndpointRefusedError):
             # The refusal may concern the prompt's KV cache, which expires; the same
             # engine can still prefill the prompt itself.
             attempts.tried.discard(grant.endpoint.start_id)
@@ -271,8 +271,8 @@
         budget does not allow it, nothing is gained by ending the wait sooner.
         """
         route = context.route
-        may_go_on = attempts.runs + 1 < route.maximum_attempts and route.repeatable
-        if not may_go_on or not self._sending.budgets.has_one(context.service_name):
+        may_resume = attempts.runs + 1 < route.maximum_attempts and route.repeatable
+        if not may_resume or not self._sending.budgets.has_one(context.service_name):
             return context.end_by
         seconds = SILENCE_SHARE * route.patience_ms / 1000
         return context.end_by.earlier_of(Deadline.after(seconds))
@@ -293,7 +293,7 @@
                 self._sending.note_request_error(context, attempts, run.endpoint, error)
                 last_event_id = run.splitter.last_event_id
             finally:
-                run.stack.close()
+                run.resources.close()
             if not (context.route.resumable and last_event_id):
                 raise AnswerCutError("The stream broke off and cannot be resumed.")
             resumed = self._start(context, attempts, last_event_id)
@@ -306,22 +306,22 @@
     ) -> Iterator[bytes]:
         """Yield the events of one run until its regular end."""
         yield run.first_events
-        latest = steady_seconds()
+        latest_at = steady_seconds()
         is_harmless = False
         while True:
             run.exchange.watch(self._silence_deadline(context, attempts))
             part = run.exchange.read_some()
             if not part:
                 break
-            whole = run.splitter.take(part)
-            if whole:
+            events = run.splitter.take(part)
+            if events:
                 now = steady_seconds()
-                attempts.note_events(now - latest)
-                latest = now
+                attempts.note_events(now - latest_at)
+                latest_at = now
                 if not is_harmless and attempts.answered_seconds >= BEGIN_SECONDS:
                     self._sending.quarantine.note_harmless(context)
                     is_harmless = True
-                yield whole
+                yield events
         if run.splitter.has_partial_event:
             raise AnswerCutError(
                 f"{run.endpoint.address}: the stream ended in the middle of an event."
