--- a/src/jujubeslip/forwarding/_first_endpoints.py
+++ b/src/jujubeslip/forwarding/_first_endpoints.py
@@ -1,9 +1,9 @@
 """Lets requests of a newly started host wait until endpoints announce themselves.
 
-After a power loss of all hosts, these start at once. The endpoints keep running, but no
-host knows them until their next announcements, which arrive within a second or so. If
-requests were refused at once, dozens of clients would retry too late to be in time, and
-those that had retried before would give up.
+After a power loss of all hosts, they start at the same time. The endpoints keep
+running, but no host knows them until their next announcements, which arrive within a
+second or so. If requests were refused at once, dozens of clients would retry too late
+to be in time, and those that had retried before would give up.
 """
 
 from __future__ import annotations
--- a/src/jujubeslip/forwarding/_health.py
+++ b/src/jujubeslip/forwarding/_health.py
@@ -1,4 +1,4 @@
-"""Recent failures, backoffs and open requests of each endpoint, seen by this host."""
+"""Failures, pauses and open requests of each endpoint, as seen by this host."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_refused_prompts.py
+++ b/tests/forwarding/test_refused_prompts.py
@@ -131,7 +131,10 @@
 
 
 class TestPrefillEngineWhoseAnswerIsCut:
-    """The engine has prefilled the prompt and keeps it; only its answer was lost."""
+    """Guards against a second prefill where the first engine still has the prompt.
+
+    The engine has prefilled the prompt and keeps it; only its answer was lost.
+    """
 
     def test_is_asked_again(self, monkeypatch: pytest.MonkeyPatch) -> None:
         host = Host(monkeypatch, {"one": [CUT, "handle"], "two": ["handle"]})
--- a/tests/forwarding/test_starts.py
+++ b/tests/forwarding/test_starts.py
@@ -291,11 +291,11 @@
         sender = build_sender(registry)
         prompts = PromptReader(sender, True, Pressures())
 
-        def read(*_: object) -> PromptLocation:
+        def prefill(*_: object) -> PromptLocation:
             registry.take([later])
             return PromptLocation(prefill_engine, "h1")
 
-        monkeypatch.setattr(prompts, "prefill", read)
+        monkeypatch.setattr(prompts, "prefill", prefill)
         given = [Grant(earlier, prefill_engine), Grant(later, prefill_engine)]
         calls: list[EndpointCall] = []
         sent_to: list[str] = []
