--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -1,4 +1,7 @@
-"""Limits of client accounts at a host: what runs at once, what the leader is asked."""
+"""Enforces the limits of client accounts on a host.
+
+The host lets some requests run without asking the leader, and charges the others there.
+"""
 
 from __future__ import annotations
 
@@ -31,25 +34,27 @@
 
 logger = logging.getLogger(__name__)
 
-# How often the leader is told what was spent, in seconds. What may be untold is bounded
-# by itself; told more often, each plain request would cost a call.
+# Interval between reports of spent amounts to the leader, in seconds. The unreported
+# amount has a bound of its own; with more frequent reports each plain request would
+# cost a call.
 SETTLE_SECONDS = 1.0
-# How often a host that has no leader to ask looks for one, in seconds.
-LEADER_LOOK_SECONDS = 0.1
-# When a client should come back whose request found no leader, in seconds: a new one is
-# elected in about a second, and a retry finds another host.
+# Interval at which a host without a leader looks for one, in seconds.
+LEADER_POLL_SECONDS = 0.1
+# When a client whose request found no leader should retry, in seconds. A new leader is
+# elected in about a second, and a retry reaches another host.
 NO_LEADER_RETRY_SECONDS = 0.7
-# How long a request waits for a leader that was late with an answer, in seconds: until
-# it is asked again. Refused, its client would come back no sooner.
+# How long a request waits for a leader whose answer was late, in seconds: until the
+# leader is called again. The client of a refused request would not retry sooner.
 LATE_LEADER_SECONDS = 1.0
-# The least that a client is told to stay away, in seconds, and how much longer by lot:
-# together, all that were refused would find the limit used up by the first.
-LEAST_RETRY_SECONDS = 0.1
+# The shortest time after which a refused client should retry, in seconds, and the share
+# of the waiting time up to which a random part is added. If all refused clients retried
+# at once, the first ones would use up the limit.
+MIN_RETRY_SECONDS = 0.1
 RETRY_SPREAD = 0.3
 
 
 class AccountLimits:
-    """Lets each request run that its account's limit allows, and refuses the others."""
+    """Admits the requests that their account's limit allows, and refuses the others."""
 
     def __init__(
         self,
@@ -70,14 +75,14 @@
         self._lock = self._charges.lock
 
     def start(self) -> None:
-        """Tell the leader what was spent until the process stops."""
+        """Report spent amounts to the leader until the process stops."""
         self._process.repeat(SETTLE_SECONDS, self._settle)
         self._process.repeat(JOIN_SECONDS, self._join_pool)
 
     def charge(self, context: ForwardContext, attempts: Attempts) -> None:
-        """Return if the request may run, or raise RequestRefusedError.
+        """Charge the request, or raise RequestRefusedError if it may not run.
 
-        It is charged once, however often it is sent.
+        A request is charged once, however often it is sent.
         """
         if not context.cost or attempts.is_charged:
             return
@@ -85,59 +90,64 @@
         with self._lock:
             answer = self._spending.spend(name, context.cost, steady_seconds())
         if answer.wait > 0:
-            raise self.over_limit(context, answer.wait)
+            raise self.over_limit_refusal(context, answer.wait)
         if not answer.asks_leader:
-            self._note_spent(context, attempts)
+            self._record_spent(context, attempts)
         else:
-            self._charge_with_patience(context, attempts)
+            self._charge_with_retry(context, attempts)
         attempts.is_charged = True
 
-    def _charge_with_patience(
-        self, context: ForwardContext, attempts: Attempts
-    ) -> None:
-        """Charge at the leader, which may be late once, or without one."""
+    def _charge_with_retry(self, context: ForwardContext, attempts: Attempts) -> None:
+        """Charge at the leader, whose answer may be late once, or without a leader."""
         limit = context.end_by.earlier_of(Deadline.after(LATE_LEADER_SECONDS))
         while not self.charge_at_leader(context, attempts):
-            if self._charged_alone(context, attempts):
+            if self._try_charge_without_leader(context, attempts):
                 return
-            if not self._leader.is_late or not self.wait_for_leader(context, limit):
-                raise self._limit_unknown(context)
+            if not self._leader.has_skipped_leader or not self.wait_for_leader(
+                context, limit
+            ):
+                raise self._limit_unknown_refusal(context)
 
     def wait_for_leader(self, context: ForwardContext, limit: Deadline) -> bool:
-        """Wait for a leader to ask; say whether there may be one.
+        """Wait for a leader to call; return whether there may be one.
 
-        Raises CallerGoneError when the client goes before that.
+        Raises CallerGoneError if the client disconnects during the wait.
         """
         while self._leader.address() is None:
-            if limit.expired or self._process.stopped.wait(LEADER_LOOK_SECONDS):
+            if limit.expired or self._process.stopped.wait(LEADER_POLL_SECONDS):
                 return False
             if context.gone():
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
         return True
 
-    def charge_alone(self, context: ForwardContext, attempts: Attempts) -> None:
-        """Let the request run without a leader, or raise RequestRefusedError.
+    def charge_without_leader(
+        self, context: ForwardContext, attempts: Attempts
+    ) -> None:
+        """Charge the request without a leader, or raise RequestRefusedError.
 
-        On what this host may spend untold, or on what all lend that find no leader.
+        It is charged to the amount that this host may spend unreported, or to the pool
+        of the hosts that find no leader.
         """
         if not context.cost or attempts.is_charged:
             return
-        if not self._charged_alone(context, attempts):
-            raise self._limit_unknown(context)
+        if not self._try_charge_without_leader(context, attempts):
+            raise self._limit_unknown_refusal(context)
 
-    def _charged_alone(self, context: ForwardContext, attempts: Attempts) -> bool:
+    def _try_charge_without_leader(
+        self, context: ForwardContext, attempts: Attempts
+    ) -> bool:
         name = context.request.account_name
         with self._lock:
             may_run = self._spending.spend_alone(name, context.cost, steady_seconds())
         if may_run:
-            self._note_spent(context, attempts)
+            self._record_spent(context, attempts)
         elif not self._charge_at_pool(AccountSpending(name, context.cost)):
             return False
         attempts.is_charged = True
         return True
 
-    def _limit_unknown(self, context: ForwardContext) -> RequestRefusedError:
-        """Return the refusal of a request that no leader could charge."""
+    def _limit_unknown_refusal(self, context: ForwardContext) -> RequestRefusedError:
+        """Return the refusal of a request that could not be charged."""
         self._log_refusal(context, "no leader knows what is left")
         return RequestRefusedError(
             "limit_unknown",
@@ -147,7 +157,7 @@
         )
 
     def give_back(self, context: ForwardContext, attempts: Attempts) -> None:
-        """Take back what was spent here for a request that has not run."""
+        """Refund the amount that this host spent for a request that has not run."""
         if not attempts.spent_here or attempts.may_have_run:
             return
         with self._lock:
@@ -155,18 +165,20 @@
             self._spending.give_back(name, attempts.spent_here)
         attempts.spent_here = 0.0
 
-    def over_limit(self, context: ForwardContext, wait: float) -> RequestRefusedError:
-        """Return the refusal of a request whose account has used its limit."""
+    def over_limit_refusal(
+        self, context: ForwardContext, wait: float
+    ) -> RequestRefusedError:
+        """Return the refusal of a request whose account has used up its limit."""
         self._log_refusal(context, "its limit is used", wait)
         spread = 1 + RETRY_SPREAD * random.random()
         counts_tokens = context.account is not None and context.account.counts_tokens
         kind = "tokens" if counts_tokens else "requests"
-        return limit_reached(kind, max(LEAST_RETRY_SECONDS, wait * spread))
+        return limit_reached(kind, max(MIN_RETRY_SECONDS, wait * spread))
 
     def charge_at_leader(self, context: ForwardContext, attempts: Attempts) -> bool:
-        """Charge the request; say whether there was a leader that knows the limit.
+        """Charge the request; return whether a leader that knows the limit answered.
 
-        Raises RequestRefusedError where the account has used it.
+        Raises RequestRefusedError if the account has used up its limit.
         """
         name = context.request.account_name
         spending = AccountSpending(name, context.cost, attempts.charge_id)
@@ -175,53 +187,56 @@
         )
         if state is None:
             return False
-        self._take(state)
+        self._apply_state(state)
         if state.wait_seconds > 0:
-            raise self.over_limit(context, state.wait_seconds)
+            raise self.over_limit_refusal(context, state.wait_seconds)
         attempts.is_charged = True
         return True
 
     def _join_pool(self) -> None:
-        """Lend this host's parts while it finds no leader, before they are needed."""
+        """Lend this host's shares to the pool while it finds no leader.
+
+        This happens before the pool is needed, so that it has the shares by then.
+        """
         if self._has_accounts() and not self._charges.has_leader:
             self._charge_at_pool(AccountSpending("", 0.0))
 
     def _charge_at_pool(self, spending: AccountSpending) -> bool:
-        """Charge a request at the pool; say whether it may run."""
+        """Charge a request at the pool; return whether it may run."""
         return self._charges.at_pool(
             lambda peer: peer.charge_alone(self._host_id, self._hosts(), spending)
         )
 
     def _settle(self) -> None:
         with self._lock:
-            told = self._spending.take_untold()
-        if not told:
+            unreported = self._spending.take_untold()
+        if not unreported:
             return
-        states = self._tell(told)
+        states = self._report(unreported)
         with self._lock:
             if states is None:
-                self._spending.put_back(told)
+                self._spending.put_back(unreported)
             else:
-                self._spending.confirm(told)
+                self._spending.confirm(unreported)
         for state in states or ():
-            self._take(state)
+            self._apply_state(state)
 
-    def _tell(self, told: list[Spent]) -> list[AccountState] | None:
-        """Return what the leader says, None if it may not have heard of it."""
+    def _report(self, unreported: list[Spent]) -> list[AccountState] | None:
+        """Report to the leader; return its answer, None if the report may be lost."""
         address = self._leader.address()
         if address is None:
             return None
-        spent = [AccountSpending(item.account_name, item.amount) for item in told]
+        spent = [AccountSpending(item.account_name, item.amount) for item in unreported]
         return self._leader.call(
             address, "", ANSWER_SECONDS, lambda peer: peer.settle_accounts(spent)
         )
 
-    def _take(self, state: AccountState) -> None:
+    def _apply_state(self, state: AccountState) -> None:
         answer = LedgerAnswer(state.wait_seconds or 0.0, bool(state.near_limit))
         with self._lock:
             self._spending.take_answer(state.account_name, answer, steady_seconds())
 
-    def _note_spent(self, context: ForwardContext, attempts: Attempts) -> None:
+    def _record_spent(self, context: ForwardContext, attempts: Attempts) -> None:
         attempts.spent_here = context.cost
 
     def _log_refusal(
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -1,4 +1,4 @@
-"""Grants at engines that the control host which leads gives to this host."""
+"""Requests grants at engines from the leading control host."""
 
 from __future__ import annotations
 
@@ -26,39 +26,40 @@
 logger = logging.getLogger(__name__)
 
 # How long one call may wait for a grant, in milliseconds. Between two calls this host
-# looks whether the client is still there.
+# checks whether the client is still connected.
 WAIT_MS = 200
-# The target that is told for a request whose answer broke off, in milliseconds from
-# each call: it goes before nearly all others that wait.
+# The target sent for a request whose answer broke off, in milliseconds from each call.
+# It gives the request precedence over nearly all others that wait.
 URGENT_MS = 300
-# How much longer than that an answer may take, in seconds. The way between zones takes
-# some milliseconds; a host that is busy or slow is better left than waited for.
+# How much longer than `WAIT_MS` an answer may take, in seconds. The network delay
+# between zones is a few milliseconds; it is better to skip a host that is busy or slow
+# than to wait for it.
 ANSWER_SECONDS = 0.25
-# News that are told in one call at most, and how long that may take, in seconds.
-NEWS_A_CALL = 50
-TELL_SECONDS = 0.5
+# Maximum number of updates sent in one call, and the timeout of that call in seconds.
+MAX_UPDATES_PER_CALL = 50
+UPDATE_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class AdmissionAnswer:
-    """What the leader answered: a grant, or that there will be none in time."""
+    """The leader's answer: a grant, or that there will be none in time."""
 
     start_id: str
-    """The start of the engine that answers, empty where there will be none."""
+    """The start of the decode engine, empty without a grant."""
     reader_start_id: str
-    """The one that is to read the prompt, empty where the answering one does."""
+    """The start of the prefill engine, empty if the decode engine prefills."""
     forecast: float
-    """How long the request was expected to wait, in seconds."""
+    """Expected waiting time of the request, in seconds."""
     read_seconds: float = 0.0
-    """How long reading the prompt should take."""
+    """Expected duration of the prefill."""
     over_limit_seconds: float = 0.0
-    """When its client may come back whose account has used its limit; else 0."""
+    """When the client may retry if its account has used up its limit, otherwise 0."""
 
 
 class Admissions:
-    """Asks the leader for grants, and tells it how their requests go on.
+    """Asks the leader for grants, and reports the progress of their requests to it.
 
-    Without a leader that answers, callers fall back on what engines say themselves.
+    Without a leader that answers, callers rely on the engines' own reports.
     """
 
     def __init__(
@@ -66,34 +67,34 @@
         process: Process,
         leader: LeaderContact,
         availability_zone: str,
-        book: EndpointBook,
+        registry: EndpointBook,
         health: EndpointHealth,
-        limits: EndpointLimits,
+        endpoint_limits: EndpointLimits,
     ) -> None:
-        self._limits = limits
+        self._endpoint_limits = endpoint_limits
         self._process = process
         self._availability_zone = availability_zone
-        self._book = book
+        self._registry = registry
         self._health = health
         self._leader = leader
-        self._news: queue.SimpleQueue[AdmissionNews] = queue.SimpleQueue()
+        self._pending_updates: queue.SimpleQueue[AdmissionNews] = queue.SimpleQueue()
 
     def start(self) -> None:
-        """Tell the leader how requests go on until the process stops."""
-        self._process.start_task(self._tell)
+        """Report the progress of requests to the leader until the process stops."""
+        self._process.start_task(self._send_updates)
 
-    def ask(self, room: RoomRequest) -> AdmissionAnswer | None:
-        """Return what the leader decides, None without a leader that answers.
+    def ask(self, capacity_request: RoomRequest) -> AdmissionAnswer | None:
+        """Return the leader's decision, None without a leader that answers.
 
-        Raises CallerGoneError when the client goes before that, and RequestRefusedError
-        once all engines are in backoff.
+        Raises CallerGoneError if the client disconnects while the request waits, and
+        RequestRefusedError once all engines are in backoff.
         """
-        context, attempts = room.context, room.attempts
+        context, attempts = capacity_request.context, capacity_request.attempts
         attempts.grants_asked += 1
         while (address := self._leader.address()) is not None:
-            self._check_backoff(room)
-            request = self._request(room)
-            reply = self._call(address, request)
+            self._check_backoff(capacity_request)
+            request = self._to_request(capacity_request)
+            reply = self._call_leader(address, request)
             if reply is None:
                 continue
             forecast = reply.forecast_ms / 1000
@@ -112,24 +113,31 @@
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
         return None
 
-    def _check_backoff(self, room: RoomRequest) -> None:
+    def _check_backoff(self, capacity_request: RoomRequest) -> None:
         try:
-            room.check_backoff()
+            capacity_request.check_backoff()
         except RequestRefusedError:
-            self.end(room.context.request.request_id, room.attempts.grants_asked)
+            self.end(
+                capacity_request.context.request.request_id,
+                capacity_request.attempts.grants_asked,
+            )
             raise
 
-    def note_read(self, request_id: str, attempt: int) -> None:
-        """Let the leader know that a prompt was read, or is read elsewhere."""
-        self._news.put(AdmissionNews(request_id, attempt, AdmissionStep.PROMPT_READ))
+    def report_prefilled(self, request_id: str, attempt: int) -> None:
+        """Report to the leader that a prompt was prefilled, here or elsewhere."""
+        self._pending_updates.put(
+            AdmissionNews(request_id, attempt, AdmissionStep.PROMPT_READ)
+        )
 
     def end(self, request_id: str, attempt: int) -> None:
-        """Let the leader know that a request needs its grant no more."""
-        self._news.put(AdmissionNews(request_id, attempt, AdmissionStep.ENDED))
+        """Report to the leader that a request no longer needs its grant."""
+        self._pending_updates.put(
+            AdmissionNews(request_id, attempt, AdmissionStep.ENDED)
+        )
 
-    def _request(self, room: RoomRequest) -> AdmissionRequest:
-        context, attempts = room.context, room.attempts
-        engine, prompt = room.engine, room.prompt
+    def _to_request(self, capacity_request: RoomRequest) -> AdmissionRequest:
+        context, attempts = capacity_request.context, capacity_request.attempts
+        engine, prompt = capacity_request.engine, capacity_request.prompt
         event_tokens = engine.event_tokens
         is_limited = context.cost and not attempts.is_charged
         account_name = context.request.account_name if is_limited else ""
@@ -141,11 +149,13 @@
             event_tokens,
             prompt.expected_output_tokens // event_tokens,
             engine.slots,
-            URGENT_MS if room.goes_first else context.target_by.remaining_ms(),
-            room.limit.remaining_ms(),
+            URGENT_MS
+            if capacity_request.goes_first
+            else context.target_by.remaining_ms(),
+            capacity_request.limit.remaining_ms(),
             WAIT_MS,
-            [*attempts.tried, *self._passed_over_starts()],
-            reads_itself=room.reads_itself,
+            [*attempts.tried, *self._skipped_starts()],
+            reads_itself=capacity_request.reads_itself,
             attempt=attempts.grants_asked,
             availability_zone=self._availability_zone,
             maximum_gap_ms=context.route.maximum_gap_ms,
@@ -153,39 +163,46 @@
             account_cost=context.cost,
         )
 
-    def _passed_over_starts(self) -> list[str]:
+    def _skipped_starts(self) -> list[str]:
         return [
             endpoint.start_id
-            for endpoint in self._book.endpoints()
+            for endpoint in self._registry.endpoints()
             if self._health.is_paused(endpoint.start_id)
-            or self._limits.hold_of(endpoint.start_id)
+            or self._endpoint_limits.hold_of(endpoint.start_id)
         ]
 
-    def _call(self, address: str, request: AdmissionRequest) -> AdmissionReply | None:
-        """Return the leader's answer; None if this host is to ask another one."""
+    def _call_leader(
+        self, address: str, request: AdmissionRequest
+    ) -> AdmissionReply | None:
+        """Return the leader's answer, None if another host has to be asked."""
         timeout = WAIT_MS / 1000 + ANSWER_SECONDS
         call = partial(self._leader.call_within, address, request.request_id, timeout)
         reply: AdmissionReply | None = call(lambda peer: peer.admit(request))
         return reply
 
-    def _tell(self) -> None:
+    def _send_updates(self) -> None:
         while not self._process.stopped.is_set():
-            news = self._take_news()
-            if news:
-                self._tell_leader(news)
+            updates = self._next_updates()
+            if updates:
+                self._notify_leader(updates)
+
+    def _notify_leader(self, updates: list[AdmissionNews]) -> None:
+        """Send updates to the leader.
 
-    def _tell_leader(self, news: list[AdmissionNews]) -> None:
-        """Tell the leader; what it doesn't hear it learns from the engines' reports."""
-        error = self._leader.tell(lambda peer: peer.tell_admissions(news), TELL_SECONDS)
+        Updates that are lost are replaced by the engines' own reports.
+        """
+        error = self._leader.notify(
+            lambda peer: peer.tell_admissions(updates), UPDATE_TIMEOUT_SECONDS
+        )
         if error:
-            extra = {"news": len(news), "error": error}
-            logger.info("leader not told of requests", extra=extra)
+            extra = {"news": len(updates), "error": error}
+            logger.info("leader not notified of request progress", extra=extra)
 
-    def _take_news(self) -> list[AdmissionNews]:
-        """Return what is to be told since the last time, after waiting for some."""
-        news: list[AdmissionNews] = []
+    def _next_updates(self) -> list[AdmissionNews]:
+        """Wait for updates, and return those that are to be sent."""
+        updates: list[AdmissionNews] = []
         with contextlib.suppress(queue.Empty):
-            news.append(self._news.get(timeout=TELL_SECONDS))
-            while len(news) < NEWS_A_CALL:
-                news.append(self._news.get_nowait())
-        return news
+            updates.append(self._pending_updates.get(timeout=UPDATE_TIMEOUT_SECONDS))
+            while len(updates) < MAX_UPDATES_PER_CALL:
+                updates.append(self._pending_updates.get_nowait())
+        return updates
--- a/src/jujubeslip/forwarding/_crash_news.py
+++ b/src/jujubeslip/forwarding/_crash_news.py
@@ -76,7 +76,7 @@
             (
                 address
                 for address in reached
-                if self._contact.call_other(address, ANSWER_SECONDS, ask)
+                if self._contact.call_control_host(address, ANSWER_SECONDS, ask)
             ),
             "",
         )
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -1,4 +1,7 @@
-"""A grant at an engine for each request: from the leader, else from the engines."""
+"""Obtains a grant at an engine for each request.
+
+The leader gives it; without a leader, the engines' reservations take its place.
+"""
 
 from __future__ import annotations
 
@@ -19,45 +22,45 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that has less time left than this can't be answered whole any more.
-LEAST_RUN_SECONDS = 1.5
-# From room to the first event, in seconds: the prompt is read and its memory moved in
-# a quarter of a second nine times in ten.
-START_SECONDS = 0.25
-# How long before its client would leave a request is refused, in seconds.
-LEAVING_SECONDS = 0.4
+# A request with less time left than this can't be answered completely, in seconds.
+MIN_RUN_SECONDS = 1.5
+# Time from a grant to the first event, in seconds. In nine of ten cases the prompt is
+# prefilled and its KV cache transferred within a quarter of a second.
+FIRST_EVENT_SECONDS = 0.25
+# How long before the client's timeout a waiting request is refused, in seconds.
+CLIENT_TIMEOUT_MARGIN_SECONDS = 0.4
 
 
-def _nothing() -> None:
-    """Give nothing back."""
+def _release_nothing() -> None:
+    """Release nothing."""
 
 
 @dataclass(frozen=True)
 class Grant:
-    """Where a run is to start."""
+    """The engine at which a run is to start, and how to release what is held for it."""
 
     endpoint: Endpoint
     reader: Endpoint | None = None
-    """The engine that is to read the prompt, None if any may."""
+    """The engine that is to prefill the prompt, None if any engine may."""
     read_seconds: float = 0.0
-    """How long that should take, 0 where nobody knows."""
+    """Expected duration of the prefill, 0 if unknown."""
     reads_itself: bool = False
-    """Whether the engine that answers is to read the prompt, too."""
-    before_run: Callable[[], None] = _nothing
-    """Gives back what is not to be kept during the run."""
-    prompt_read: Callable[[], None] = _nothing
-    """Tells that the prompt was read, or that it is read elsewhere."""
-    at_end: Callable[[], None] = _nothing
-    """Gives back the rest, once the run has ended or will not start."""
+    """Whether the decode engine is to prefill the prompt, too."""
+    before_run: Callable[[], None] = _release_nothing
+    """Releases what is not to be held during the run."""
+    prompt_read: Callable[[], None] = _release_nothing
+    """Reports that the prompt was prefilled, here or elsewhere."""
+    at_end: Callable[[], None] = _release_nothing
+    """Releases the rest, once the run has ended or will not start."""
 
 
 class Grants:
-    """Finds grants; of what it gives, all has to be given back."""
+    """Finds grants; the caller has to release each of them."""
 
     def __init__(
         self,
         sending: Sending,
-        book: EndpointBook,
+        registry: EndpointBook,
         pressures: Pressures,
         reservations: Reservations,
         admissions: Admissions | None,
@@ -65,7 +68,7 @@
     ) -> None:
         self._limits = limits
         self._sending = sending
-        self._book = book
+        self._registry = registry
         self._pressures = pressures
         self._reservations = reservations
         self._admissions = admissions
@@ -73,10 +76,10 @@
     def find(
         self, context: ForwardContext, attempts: Attempts, reads_itself: bool
     ) -> Grant | None:
-        """Return a grant; None where no engine is usable, or none has room in time.
+        """Return a grant, None if no engine is usable or none has capacity in time.
 
-        `attempts.found_no_room` tells the two apart. `reads_itself` says that no other
-        engine can read the prompt for it.
+        `attempts.found_no_room` tells the two cases apart. `reads_itself` says that no
+        other engine can prefill the prompt for the decode engine.
         """
         service = context.table.service_by_name[context.service_name]
         prompt = context.request.prompt
@@ -87,7 +90,7 @@
                 context, EndpointRole.DECODE, attempts.tried
             )
             return None if endpoint is None else Grant(endpoint)
-        room = RoomRequest(
+        capacity_request = RoomRequest(
             context,
             attempts,
             service.engine,
@@ -97,7 +100,7 @@
             goes_first=attempts.may_have_run,
             check_backoff=partial(self._check_backoff, context, attempts),
         )
-        grant = self._find_room(room)
+        grant = self._find_capacity(capacity_request)
         if grant is not None and attempts.granted_ms is None:
             attempts.granted_ms = attempts.elapsed_ms
         waited = context.request.arrived.overdue() if grant else WAITED_SECONDS
@@ -107,50 +110,62 @@
     def _check_backoff(self, context: ForwardContext, attempts: Attempts) -> None:
         self._sending.check_backoff(context, attempts, EndpointRole.DECODE)
 
-    def _find_room(self, room: RoomRequest) -> Grant | None:
-        context, attempts = room.context, room.attempts
+    def _find_capacity(self, capacity_request: RoomRequest) -> Grant | None:
+        context, attempts = capacity_request.context, capacity_request.attempts
         if self._admissions is not None:
-            found = self._ask(self._admissions, room)
-            if found is not None and not found.start_id:
-                attempts.note_no_room("no grant in time", found.forecast)
+            answer = self._ask_leader(self._admissions, capacity_request)
+            if answer is not None and not answer.start_id:
+                attempts.note_no_room("no grant in time", answer.forecast)
                 return None
-            if found is not None:
+            if answer is not None:
                 attempts.is_charged = True
-                grant = self._given(context, attempts, self._admissions, found)
+                grant = self._accept_grant(context, attempts, self._admissions, answer)
                 if grant is not None:
                     return grant
         if self._limits is not None:
             self._charge_without_grant(self._limits, context, attempts)
         reservation = self._reservations.take(
-            context, attempts, room.engine, room.prompt, room.limit
+            context,
+            attempts,
+            capacity_request.engine,
+            capacity_request.prompt,
+            capacity_request.limit,
         )
         if reservation is None:
             return None
-        # Kept during the run, what it holds beyond its need would count as full until
-        # its end, and push other answers out.
-        give_back = partial(self._reservations.release, context, reservation)
+        # During the run, the reserved memory that the request does not need would count
+        # as used, and displace other answers.
+        release_reservation = partial(self._reservations.release, context, reservation)
         return Grant(
-            reservation.endpoint, reads_itself=room.reads_itself, before_run=give_back
+            reservation.endpoint,
+            reads_itself=capacity_request.reads_itself,
+            before_run=release_reservation,
         )
 
-    def _ask(self, admissions: Admissions, room: RoomRequest) -> AdmissionAnswer | None:
-        """Return what the leader decides, None without a leader that grants engines.
+    def _ask_leader(
+        self, admissions: Admissions, capacity_request: RoomRequest
+    ) -> AdmissionAnswer | None:
+        """Return the leader's decision, None without a leader that gives grants.
 
-        Raises RequestRefusedError where the client account has used its limit. A
+        Raises RequestRefusedError if the client account has used up its limit. A
         request of an account with a limit waits for a leader that can charge it: only
-        that one knows what is left, and hosts by themselves may let run little.
+        the leader knows what is left, and hosts without one may admit only little.
         """
-        context, attempts, limits = room.context, room.attempts, self._limits
-        found = admissions.ask(room)
+        context, attempts, limits = (
+            capacity_request.context,
+            capacity_request.attempts,
+            self._limits,
+        )
+        answer = admissions.ask(capacity_request)
         if limits is None or not context.cost or attempts.is_charged:
-            return found
-        while found is None and not limits.charge_at_leader(context, attempts):
-            if not limits.wait_for_leader(context, room.limit):
+            return answer
+        while answer is None and not limits.charge_at_leader(context, attempts):
+            if not limits.wait_for_leader(context, capacity_request.limit):
                 break
-            found = admissions.ask(room)
-        if found is not None and found.over_limit_seconds > 0:
-            raise limits.over_limit(context, found.over_limit_seconds)
-        return found
+            answer = admissions.ask(capacity_request)
+        if answer is not None and answer.over_limit_seconds > 0:
+            raise limits.over_limit_refusal(context, answer.over_limit_seconds)
+        return answer
 
     def _charge_without_grant(
         self, limits: AccountLimits, context: ForwardContext, attempts: Attempts
@@ -158,60 +173,61 @@
         if self._admissions is None:
             limits.charge(context, attempts)
         else:
-            limits.charge_alone(context, attempts)
+            limits.charge_without_leader(context, attempts)
 
-    def _given(
+    def _accept_grant(
         self,
         context: ForwardContext,
         attempts: Attempts,
         admissions: Admissions,
-        found: AdmissionAnswer,
+        answer: AdmissionAnswer,
     ) -> Grant | None:
-        """Return the grant that the leader gave, None if it isn't known here yet."""
+        """Return the leader's grant, None if its engine is not usable on this host."""
         request_id = context.request.request_id
         attempt = attempts.grants_asked
-        endpoint = self._usable(found.start_id)
+        endpoint = self._usable_endpoint(answer.start_id)
         if endpoint is None:
-            extra = {"request_id": request_id, "start_id": found.start_id}
-            logger.info("grant at an engine that is not used here", extra=extra)
+            extra = {"request_id": request_id, "start_id": answer.start_id}
+            logger.info("grant declined: engine not usable on this host", extra=extra)
             admissions.end(request_id, attempt)
             return None
-        attempts.note(found.start_id, "grant")
+        attempts.note(answer.start_id, "grant")
         return Grant(
             endpoint,
-            reader=self._usable(found.reader_start_id),
-            read_seconds=found.read_seconds,
-            reads_itself=not found.reader_start_id,
-            prompt_read=partial(admissions.note_read, request_id, attempt),
+            reader=self._usable_endpoint(answer.reader_start_id),
+            read_seconds=answer.read_seconds,
+            reads_itself=not answer.reader_start_id,
+            prompt_read=partial(admissions.report_prefilled, request_id, attempt),
             at_end=partial(admissions.end, request_id, attempt),
         )
 
-    def _usable(self, start_id: str) -> Endpoint | None:
-        """Return a start of an endpoint that isn't known here to leave.
+    def _usable_endpoint(self, start_id: str) -> Endpoint | None:
+        """Return the endpoint of a start, None if it is unknown here or is leaving.
 
-        The leader may not have heard of that yet: an endpoint that leaves would get a
-        request, or a prompt, after its leaving was acknowledged. Nor may it have heard
-        of a later start, which knows nothing of what the leader counts on.
+        The leader may not know that yet: a leaving endpoint would get a request, or a
+        prompt, after its leaving was acknowledged. The leader may also not know of a
+        later start, which holds nothing of what the leader counts on.
         """
-        endpoint = self._book.find_start(start_id)
+        endpoint = self._registry.find_start(start_id)
         return endpoint if endpoint is not None and endpoint.stays else None
 
 
 def _wait_limit(context: ForwardContext, attempts: Attempts) -> Deadline:
-    """Return until when a request waits for room before it is refused.
+    """Return until when a request waits for capacity before it is refused.
 
-    One that can't be in time any more is told so at once, and comes back when others
-    have ended; held until its client leaves, it would be lost. One that has come back,
-    or has had a grant and lost its engine, waits almost as long as its client does: it
-    won't come again, or has a part of its answer.
+    A request that can't meet its target any more is refused at once, so that its client
+    can retry when other requests have ended; held until the client's timeout, it would
+    be lost. A retry, or a request that had a grant and lost its engine, waits almost
+    until the client's timeout: its client won't retry again, or has a part of the
+    answer.
     """
-    end = Deadline(context.end_by.instant - LEAST_RUN_SECONDS)
+    end = Deadline(context.end_by.instant - MIN_RUN_SECONDS)
     is_first_try = not context.came_back and attempts.granted_ms is None
     if is_first_try and not attempts.may_have_run:
-        start = Deadline(context.target_by.instant - START_SECONDS)
+        start = Deadline(context.target_by.instant - FIRST_EVENT_SECONDS)
         return end.earlier_of(start)
-    # A client that has a part of the answer counts its patience from there.
+    # The timeout of a client that has a part of the answer counts from that part.
     now = Deadline.after(0)
-    waits_since = now if attempts.may_have_run else context.request.arrived
-    patience = context.route.patience_ms / 1000 - LEAVING_SECONDS
-    return end.earlier_of(Deadline(waits_since.instant + patience))
+    waits_from = now if attempts.may_have_run else context.request.arrived
+    client_timeout = context.route.patience_ms / 1000 - CLIENT_TIMEOUT_MARGIN_SECONDS
+    return end.earlier_of(Deadline(waits_from.instant + client_timeout))
--- a/src/jujubeslip/forwarding/_leader_contact.py
+++ b/src/jujubeslip/forwarding/_leader_contact.py
@@ -1,4 +1,4 @@
-"""The control host that leads, as this host knows it, and calls to it."""
+"""Finds the control host that leads, and calls it."""
 
 from __future__ import annotations
 
@@ -17,248 +17,256 @@
 
 T = TypeVar("T")
 
-# How long a host that did not answer, or does not lead, is not asked, in seconds.
+# How long a host that did not answer, or does not lead, is skipped, in seconds.
 PAUSE_SECONDS = 0.7
-# The same for one that leads and may promise nothing at the moment, in seconds: its
-# followers answer late, and the next answer renews its lease.
+# How long a leader whose lease has lapsed is skipped, in seconds. Its followers answer
+# late, and the next answer renews the lease.
 LAPSED_PAUSE_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
-class _Word:
-    """Who leads, as one control host told last, and in which term."""
+class _LeaderReport:
+    """The leader that one control host reported last, and its term."""
 
     address: str
     term: int
 
 
 class LeaderContact:
-    """Finds the leader among what control hosts tell, and calls it.
+    """Determines the leader from the reports of control hosts, and calls it.
 
-    The newest term counts, whoever told it: what others said of an earlier one is over.
+    Only reports of the newest term count, whichever host sent them; reports of earlier
+    terms are outdated.
     """
 
     def __init__(self, identity: PeerIdentity, reaches: Callable[[str], bool]) -> None:
         self._reaches = reaches
         self._clients = ControlClients(identity)
-        self._word_by_teller: dict[str, _Word] = {}
+        self._report_by_sender: dict[str, _LeaderReport] = {}
         self._paused_until_by_address: dict[str, Deadline] = {}
-        self._silent_addresses: set[str] = set()
-        """Hosts that did not answer when last asked."""
+        self._unresponsive_addresses: set[str] = set()
+        """Hosts that did not answer the latest call."""
         self._lapsed_addresses: set[str] = set()
-        """Leaders that could promise nothing when last asked."""
-        self._logged_address: str | None = None
+        """Leaders that had no valid lease at the latest call."""
+        self._last_logged_address: str | None = None
         self._lock = threading.Lock()
 
-    def take(self, news: News) -> None:
-        """Note who leads, as one control host sees it."""
-        word = _Word(news.leader_address, news.leader_term)
+    def take(self, update: News) -> None:
+        """Record the leader that a control host reports."""
+        report = _LeaderReport(update.leader_address, update.leader_term)
         with self._lock:
-            self._take_word(news.address, word)
-
-    def _take_word(self, teller: str, word: _Word) -> None:
-        """Note what a host told; needs the lock."""
-        if word.term > self._newest_term():
-            # It was elected since it was passed over.
-            self._forget_failures(word.address)
-        before = self._word_by_teller.get(teller)
-        if not word.address and before is not None:
-            # It hears no leader now; the one of an earlier term leads no more.
-            word = _Word("", max(before.term, word.term))
-        self._word_by_teller[teller] = word
+            self._record_report(update.address, report)
+
+    def _record_report(self, sender: str, report: _LeaderReport) -> None:
+        """Record what a host reported; the caller holds the lock."""
+        if report.term > self._newest_term():
+            # The host was elected after calls to it failed.
+            self._forget_failures(report.address)
+        before = self._report_by_sender.get(sender)
+        if not report.address and before is not None:
+            # The sender hears from no leader any more, so the leader that it reported
+            # before no longer leads.
+            report = _LeaderReport("", max(before.term, report.term))
+        self._report_by_sender[sender] = report
 
     def _forget_failures(self, address: str) -> None:
-        """Let a host be asked at once; needs the lock."""
+        """Allow calls to a host at once; the caller holds the lock."""
         self._paused_until_by_address.pop(address, None)
-        self._silent_addresses.discard(address)
+        self._unresponsive_addresses.discard(address)
         self._lapsed_addresses.discard(address)
 
-    def _newest_words(self) -> list[_Word]:
-        """Return what was told of the newest term; needs the lock.
+    def _newest_reports(self) -> list[_LeaderReport]:
+        """Return the reports of the newest term; the caller holds the lock.
 
-        A word holds while its teller or the host that it names is reached: the control
-        hosts may all have been replaced, and count their terms anew.
+        A report counts while its sender or the leader that it names is reachable. All
+        control hosts may have been replaced, and count their terms anew.
         """
-        words = [
-            word
-            for teller, word in self._word_by_teller.items()
-            if self._reaches(teller) or self._reaches(word.address)
+        reports = [
+            report
+            for sender, report in self._report_by_sender.items()
+            if self._reaches(sender) or self._reaches(report.address)
         ]
-        newest = max((word.term for word in words), default=0)
-        return [word for word in words if word.term == newest]
+        newest = max((report.term for report in reports), default=0)
+        return [report for report in reports if report.term == newest]
 
     def _newest_term(self) -> int:
-        return max((word.term for word in self._newest_words()), default=0)
+        return max((report.term for report in self._newest_reports()), default=0)
 
     @property
-    def is_late(self) -> bool:
-        """Say whether a reachable leader is passed over since an answer was late.
+    def has_skipped_leader(self) -> bool:
+        """Return whether a reachable leader is skipped for the moment.
 
-        Its own, or one that renews its lease. It is soon asked again. One beyond a
-        network partition isn't reachable.
+        Its own answer was late, or it is renewing a lapsed lease; it is called again
+        soon. A leader beyond a network partition isn't reachable.
         """
         with self._lock:
-            named = {word.address for word in self._newest_words()}
-            named &= self._silent_addresses | self._lapsed_addresses
-            return any(self._reaches(address) for address in named)
+            candidates = {report.address for report in self._newest_reports()}
+            candidates &= self._unresponsive_addresses | self._lapsed_addresses
+            return any(self._reaches(address) for address in candidates)
 
     def address(self) -> str | None:
-        """Return the address of the newest leader, None if it may not be asked.
+        """Return the address of the newest leader, None if it may not be called.
 
-        One that is cut off from the others may still name the leader of before; most
-        of them decide where they tell no terms.
+        A control host that is cut off may still report the previous leader. If reports
+        carry no term, the majority decides.
         """
         with self._lock:
-            named = Counter(
-                word.address
-                for word in self._newest_words()
-                if word.address and not self._is_paused(word.address)
+            candidates = Counter(
+                report.address
+                for report in self._newest_reports()
+                if report.address and not self._is_paused(report.address)
             )
-            # Each request would wait anew for a host beyond a network partition.
-            named = Counter({key: n for key, n in named.items() if self._reaches(key)})
-            address = named.most_common(1)[0][0] if named else None
+            # Otherwise each request would wait for a host beyond a network partition.
+            candidates = Counter(
+                {key: n for key, n in candidates.items() if self._reaches(key)}
+            )
+            address = candidates.most_common(1)[0][0] if candidates else None
             self._log_change(address)
         return address
 
     def _log_change(self, address: str | None) -> None:
-        """Write which host is asked from now on, and what each one told; needs lock."""
-        if address == self._logged_address:
+        """Log which host is called from now on; the caller holds the lock."""
+        if address == self._last_logged_address:
             return
-        self._logged_address = address
+        self._last_logged_address = address
         paused = [
             item for item in self._paused_until_by_address if self._is_paused(item)
         ]
         extra = {
             "address": address or "",
             "told": {
-                teller: [word.address, word.term]
-                for teller, word in self._word_by_teller.items()
+                sender: [report.address, report.term]
+                for sender, report in self._report_by_sender.items()
             },
             "paused": paused,
         }
-        logger.info("leader to ask changed", extra=extra)
+        logger.info("leader to call changed", extra=extra)
 
     def call(
         self,
         address: str,
         request_id: str,
         timeout: float,
-        ask: Callable[[Any], T],
+        rpc: Callable[[Any], T],
     ) -> T | None:
         """Return the answer of the host at this address, None if it doesn't lead.
 
-        One that does not answer in time, in seconds, or refuses, is not asked for a
-        while either. A connection that stays silent is followed by a fresh one, which
-        gets as long, unless another host leads by then.
+        A host that does not answer within the timeout, in seconds, or that refuses is
+        skipped for a while, too. If the connection stays silent, the call is repeated
+        once on a new connection with the same timeout, unless another host leads by
+        then.
         """
         client = self._clients.get(address)
 
-        def ask_twice() -> T:
+        def call_with_retry() -> T:
             try:
-                return client.call_within(ask, timeout)
+                return client.call_within(rpc, timeout)
             except PeerUnavailableError:
                 if not self._is_named(address):
                     raise
-            return client.call_within(ask, timeout)
+            return client.call_within(rpc, timeout)
 
-        return self._answer(address, request_id, timeout, ask_twice)
+        return self._call_and_record(address, request_id, timeout, call_with_retry)
 
     def _is_named(self, address: str) -> bool:
         with self._lock:
-            return address in {word.address for word in self._newest_words()}
+            return address in {report.address for report in self._newest_reports()}
 
     def call_within(
         self,
         address: str,
         request_id: str,
         timeout: float,
-        ask: Callable[[Any], T],
+        rpc: Callable[[Any], T],
     ) -> T | None:
-        """Do the same in this time, in seconds, whatever connections do.
+        """Call the host once, without a repetition on a new connection.
 
-        For requests that go on without the leader: beyond a network partition both
-        connections are silent, and two waits would take all of a stream's target.
+        For requests that can proceed without the leader: beyond a network partition
+        both connections are silent, and two timeouts would use up a stream's target.
         """
         client = self._clients.get(address)
-        return self._answer(
-            address, request_id, timeout, lambda: client.call_within(ask, timeout)
+        return self._call_and_record(
+            address, request_id, timeout, lambda: client.call_within(rpc, timeout)
         )
 
-    def _answer(
-        self, address: str, request_id: str, timeout: float, ask: Callable[[], T]
+    def _call_and_record(
+        self, address: str, request_id: str, timeout: float, rpc: Callable[[], T]
     ) -> T | None:
-        term = self._note_asked(address, timeout)
+        term = self._record_call(address, timeout)
         try:
-            answer = ask()
+            answer = rpc()
         except NotLeader as error:
             self._pause_not_leading(address, term, request_id, error)
             if error.leader_address:
-                word = _Word(error.leader_address, error.leader_term or 0)
+                report = _LeaderReport(error.leader_address, error.leader_term or 0)
                 with self._lock:
-                    self._take_word(address, word)
+                    self._record_report(address, report)
             return None
         except PeerRefusal as error:
             self._pause(address, term, request_id, str(error))
             return None
         except PeerUnavailableError as error:
-            self._pause(address, term, request_id, str(error), is_silent=True)
+            self._pause(address, term, request_id, str(error), is_unresponsive=True)
             return None
-        self._note_answered(address)
+        self._record_answer(address)
         return answer
 
-    def call_other(
-        self, address: str, timeout: float, ask: Callable[[Any], T]
+    def call_control_host(
+        self, address: str, timeout: float, rpc: Callable[[Any], T]
     ) -> T | None:
-        """Return the answer of a control host that need not lead, None without one."""
+        """Return the answer of any control host, None if it gives none."""
         try:
-            return self._clients.get(address).call(ask, timeout)
+            return self._clients.get(address).call(rpc, timeout)
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"address": address, "error": str(error)}
-            logger.info("control host not asked", extra=extra)
+            logger.info("call to control host failed", extra=extra)
             return None
 
     def first_reachable(self) -> str | None:
-        """Return the control host that hosts with the same view agree on."""
+        """Return the first reachable control host, in the order of addresses.
+
+        Hosts that reach the same control hosts choose the same one.
+        """
         with self._lock:
-            tellers = sorted(self._word_by_teller)
-        return next((item for item in tellers if self._reaches(item)), None)
+            senders = sorted(self._report_by_sender)
+        return next((item for item in senders if self._reaches(item)), None)
 
-    def tell(self, say: Callable[[Any], Any], timeout: float) -> str:
-        """Tell the leader something; return why it may not know, empty if it does."""
+    def notify(self, rpc: Callable[[Any], Any], timeout: float) -> str:
+        """Send the leader a notification; return why it failed, empty if it did not."""
         address = self.address()
         if address is None:
             return "no leader is known"
         try:
-            self._clients.get(address).call(say, timeout)
+            self._clients.get(address).call(rpc, timeout)
         except (PeerUnavailableError, PeerRefusal, NotLeader) as failure:
             return f"{address}: {failure}"
         return ""
 
-    def _note_asked(self, address: str, timeout: float) -> int:
-        """Let nobody else ask a silent host while one request waits for its answer.
-
-        Return the term in which it is asked.
+    def _record_call(self, address: str, timeout: float) -> int:
+        """Record a call and return the term in which it is made.
 
-        A host beyond a network partition is known to be lost after two seconds. Until
-        then each request that comes once its pause is over would wait in vain.
+        While one request waits for a host that did not answer before, the others skip
+        that host. A host beyond a network partition is known to be lost after two
+        seconds; until then each request that comes after the pause would wait for a
+        call that cannot succeed.
         """
         with self._lock:
-            if address in self._silent_addresses:
+            if address in self._unresponsive_addresses:
                 self._paused_until_by_address[address] = Deadline.after(timeout)
             return self._newest_term()
 
-    def _note_answered(self, address: str) -> None:
+    def _record_answer(self, address: str) -> None:
         with self._lock:
-            if address in self._silent_addresses | self._lapsed_addresses:
+            if address in self._unresponsive_addresses | self._lapsed_addresses:
                 self._forget_failures(address)
 
     def _pause_not_leading(
         self, address: str, term: int, request_id: str, error: NotLeader
     ) -> None:
-        """Pass over a host that says that it doesn't lead.
+        """Skip a host that says that it doesn't lead.
 
-        One that knows no other leader, and is still named as the newest one, leads
-        without a lease: it may be asked again soon.
+        If it knows no other leader and is still reported as the newest one, it leads
+        without a valid lease and is called again soon.
         """
         is_lapsed = not error.leader_address and self._is_named(address)
         with self._lock:
@@ -278,17 +286,17 @@
         term: int,
         request_id: str,
         reason: str,
-        is_silent: bool = False,
+        is_unresponsive: bool = False,
     ) -> None:
-        """Pass over a host for what it answered, or not, in this term."""
+        """Skip a host whose call in this term failed."""
         with self._lock:
-            # It may have been elected while it was asked.
+            # The host may have been elected during the call.
             if term == self._newest_term():
                 self._paused_until_by_address[address] = Deadline.after(PAUSE_SECONDS)
-                if is_silent:
-                    self._silent_addresses.add(address)
+                if is_unresponsive:
+                    self._unresponsive_addresses.add(address)
         extra = {"address": address, "request_id": request_id, "reason": reason}
-        logger.info("leader grants no engines", extra=extra)
+        logger.info("leader skipped after a failed call", extra=extra)
 
     def _is_paused(self, address: str) -> bool:
         paused = self._paused_until_by_address.get(address)
--- a/src/jujubeslip/forwarding/_shared_charges.py
+++ b/src/jujubeslip/forwarding/_shared_charges.py
@@ -51,4 +51,4 @@
         with self.lock:
             if not self.spending.lend(address, steady_seconds()):
                 return False
-        return bool(self._leader.call_other(address, ANSWER_SECONDS, ask))
+        return bool(self._leader.call_control_host(address, ANSWER_SECONDS, ask))
--- a/tests/forwarding/test_account_limits.py
+++ b/tests/forwarding/test_account_limits.py
@@ -1,4 +1,4 @@
-"""What an account may ask for over all hosts, with real processes."""
+"""Limits of client accounts over all hosts, with real processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 # PROMPT counts 120 tokens, a plain request 100.
 LIMITED = {"unit": "tokens", "plainTokens": 100, "ratePerS": 100.0, "burst": 600}
 HOSTS = 2
-# How late the leader answers, in seconds: more than a host waits for it.
+# Delay of the leader's answers, in seconds: longer than a host waits for them.
 LATE_SECONDS = 0.4
 
 
@@ -55,7 +55,7 @@
         for path in (OPEN, MODEL):
             headers = {**key("k-free"), **(PROMPT if path == MODEL else {})}
             running.wait_served(path, headers=headers, deadline_ms=5000)
-        # A new leader's accounts fill from nothing, as the slack is 0.
+        # A new leader's accounts start empty and fill up, as the slack is 0.
         wait_until(
             lambda: running.ask(CLOSED, headers=key("k-filled")).status == 200,
             "accounts have filled",
@@ -66,7 +66,7 @@
 def ask_many(
     system: PlatformSystem, path: str, api_key: str, count: int
 ) -> list[Reply]:
-    """Ask so many times at once, at all hosts in turn."""
+    """Send this many requests at once, to all hosts in turn."""
     headers = {**key(api_key), **(PROMPT if path == MODEL else {})}
 
     def ask(number: int) -> Reply:
@@ -77,20 +77,20 @@
 
 
 def use_by_account(system: PlatformSystem) -> dict[str, dict[str, Any]]:
-    """Return what is left of each account's limit, as the leader tells operators."""
+    """Return what is left of each account's limit, as the leader shows operators."""
     address = system.seeds[0]
     command = ["status", "--control", address, "--peer-secret", SECRET, "--json"]
-    told = CliRunner().invoke(main, command)
-    return {use["account_name"]: use for use in json.loads(told.output)["accounts"]}
+    result = CliRunner().invoke(main, command)
+    return {use["account_name"]: use for use in json.loads(result.output)["accounts"]}
 
 
 class TestAccountBeyondItsLimit:
-    """One account asks for many times its limit, at two hosts at once."""
+    """One account sends many times its limit, to two hosts at once."""
 
     @pytest.mark.parametrize(
         ("path", "api_key"), [(CLOSED, "k-hot"), (MODEL, "k-streams")]
     )
-    def test_is_refused_at_once_and_told_when_to_come_back(
+    def test_is_refused_at_once_with_a_retry_time(
         self, system: PlatformSystem, path: str, api_key: str
     ) -> None:
         replies = ask_many(system, path, api_key, 24)
@@ -109,11 +109,11 @@
         replies = ask_many(system, CLOSED, "k-free", 12)
         assert {reply.status for reply in replies} == {200}
 
-    def test_may_ask_again_after_that_time(self, system: PlatformSystem) -> None:
+    def test_is_served_again_after_that_time(self, system: PlatformSystem) -> None:
         ask_many(system, CLOSED, "k-hot", 12)
         wait_until(
             lambda: system.ask(CLOSED, headers=key("k-hot")).status == 200,
-            "the account may ask again",
+            "the account is served again",
         )
 
     def test_is_named_in_the_logs(self, system: PlatformSystem) -> None:
@@ -124,35 +124,35 @@
             "the line of a refusal",
         )
 
-        def told() -> list[dict[str, Any]]:
+        def logged() -> list[dict[str, Any]]:
             return system.logged("account has used its limit")
 
         wait_until(
-            lambda: "hot" in {line["account"] for line in told()},
+            lambda: "hot" in {line["account"] for line in logged()},
             "the line of the account",
         )
-        assert {line["per_second"] for line in told()} == {100}
+        assert {line["per_second"] for line in logged()} == {100}
 
 
 class TestCauseOfARefusal:
-    """An account says that it was refused wrongly."""
+    """Guards against refusals whose cause operators can't find out."""
 
     def cause(self, system: PlatformSystem, folder: Path) -> str:
-        """Return what trace says of the last request, from the hosts' lines."""
+        """Return the cause that trace finds for the last request in the hosts' logs."""
         paths = []
         for host in (*system.controls, *system.entries):
             paths.append(folder / f"{host.name}.log")
             paths[-1].write_text(host.output())
         return cause_of(lines_about(system.last_request_id, paths))
 
-    def test_is_told_for_a_key(self, system: PlatformSystem, tmp_path: Path) -> None:
+    def test_is_shown_for_a_key(self, system: PlatformSystem, tmp_path: Path) -> None:
         assert system.ask(CLOSED, headers=key("nobody's")).status == 401
         wait_until(
             lambda: "no account holds the key" in self.cause(system, tmp_path),
             "the cause",
         )
 
-    def test_is_told_for_a_limit(self, system: PlatformSystem, tmp_path: Path) -> None:
+    def test_is_shown_for_a_limit(self, system: PlatformSystem, tmp_path: Path) -> None:
         wait_until(
             lambda: system.ask(CLOSED, headers=key("k-hot")).status == 429,
             "the limit is used",
@@ -174,12 +174,12 @@
 
 
 class TestLeaderThatAnswersLate:
-    """Guards against refusals of what the leader allows, for one late answer of it."""
+    """Guards against refusals of allowed requests after one late answer."""
 
-    def test_is_asked_again(self, system: PlatformSystem) -> None:
+    def test_is_called_again(self, system: PlatformSystem) -> None:
         wait_until(
             lambda: system.ask(CLOSED, headers=key("k-late")).status == 200,
-            "the account may ask",
+            "the account is served",
         )
         wait_until(
             lambda: use_by_account(system)["late"]["left"] >= 300, "the account fills"
@@ -197,7 +197,7 @@
 
 
 class TestChangeOfALimit:
-    """An operator raises an account's limit, or takes it away."""
+    """An operator raises or removes an account's limit."""
 
     def test_is_in_force_soon(self, system: PlatformSystem) -> None:
         ask_many(system, CLOSED, "k-hot", 12)
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -1,4 +1,4 @@
-"""Whose request it is: keys of client accounts, from the client to the endpoint."""
+"""Identification of client accounts by their keys, with real processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def account(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
-    """Return a client account as the operator writes it."""
+    """Return a client account as the operator declares it."""
     return {"name": name, "apiKeys": list(keys), **fields}
 
 
@@ -72,7 +72,7 @@
 
 
 def received(system: PlatformSystem) -> list[dict[str, str]]:
-    """Return the headers of all that workers were sent for the last request."""
+    """Return the headers of every call to a worker for the last request."""
     request_id = system.last_request_id
     sent = [run.headers for worker in workers(system) for run in worker.runs]
     sent += [headers for worker in workers(system) for headers in worker.prompt_headers]
@@ -84,7 +84,10 @@
 
 
 class TestKeyOfAnAccount:
-    """The client's key was passed on to endpoints, which is theirs to misuse."""
+    """Guards against a client's key that is passed on to endpoints.
+
+    Whoever reads the requests of an endpoint could then use the key.
+    """
 
     def test_endpoint_gets_the_name_and_not_the_key(
         self, system: PlatformSystem
@@ -95,16 +98,14 @@
         assert "authorization" not in headers
         assert SECOND_KEY not in str(headers)
 
-    def test_so_does_the_engine_that_reads_the_prompt(
-        self, system: PlatformSystem
-    ) -> None:
+    def test_so_does_the_prefill_engine(self, system: PlatformSystem) -> None:
         headers = {**key(OTHER_KEY), **PROMPT}
         assert system.ask(MODEL, headers=headers, deadline_ms=5000).status == 200
         got = received(system)
         assert [item["tenant"] for item in got] == ["desks", "desks"]
         assert OTHER_KEY not in str(got)
 
-    def test_name_that_the_client_gives_itself_is_dropped(
+    def test_name_in_the_clients_own_header_is_dropped(
         self, system: PlatformSystem
     ) -> None:
         for name in ("Tenant", "tenant", "TENANT"):
@@ -116,7 +117,7 @@
         (got,) = received(system)
         assert "tenant" not in got
 
-    def test_public_route_needs_none(self, system: PlatformSystem) -> None:
+    def test_public_route_needs_no_key(self, system: PlatformSystem) -> None:
         assert system.ask(OPEN).status == 200
         assert system.ask(OPEN, headers=key("nobody's")).status == 200
         (headers,) = received(system)
@@ -124,7 +125,7 @@
 
 
 class TestRequestWithoutAValidKey:
-    """No account holds the key: the request gets 401 at once, and runs nowhere."""
+    """No account has the key: the request gets 401 at once, and runs nowhere."""
 
     @pytest.mark.parametrize(
         "authorization",
@@ -164,12 +165,12 @@
             )
             assert b" 401 " in client.recv(1000)
 
-    def test_unknown_route_is_told_first(self, system: PlatformSystem) -> None:
+    def test_unknown_route_is_reported_first(self, system: PlatformSystem) -> None:
         assert system.ask("/nowhere/").status == 404
 
 
 class TestChangesOfKeys:
-    """The operator takes a key away, and gives another one."""
+    """The operator removes a key, and adds another one."""
 
     def test_are_in_force_on_open_connections(
         self, tmp_path_factory: pytest.TempPathFactory
@@ -203,7 +204,7 @@
 
 
 class TestKeysInOutput:
-    """A key in a log line would be a key for everybody who reads logs."""
+    """Guards against keys in logs and metrics, where every reader could use them."""
 
     def test_there_is_none(self, system: PlatformSystem) -> None:
         served = ask_as(system, FIRST_KEY)
--- a/tests/forwarding/test_grants.py
+++ b/tests/forwarding/test_grants.py
@@ -1,4 +1,4 @@
-"""What a host makes of the leader's grants."""
+"""How a host uses the leader's grants."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from tests.fakes.engines import engine
 
 
-def reader(leaving: bool = False) -> Endpoint:
+def prefill_engine(leaving: bool = False) -> Endpoint:
     return replace(engine("reader", EndpointRole.PREFILL), leaving=leaving)
 
 
-def answering(leaving: bool = False) -> Endpoint:
+def decode_engine(leaving: bool = False) -> Endpoint:
     return replace(engine("engine", EndpointRole.DECODE), leaving=leaving)
 
 
 class Leader:
-    """Grants the same engine and reader to every request."""
+    """Grants the same decode and prefill engine to every request."""
 
     def __init__(self) -> None:
         self.ended: list[tuple[str, int]] = []
@@ -34,14 +34,14 @@
     def ask(self, *_: object) -> AdmissionAnswer:
         return AdmissionAnswer("engine", "reader", 0.0, 0.1)
 
-    def note_read(self, request_id: str, attempt: int) -> None:
-        raise AssertionError("nothing was read")
+    def report_prefilled(self, request_id: str, attempt: int) -> None:
+        raise AssertionError("no prompt was prefilled")
 
     def end(self, request_id: str, attempt: int) -> None:
         self.ended.append((request_id, attempt))
 
 
-def find(book: EndpointBook, leader: Leader) -> Grant | None:
+def find(registry: EndpointBook, leader: Leader) -> Grant | None:
     service = SimpleNamespace(engine=SimpleNamespace(reservation_ms=2000))
     context: Any = SimpleNamespace(
         table=SimpleNamespace(service_by_name={"model": service}),
@@ -57,64 +57,69 @@
     pressures: Any = SimpleNamespace(note_wait=lambda name, waited: None)
     reservations: Any = SimpleNamespace(take=lambda *_: None)
     admissions: Any = leader
-    grants = Grants(unused, book, pressures, reservations, admissions)
+    grants = Grants(unused, registry, pressures, reservations, admissions)
     return grants.find(context, Attempts(), reads_itself=False)
 
 
 class TestGrantOfAnEngineThatLeaves:
-    """An engine says that it leaves, to a host that the leader is cut off from.
+    """Guards against a request sent to an engine that is about to exit.
 
-    The leader goes on granting it; this host has heard of its leaving. Sent there, the
-    request would reach an engine that is about to exit.
+    An engine announces that it is leaving to a host from which the leader is cut off.
+    The leader goes on granting this engine, and only the host knows that it leaves.
     """
 
-    def test_is_given_back(self) -> None:
-        book, leader = EndpointBook(), Leader()
-        book.take([reader(), answering(leaving=True)])
-        assert find(book, leader) is None
+    def test_is_ended(self) -> None:
+        registry, leader = EndpointBook(), Leader()
+        registry.take([prefill_engine(), decode_engine(leaving=True)])
+        assert find(registry, leader) is None
         assert leader.ended == [("r-1", 0)]
 
-    def test_reader_is_not_asked(self) -> None:
-        book, leader = EndpointBook(), Leader()
-        book.take([reader(leaving=True), answering()])
-        grant = find(book, leader)
+    def test_prefill_engine_is_not_used(self) -> None:
+        registry, leader = EndpointBook(), Leader()
+        registry.take([prefill_engine(leaving=True), decode_engine()])
+        grant = find(registry, leader)
         assert grant is not None and grant.endpoint.endpoint_id == "engine"
         assert grant.reader is None
 
     @pytest.mark.parametrize("missing", ["reader", "engine"])
     def test_that_is_not_known_is_not_used(self, missing: str) -> None:
-        book, leader = EndpointBook(), Leader()
-        book.take(
-            [item for item in (reader(), answering()) if item.endpoint_id != missing]
+        registry, leader = EndpointBook(), Leader()
+        registry.take(
+            [
+                item
+                for item in (prefill_engine(), decode_engine())
+                if item.endpoint_id != missing
+            ]
         )
-        grant = find(book, leader)
+        grant = find(registry, leader)
         assert grant is None if missing == "engine" else grant is not None
         assert grant is None or grant.reader is None
 
     def test_of_engines_that_stay_is_used(self) -> None:
-        book, leader = EndpointBook(), Leader()
-        book.take([reader(), answering()])
-        grant = find(book, leader)
-        assert grant is not None and grant.reader == book.find("reader")
+        registry, leader = EndpointBook(), Leader()
+        registry.take([prefill_engine(), decode_engine()])
+        grant = find(registry, leader)
+        assert grant is not None and grant.reader == registry.find("reader")
         assert grant.read_seconds == 0.1
 
 
 class TestLimitOfWaiting:
-    """An engine crashes in the middle of an answer that may be resumed.
+    """Guards against the refusal of a request whose client would still wait.
 
-    Its client would wait for three seconds more. The request was refused within four
-    milliseconds, since the target of its first event had passed long ago ("1254 ms
-    answer_cut, 1257 ms no grant in time, forecast 0.04 s"): its client got a failure.
+    An engine crashes in the middle of an answer that may be resumed, and the client
+    would wait for three seconds more. The request was refused within four milliseconds,
+    since the target of its first event had passed long ago ("1254 ms answer_cut,
+    1257 ms no grant in time, forecast 0.04 s"), and the client got a failure.
     """
 
-    PATIENCE_SECONDS = 3.6
+    CLIENT_TIMEOUT_SECONDS = 3.6
 
     def limit(self, attempts: Attempts, came_back: bool = False) -> float:
-        """Return for how long a request waits that came 1.2 s ago."""
+        """Return how long a request that arrived 1.2 s ago waits."""
         arrived = Deadline.after(-1.2)
         context: Any = SimpleNamespace(
             request=SimpleNamespace(arrived=arrived),
-            route=SimpleNamespace(patience_ms=int(1000 * self.PATIENCE_SECONDS)),
+            route=SimpleNamespace(patience_ms=int(1000 * self.CLIENT_TIMEOUT_SECONDS)),
             came_back=came_back,
             end_by=Deadline.after(12),
             target_by=Deadline(arrived.instant + 0.9),
@@ -122,10 +127,10 @@
         limit = _wait_limit(context, attempts)
         return limit.instant - Deadline.after(0).instant
 
-    def test_of_a_first_try_ends_before_its_target(self) -> None:
+    def test_of_a_first_attempt_ends_before_its_target(self) -> None:
         assert self.limit(Attempts()) < 0
 
-    def test_of_one_whose_answer_broke_off_is_its_clients_patience(self) -> None:
+    def test_of_one_whose_answer_broke_off_is_its_clients_timeout(self) -> None:
         assert self.limit(Attempts(runs=1, granted_ms=20)) == pytest.approx(
             3.2, abs=0.1
         )
@@ -133,6 +138,6 @@
     def test_of_one_whose_engine_was_lost_before_counts_from_its_start(self) -> None:
         assert self.limit(Attempts(granted_ms=20)) == pytest.approx(2.0, abs=0.1)
 
-    def test_of_one_that_came_back_counts_from_its_start(self) -> None:
+    def test_of_a_retry_counts_from_its_start(self) -> None:
         waits = self.limit(Attempts(), came_back=True)
         assert waits == pytest.approx(2.0, abs=0.1)
--- a/tests/forwarding/test_leader_contact.py
+++ b/tests/forwarding/test_leader_contact.py
@@ -1,4 +1,4 @@
-"""What requests do while the leader they know of does not answer."""
+"""Calls to a leader that does not answer, refuses, or is replaced."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
     def __init__(self) -> None:
         self.error: Exception | None = PeerUnavailableError("No answer.")
-        self.asked = 0
-        self.while_asked: list[str | None] = []
-        """What other requests find meanwhile."""
+        self.calls = 0
+        self.addresses_during_calls: list[str | None] = []
+        """The leader address that other requests get during each call."""
         self.contact: LeaderContact | None = None
 
     def call_within(self, ask: object, timeout: float) -> str:
         assert self.contact is not None
-        self.asked += 1
-        self.while_asked.append(self.contact.address())
+        self.calls += 1
+        self.addresses_during_calls.append(self.contact.address())
         if self.error is not None:
             raise self.error
         return "granted"
@@ -58,16 +58,16 @@
     contact = LeaderContact(PeerIdentity("host", 1, "secret-of-tests"), lambda _: True)
     clients: Any = SimpleNamespace(get=lambda _: peer)
     contact._clients = clients
-    news: Any = SimpleNamespace(
+    update: Any = SimpleNamespace(
         address="10.0.0.2:7000", leader_address=LEADER, leader_term=0
     )
-    contact.take(news)
+    contact.take(update)
     peer.contact = contact
     return contact
 
 
 def ask(contact: LeaderContact) -> str | None:
-    """Return what the leader answers, None where it isn't asked or does not answer."""
+    """Return the leader's answer, None if it is skipped or does not answer."""
     address = contact.address()
     if address is None:
         return None
@@ -75,31 +75,33 @@
 
 
 class TestLeaderBeyondAPartition:
-    """A zone is cut off; its hosts know after 2.3 s that the leader is lost.
+    """Guards against many requests that wait for an unreachable leader at once.
 
-    Until then each request that came when a pause was over asked it, all at once, and
-    waited for 0.95 s: of 14 streams in the zone seven had room after 0.8 to 0.96 s.
+    The hosts of a zone that is cut off know after 2.3 s that the leader is lost. Until
+    then, all requests that came after a pause called it at the same time and waited
+    for 0.95 s: of 14 streams in the zone, seven got capacity after 0.8 to 0.96 s.
     """
 
-    def test_is_not_asked_for_a_while(
+    def test_is_not_called_for_a_while(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         assert ask(contact) is None
         clock.now += PAUSE_SECONDS - 0.1
         assert ask(contact) is None
-        assert peer.asked == 1
+        assert peer.calls == 1
 
-    def test_is_asked_by_one_request_then(
+    def test_is_called_by_one_request_after_the_pause(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         ask(contact)
         clock.now += PAUSE_SECONDS + 0.1
         ask(contact)
-        assert peer.asked == 2
-        # The first time nobody could know; the second time the others went on.
-        assert peer.while_asked == [LEADER, None]
+        assert peer.calls == 2
+        # During the first call no request knows of the failure; during the second one
+        # the other requests skip the leader.
+        assert peer.addresses_during_calls == [LEADER, None]
 
-    def test_is_asked_by_all_once_it_has_answered(
+    def test_is_called_by_all_once_it_has_answered(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         ask(contact)
@@ -107,72 +109,74 @@
         peer.error = None
         assert ask(contact) == "granted"
         assert ask(contact) == "granted"
-        assert peer.while_asked[-1] == LEADER
+        assert peer.addresses_during_calls[-1] == LEADER
 
 
 class TestLeaderThatRefuses:
-    """It answers, so that one more request costs a millisecond."""
+    """A refusal takes only a millisecond, so that all requests may call the leader."""
 
-    def test_is_asked_by_all_after_the_pause(
+    def test_is_called_by_all_after_the_pause(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         peer.error = PeerRefusal("engines_unknown", "No report yet.", "Wait.", 0)
         ask(contact)
         clock.now += PAUSE_SECONDS + 0.1
         ask(contact)
-        assert peer.while_asked == [LEADER, LEADER]
+        assert peer.addresses_during_calls == [LEADER, LEADER]
 
 
-class TestNextLeaderThatRefuses:
-    """Guards against a request that waits for the leader before the one that refused.
+class TestNewLeaderThatRefuses:
+    """Guards against a request that waits for the previous leader after a refusal.
 
-    Some control hosts still name that one: they can't be reached, or have told nothing
-    since the election.
+    Some control hosts still report the previous leader: they can't be reached, or have
+    sent no report since the election.
     """
 
-    def test_one_before_is_not_asked_instead(
+    def test_previous_one_is_not_called_instead(
         self, contact: LeaderContact, peer: Peer
     ) -> None:
-        before, following = LEADER, "10.0.0.2:7000"
-        tell(contact, before, before, 2)
-        tell(contact, "10.0.0.3:7000", before, 2)
-        tell(contact, following, following, 3)
+        previous, following = LEADER, "10.0.0.2:7000"
+        report(contact, previous, previous, 2)
+        report(contact, "10.0.0.3:7000", previous, 2)
+        report(contact, following, following, 3)
         peer.error = PeerRefusal("engines_unknown", "No report yet.", "Wait.", 0)
         contact.call_within(following, "r-1", TIMEOUT, lambda _: "granted")
-        assert contact.address() != before
+        assert contact.address() != previous
 
 
-class TestHostThatBeginsToLead:
-    """Guards against a leader that is passed over for what it was before."""
+class TestNewlyElectedLeader:
+    """Guards against a new leader that is skipped for calls before its election."""
 
-    def test_is_asked_at_once(self, contact: LeaderContact, peer: Peer) -> None:
+    def test_is_called_at_once(self, contact: LeaderContact, peer: Peer) -> None:
         peer.error = NotLeader("", "")
         assert ask(contact) is None
-        for teller in (LEADER, "10.0.0.2:7000", "10.0.0.3:7000"):
-            tell(contact, teller, LEADER, 3)
+        for sender in (LEADER, "10.0.0.2:7000", "10.0.0.3:7000"):
+            report(contact, sender, LEADER, 3)
         peer.error = None
         assert ask(contact) == "granted"
 
 
-class TestLeaderOutvotedByOlderWords:
-    """Guards against a leader outvoted by what hosts said before it was elected."""
+class TestLeaderOutvotedByOlderReports:
+    """Guards against a leader outvoted by reports from before its election."""
 
-    def test_newer_one_is_asked(self, contact: LeaderContact, peer: Peer) -> None:
-        for teller in (LEADER, "10.0.0.3:7000", "10.0.0.4:7000"):
-            tell(contact, teller, LEADER, 2)
+    def test_newer_one_is_called(self, contact: LeaderContact, peer: Peer) -> None:
+        for sender in (LEADER, "10.0.0.3:7000", "10.0.0.4:7000"):
+            report(contact, sender, LEADER, 2)
         following = "10.0.0.2:7000"
-        for teller in (following, "10.0.0.5:7000"):
-            tell(contact, teller, following, 3)
+        for sender in (following, "10.0.0.5:7000"):
+            report(contact, sender, following, 3)
         assert contact.address() == following
 
 
-def tell(contact: LeaderContact, teller: str, leader: str, term: int) -> None:
-    """Let a control host tell who leads, and in which term."""
-    news: Any = SimpleNamespace(address=teller, leader_address=leader, leader_term=term)
-    contact.take(news)
+def report(contact: LeaderContact, sender: str, leader: str, term: int) -> None:
+    """Report a leader and its term on behalf of a control host."""
+    update: Any = SimpleNamespace(
+        address=sender, leader_address=leader, leader_term=term
+    )
+    contact.take(update)
 
 
-class TestElectionWhileTheLeaderBeforeIsAsked:
+class TestElectionDuringACallToThePreviousLeader:
     """Guards against a second wait for a leader that was replaced during the first."""
 
     @pytest.mark.parametrize("is_elected", [True, False])
@@ -180,37 +184,37 @@
         self, contact: LeaderContact, peer: Peer, is_elected: bool
     ) -> None:
         successor = "10.0.0.2:7000"
-        news: Any = SimpleNamespace(
+        update: Any = SimpleNamespace(
             address=successor, leader_address=successor, leader_term=7
         )
 
         def ask(_: object, timeout: float) -> str:
-            peer.asked += 1
+            peer.calls += 1
             if is_elected:
-                contact.take(news)
+                contact.take(update)
             raise PeerUnavailableError("No answer.")
 
         peer.call_within = ask  # type: ignore[assignment]
         assert contact.call(LEADER, "r", TIMEOUT, lambda _: "granted") is None
-        assert peer.asked == (1 if is_elected else 2)
+        assert peer.calls == (1 if is_elected else 2)
 
 
 class TestLeaderWithoutALease:
-    """Guards against a leader that is passed over, since its lease has lapsed."""
+    """Guards against a leader that is skipped too long when its lease has lapsed."""
 
-    def test_is_asked_again_soon(
+    def test_is_called_again_soon(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         peer.error = NotLeader("", "")
         assert contact.call(LEADER, "r", TIMEOUT, lambda _: "granted") is None
-        assert contact.address() is None and contact.is_late
+        assert contact.address() is None and contact.has_skipped_leader
         clock.now += LAPSED_PAUSE_SECONDS
         peer.error = None
         assert contact.address() == LEADER
         assert contact.call(LEADER, "r", TIMEOUT, lambda _: "granted") == "granted"
-        assert not contact.is_late
+        assert not contact.has_skipped_leader
 
-    def test_that_names_another_one_is_passed_over(
+    def test_that_names_another_one_is_skipped(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         peer.error = NotLeader("control-9/disk", "10.0.0.9:7000", 5)
