--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -50,7 +50,7 @@
 # of the waiting time up to which a random part is added. If all refused clients retried
 # at once, the first ones would use up the limit.
 MIN_RETRY_SECONDS = 0.1
-RETRY_SPREAD = 0.3
+RETRY_JITTER_SHARE = 0.3
 
 
 class AccountLimits:
@@ -170,10 +170,10 @@
     ) -> RequestRefusedError:
         """Return the refusal of a request whose account has used up its limit."""
         self._log_refusal(context, "its limit is used", wait)
-        spread = 1 + RETRY_SPREAD * random.random()
+        jitter = 1 + RETRY_JITTER_SHARE * random.random()
         counts_tokens = context.account is not None and context.account.counts_tokens
         kind = "tokens" if counts_tokens else "requests"
-        return limit_reached(kind, max(MIN_RETRY_SECONDS, wait * spread))
+        return limit_reached(kind, max(MIN_RETRY_SECONDS, wait * jitter))
 
     def charge_at_leader(self, context: ForwardContext, attempts: Attempts) -> bool:
         """Charge the request; return whether a leader that knows the limit answered.
@@ -182,7 +182,7 @@
         """
         name = context.request.account_name
         spending = AccountSpending(name, context.cost, attempts.charge_id)
-        state: AccountState | None = self._charges.at_leader(
+        state: AccountState | None = self._charges.charge_at_leader(
             context.request.request_id, lambda peer: peer.charge_account(spending)
         )
         if state is None:
@@ -203,7 +203,7 @@
 
     def _charge_at_pool(self, spending: AccountSpending) -> bool:
         """Charge a request at the pool; return whether it may run."""
-        return self._charges.at_pool(
+        return self._charges.charge_at_pool(
             lambda peer: peer.charge_alone(self._host_id, self._hosts(), spending)
         )
 
--- a/src/jujubeslip/forwarding/_shared_charges.py
+++ b/src/jujubeslip/forwarding/_shared_charges.py
@@ -1,4 +1,4 @@
-"""Charges against limits that all hosts share: at the leader, or without one."""
+"""Charges against limits that all hosts share, at the leader or without a leader."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 T = TypeVar("T")
 
-# How long the leader may take to answer, in seconds; it needs a few milliseconds.
+# Timeout of a call to the leader, in seconds; an answer takes a few milliseconds.
 ANSWER_SECONDS = 0.25
-# How often a host that has no leader to ask joins the pool of those without one, in
-# seconds: all have joined before most requests come.
+# Interval at which a host without a leader joins the pool of such hosts, in seconds.
+# With this interval all have joined before most requests arrive.
 JOIN_SECONDS = 0.25
 
 
 class SharedCharges:
-    """Asks the leader for a charge, or the control host that hosts without it share.
+    """Charges at the leader, or at the pool of the hosts that find no leader.
 
-    `spending` is what this host has spent; it is used under `lock` alone.
+    The pool is kept by one control host that these hosts reach. `spending` is what this
+    host has spent; it is only used while `lock` is held.
     """
 
     def __init__(self, leader: LeaderContact, spending: HostSpending) -> None:
@@ -32,23 +33,23 @@
 
     @property
     def has_leader(self) -> bool:
-        """Say whether there may be a leader to ask."""
+        """Return whether there may be a leader to call."""
         return self._leader.address() is not None
 
-    def at_leader(self, request_id: str, ask: Callable[[Any], T]) -> T | None:
-        """Return the answer of a leader, None where none is found."""
+    def charge_at_leader(self, request_id: str, rpc: Callable[[Any], T]) -> T | None:
+        """Charge at the leader and return its answer, None if no leader is found."""
         while (address := self._leader.address()) is not None:
-            answer = self._leader.call(address, request_id, ANSWER_SECONDS, ask)
+            answer = self._leader.call(address, request_id, ANSWER_SECONDS, rpc)
             if answer is not None:
                 return answer
         return None
 
-    def at_pool(self, ask: Callable[[Any], bool]) -> bool:
-        """Lend this host's parts to the pool that it reaches; say whether it grants."""
+    def charge_at_pool(self, rpc: Callable[[Any], bool]) -> bool:
+        """Lend this host's shares to the pool; return whether the charge is granted."""
         address = self._leader.first_reachable()
         if address is None:
             return False
         with self.lock:
             if not self.spending.lend(address, steady_seconds()):
                 return False
-        return bool(self._leader.call_control_host(address, ANSWER_SECONDS, ask))
+        return bool(self._leader.call_control_host(address, ANSWER_SECONDS, rpc))
--- a/tests/forwarding/test_endpoint_holds.py
+++ b/tests/forwarding/test_endpoint_holds.py
@@ -1,4 +1,4 @@
-"""Endpoints that ask for backoff or say that they leave, with real processes."""
+"""Endpoints that ask for backoff or announce that they leave, with real processes."""
 
 from __future__ import annotations
 
@@ -68,11 +68,11 @@
 
 
 class TestBackoffOfAPlainEndpoint:
-    """Guards against requests to an endpoint within the backoff that it asked for."""
+    """Guards against requests to an endpoint during the backoff that it asked for."""
 
     @pytest.mark.parametrize("backoff", ["3", "2.4"])
     @pytest.mark.parametrize("target", PLAIN_ROUTES)
-    def test_is_kept_by_each_host_while_others_serve(
+    def test_is_respected_by_each_host_while_others_serve(
         self, system: PlatformSystem, target: str, backoff: str
     ) -> None:
         with workers(system, 2) as (refusing, free):
@@ -85,7 +85,7 @@
             assert len(free.arrivals) > 100
 
     @pytest.mark.parametrize("situation", [without_leader, cut_off])
-    def test_is_kept_without_a_leader(
+    def test_is_respected_without_a_leader(
         self, system: PlatformSystem, situation: Situation
     ) -> None:
         with workers(system, 2) as (refusing, _), situation(system):
@@ -95,7 +95,7 @@
             assert most_in_a_backoff(refusing) <= MOST_IN_A_BACKOFF
             assert served_share(replies) > 0.95
 
-    def test_ends_when_it_was_to_end(self, system: PlatformSystem) -> None:
+    def test_ends_after_its_duration(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (worker,):
             system.wait_served("/safe/x", method="POST", body=b"p")
             worker.backoff = "1.5"
@@ -107,7 +107,7 @@
             wait_until(lambda: ask(system, "/safe/x").reply.status == 200, "used")
             assert 1.5 <= worker.arrivals[-1].at - asked_at < 2.0
 
-    def test_is_kept_however_long(self, system: PlatformSystem) -> None:
+    def test_is_respected_however_long(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (worker,):
             system.wait_served("/safe/x", method="POST", body=b"p")
             worker.backoff = "99999999999"
@@ -119,7 +119,7 @@
             assert {item.error for item in replies} == {"endpoint_backoff"}
 
     @pytest.mark.parametrize("backoff", ["soon", "-3", "0"])
-    def test_is_none_that_can_not_be_read(
+    def test_is_ignored_if_it_can_not_be_parsed(
         self, system: PlatformSystem, backoff: str
     ) -> None:
         with workers(system, 1) as (worker,):
@@ -129,7 +129,7 @@
             worker.backoff = ""
             assert ask(system, "/safe/x").reply.status == 200
 
-    def test_is_not_owed_by_the_next_start(self, system: PlatformSystem) -> None:
+    def test_does_not_apply_to_the_next_start(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (worker,):
             worker.started_at_ms = 1_700_000_000_000
             wait_until(lambda: ask(system, "/safe/x").reply.status == 200, "served")
@@ -140,11 +140,11 @@
 
 
 class TestWhereAllAreInBackoff:
-    """Guards against requests that wait in vain for endpoints in backoff."""
+    """Guards against requests that wait for endpoints while all are in backoff."""
 
     @pytest.mark.parametrize("target", [*PLAIN_ROUTES, STREAM])
     @pytest.mark.parametrize("situation", SITUATIONS)
-    def test_is_refused_at_once_with_the_time_of_return(
+    def test_request_is_refused_at_once_with_the_time_of_return(
         self, system: PlatformSystem, target: str, situation: Situation
     ) -> None:
         service, stage = ("model", "decode") if target == STREAM else ("plain", "")
@@ -159,8 +159,8 @@
             latest = replies[len(replies) // 2 :]
             assert {item.error for item in latest} == {"endpoint_backoff"}
             for item in latest:
-                told = json.loads(item.reply.body)
-                assert (item.reply.status, told["ran"]) == (503, "no")
+                refusal = json.loads(item.reply.body)
+                assert (item.reply.status, refusal["ran"]) == (503, "no")
                 assert 16 < float(item.reply.headers["retry-after"]) < 21
             assert sorted(item.seconds for item in latest)[-3] < AT_ONCE_SECONDS
 
@@ -181,48 +181,51 @@
 
             wait_until(lambda: "asked this host for backoff" in cause(), "the cause")
             assert worker.worker_id in cause()
-            # Written before the request's own lines.
-            asked = lines(system, 0, "endpoint asked for backoff")[-1]
-            assert asked["start_id"] == worker.worker_id
-            assert 19 < asked["seconds"] <= 20
+            # This line is logged before the request's own lines.
+            line = lines(system, 0, "endpoint asked for backoff")[-1]
+            assert line["start_id"] == worker.worker_id
+            assert 19 < line["seconds"] <= 20
 
 
 class TestBackoffOfAnEngine:
-    """Guards against prompts, answers and reservations within an engine's backoff."""
+    """Guards against prefills, decodes and reservations in an engine's backoff."""
 
     @pytest.mark.parametrize("situation", SITUATIONS)
-    def test_is_kept_by_those_that_answer_and_those_that_read(
+    def test_is_respected_for_decode_and_prefill_engines(
         self, system: PlatformSystem, situation: Situation
     ) -> None:
         with (
             workers(system, 2, "model", "decode") as (refusing, _),
-            workers(system, 2, "model", "prefill") as (refusing_reader, _),
+            workers(system, 2, "model", "prefill") as (refusing_prefill_engine, _),
         ):
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
-            refusing.backoff = refusing_reader.backoff = "3"
+            refusing.backoff = refusing_prefill_engine.backoff = "3"
             replies = offer_in(situation, system, STREAM, 4.0)
-            for worker in (refusing, refusing_reader):
+            for worker in (refusing, refusing_prefill_engine):
                 assert any(arrival.backoff for arrival in worker.arrivals)
                 assert most_in_a_backoff(worker) <= MOST_IN_A_BACKOFF
             assert served_share(replies) > 0.9
 
 
-@pytest.mark.parametrize("speak", [ask_for_backoff, say_leaving])
-class TestRequestsThatAreUnderWay:
-    """Guards against sends of requests that were chosen, granted or begun before."""
+@pytest.mark.parametrize("give_notice", [ask_for_backoff, say_leaving])
+class TestRequestsInProgress:
+    """Guards against sends to an endpoint chosen or granted before its notice.
 
-    def test_second_sends(
-        self, system: PlatformSystem, speak: Callable[[PlatformWorker], None]
+    The requests that are in progress must respect the notice, too.
+    """
+
+    def test_retries(
+        self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
     ) -> None:
         with workers(system, 2) as (held, failing):
             system.wait_served("/safe/x", method="POST", body=b"p")
             failing.faults.fail = 1_000_000
-            speak(held)
+            give_notice(held)
             offer(system, "/safe/x", 4.0)
             assert is_spared(held)
 
-    def test_those_that_wait_for_room(
-        self, system: PlatformSystem, speak: Callable[[PlatformWorker], None]
+    def test_those_that_wait_for_capacity(
+        self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
     ) -> None:
         with workers(system, 1, "model", "decode") as (held,):
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
@@ -230,36 +233,36 @@
             with ThreadPoolExecutor(1) as pool:
                 offered = pool.submit(offer, system, STREAM, 5.0, range(ENTRIES), 6)
                 time.sleep(1.0)
-                speak(held)
+                give_notice(held)
                 replies = offered.result()
             assert is_spared(held)
             errors = {item.error for item in replies}
             assert errors <= {"", "endpoint_backoff", "no_room", "no_endpoint"}
 
-    def test_those_whose_prompt_is_being_read(
-        self, system: PlatformSystem, speak: Callable[[PlatformWorker], None]
+    def test_those_whose_prompt_is_being_prefilled(
+        self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
     ) -> None:
         with (
             workers(system, 2, "model", "decode") as (held, _),
-            workers(system, 1, "model", "prefill") as (reader,),
+            workers(system, 1, "model", "prefill") as (prefill_engine,),
         ):
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
-            reader.read_seconds = 0.8
+            prefill_engine.read_seconds = 0.8
             with ThreadPoolExecutor(1) as pool:
                 offered = pool.submit(offer, system, STREAM, 5.0, [0], 6)
                 time.sleep(1.0)
-                speak(held)
+                give_notice(held)
                 offered.result()
             assert most_in_a_backoff(held) <= MOST_IN_A_BACKOFF
             assert late_after_leaving(held) == 0
 
-    def test_streams_that_go_on(
-        self, system: PlatformSystem, speak: Callable[[PlatformWorker], None]
+    def test_resumed_streams(
+        self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
     ) -> None:
         with workers(system, 3, "model", "decode") as (cutting, held, free):
             target = "/resumed/x"
             wait_until(lambda: ask(system, target).reply.status == 200, "served")
-            speak(held)
+            give_notice(held)
             cutting.events = free.events = held.events = 20
             ended = Event()
 
@@ -275,10 +278,10 @@
             assert sum(item.reply.whole for item in replies) > 0.9 * len(replies)
 
 
-class TestEndpointThatSaysItLeaves:
-    """Guards against requests to an endpoint that has said in answers that it leaves.
+class TestEndpointThatAnnouncesThatItLeaves:
+    """Guards against requests to an endpoint whose answers say that it is leaving.
 
-    It goes on announcing that it is ready, as where its announcements are lost.
+    Its announcements still say that it is ready, as if later ones were lost.
     """
 
     @pytest.mark.parametrize("target", PLAIN_ROUTES)
@@ -292,18 +295,18 @@
             assert served_share(replies) > 0.99
 
     @pytest.mark.parametrize("situation", SITUATIONS)
-    def test_gets_no_prompts_and_no_answers(
+    def test_gets_no_prefills_and_no_decodes(
         self, system: PlatformSystem, situation: Situation
     ) -> None:
         with (
             workers(system, 2, "model", "decode") as (leaving, _),
-            workers(system, 2, "model", "prefill") as (leaving_reader, _),
+            workers(system, 2, "model", "prefill") as (leaving_prefill_engine, _),
         ):
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
-            leaving.leaves = leaving_reader.leaves = True
+            leaving.leaves = leaving_prefill_engine.leaves = True
             replies = offer_in(situation, system, STREAM, DRAIN_SECONDS + 2.0)
             assert late_after_leaving(leaving) == 0
-            assert late_after_leaving(leaving_reader) == 0
+            assert late_after_leaving(leaving_prefill_engine) == 0
             assert served_share(replies) > 0.9
 
     def test_is_passed_on_to_the_client(self, system: PlatformSystem) -> None:
@@ -313,7 +316,7 @@
             reply = ask(system, "/safe/x", 1).reply
             assert (reply.status, reply.headers["server-leaving"]) == (200, "1")
 
-    def test_gets_nothing_where_no_other_is_left(self, system: PlatformSystem) -> None:
+    def test_gets_nothing_if_no_other_is_left(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (leaving,):
             system.wait_served("/safe/x", method="POST", body=b"p")
             leaving.leaves = True
--- a/tests/forwarding/test_endpoint_limits.py
+++ b/tests/forwarding/test_endpoint_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that say how many requests a second they take, with real processes."""
+"""Endpoints that announce a limit of requests per second, with real processes."""
 
 from __future__ import annotations
 
@@ -30,27 +30,27 @@
 LIMIT = 3.0
 WINDOW_SECONDS = 4.0
 CONTACT_SECONDS = 3.0
-# What an endpoint may get in a window at most, and what it is offered a second.
-MOST = 1.5 * LIMIT * WINDOW_SECONDS + 5
-OFFERED = 30
-PAUSE_SECONDS = ENTRIES / OFFERED
+# Maximum number of requests to an endpoint in a window, and requests sent per second.
+MAX_REQUESTS_IN_WINDOW = 1.5 * LIMIT * WINDOW_SECONDS + 5
+REQUESTS_PER_SECOND = 30
+PAUSE_SECONDS = ENTRIES / REQUESTS_PER_SECOND
 NUMBERS = itertools.count()
 
 
 class Arrivals(list[Any]):
-    """Notes when each request reached a worker, in seconds."""
+    """Records when each request reached a worker, in seconds."""
 
     def __init__(self) -> None:
         super().__init__()
         self.at: list[float] = []
 
     def append(self, item: Any) -> None:
-        """Note a request."""
+        """Record a request."""
         self.at.append(time.monotonic())
         super().append(item)
 
-    def most_in_a_window(self, since: float) -> int:
-        """Return how many came in any window that ends later than an instant."""
+    def max_in_window(self, since: float) -> int:
+        """Return the highest count in a window that ends after the given time."""
         found = list(self.at)
         ends = [end for end in found if end > since]
         return max(
@@ -78,7 +78,7 @@
 def workers(
     system: PlatformSystem, count: int, service: str = "plain", stage: str = ""
 ) -> Iterator[list[PlatformWorker]]:
-    """Announce workers; they leave at the end."""
+    """Announce workers, and remove them at the end."""
     added = [
         system.add(
             PlatformWorker(f"w-{next(NUMBERS)}", service, stage, runs=Arrivals())
@@ -116,10 +116,10 @@
     return [line for line in found if line.get("message") == message]
 
 
-class TestLimitThatIsNamed:
-    """Guards against logs that can't tell when a host knew of a limit."""
+class TestAnnouncedLimit:
+    """Guards against logs that don't show when a host knew of a limit."""
 
-    def test_is_logged_when_it_comes_and_goes(self, system: PlatformSystem) -> None:
+    def test_is_logged_when_it_is_set_and_lifted(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (worker,):
             system.wait_served("/unsafe/x", method="POST", body=b"p")
             worker.limit = "2.5"
@@ -146,9 +146,9 @@
 
 
 class TestLimitOverAllHosts:
-    """Guards against a limit that each host keeps by itself, or not at all."""
+    """Guards against a limit that each host enforces by itself, or not at all."""
 
-    def test_holds_for_the_sum_while_others_take_the_rest(
+    def test_holds_for_the_sum_while_other_endpoints_serve_the_rest(
         self, system: PlatformSystem
     ) -> None:
         with workers(system, 2) as (limited, free):
@@ -157,8 +157,8 @@
             named_at = time.monotonic()
             replies = offer(system, "/unsafe/x", CONTACT_SECONDS + 6.0)
             known_from = named_at + CONTACT_SECONDS
-            assert arrivals(limited).most_in_a_window(known_from) <= MOST
-            assert arrivals(free).most_in_a_window(known_from) > MOST
+            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            assert arrivals(free).max_in_window(known_from) > MAX_REQUESTS_IN_WINDOW
             served = sum(reply.status == 200 for reply in replies)
             assert served > 0.95 * len(replies)
 
@@ -171,14 +171,16 @@
             known_from = time.monotonic()
             replies = offer(system, "/unsafe/x", 6.0)
             for worker in limited:
-                assert arrivals(worker).most_in_a_window(known_from) <= MOST
+                assert (
+                    arrivals(worker).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+                )
                 reached = sum(at > known_from for at in arrivals(worker).at)
                 assert reached > 0.6 * LIMIT * 6.0
         refused = [reply for reply in replies if reply.status != 200]
         for reply in refused:
-            told = json.loads(reply.body)
+            refusal = json.loads(reply.body)
             assert reply.status == 503
-            assert (told["error"], told["ran"]) == ("endpoint_limit", "no")
+            assert (refusal["error"], refusal["ran"]) == ("endpoint_limit", "no")
             assert float(reply.headers["retry-after"]) > 0
 
     def test_holds_while_there_is_no_leader(self, system: PlatformSystem) -> None:
@@ -196,7 +198,7 @@
                     host.start()
             wait_until(lambda: system.put(system.read()[1]) == 200, "a leader is there")
             offer(system, "/unsafe/x", 5.0)
-            assert arrivals(limited).most_in_a_window(known_from) <= MOST
+            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
             reached = sum(at > known_from for at in arrivals(limited).at)
             assert reached > 5
 
@@ -212,7 +214,7 @@
                 system.entries[3].start()
                 wait_until(lambda: system.ready(3), "the host is ready")
                 offered.result()
-            assert arrivals(limited).most_in_a_window(known_from) <= MOST
+            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
 
     def test_is_lifted_at_all_hosts(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (limited,):
@@ -224,25 +226,23 @@
             replies = offer(system, "/unsafe/x", 2.0)
             assert {reply.status for reply in replies} == {200}
 
-    def test_holds_for_engines_and_those_that_read_prompts(
-        self, system: PlatformSystem
-    ) -> None:
+    def test_holds_for_decode_and_prefill_engines(self, system: PlatformSystem) -> None:
         with (
             workers(system, 2, "model", "decode") as (limited, free),
-            workers(system, 2, "model", "prefill") as readers,
+            workers(system, 2, "model", "prefill") as prefill_engines,
         ):
             system.wait_served("/stream/x", method="POST", headers=PROMPT, body=b"p")
             limited.limit = str(LIMIT)
-            readers[0].prompts_read = Arrivals()
-            readers[0].limit = str(LIMIT)
+            prefill_engines[0].prompts_read = Arrivals()
+            prefill_engines[0].limit = str(LIMIT)
             offer(system, "/stream/x", CONTACT_SECONDS)
             known_from = time.monotonic()
             replies = offer(system, "/stream/x", 6.0)
-            assert arrivals(limited).most_in_a_window(known_from) <= MOST
-            read = readers[0].prompts_read
-            assert isinstance(read, Arrivals)
-            assert read.most_in_a_window(known_from) <= MOST
-            assert arrivals(free).most_in_a_window(known_from) > MOST
+            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            prefills = prefill_engines[0].prompts_read
+            assert isinstance(prefills, Arrivals)
+            assert prefills.max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            assert arrivals(free).max_in_window(known_from) > MAX_REQUESTS_IN_WINDOW
             served = sum(reply.status == 200 for reply in replies)
             assert served > 0.9 * len(replies)
 
