--- a/src/jujubeslip/forwarding/_budget.py
+++ b/src/jujubeslip/forwarding/_budget.py
@@ -1,4 +1,4 @@
-"""How many further sends of requests a service may get from this host."""
+"""Budgets that bound how many retries this host may send to a service."""
 
 from __future__ import annotations
 
@@ -9,44 +9,43 @@
 
 from jujubeslip.kernel import steady_seconds
 
-# Requests of the whole window count for further sends only with this share, so that
-# the sum over hosts stays below the bound also when a window slides over a change of
-# the load.
+# Share of the bound that is used, so that the sum over hosts stays below the bound also
+# when the window slides over a change of the load.
 SAFETY_SHARE = 0.8
 
 
 @dataclass(frozen=True)
 class BudgetOptions:
-    """The bound that all hosts share, for any span of the window's length."""
+    """The bound that all hosts share, for any period of the window's length."""
 
     ratio: float
-    """Further sends per request."""
+    """Retries per request."""
     window_seconds: float
     allowance: float
-    """Further sends beyond that, of all hosts together."""
+    """Additional retries of all hosts together."""
 
 
 @dataclass
-class _Sends:
+class _ServiceSends:
     requests: deque[float] = field(default_factory=deque)
-    further: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 class RetryBudgets:
-    """A budget for each service; a host spends no more than its own share.
+    """A retry budget for each service, of which a host spends only its own share.
 
     The bound holds for the sum over all hosts. Each host may use the ratio of its own
-    requests, and an equal part of the allowance, so that the sum keeps the bound
-    without any host asking another.
+    requests and an equal part of the allowance, so that the hosts keep the bound
+    without communicating.
     """
 
     def __init__(self, options: BudgetOptions, entry_hosts: Callable[[], int]) -> None:
         self._options = options
         self._entry_hosts = entry_hosts
-        self._sends_by_service: dict[str, _Sends] = {}
+        self._sends_by_service: dict[str, _ServiceSends] = {}
         self._lock = threading.Lock()
-        # The host may have spent its share just before it started anew.
-        self._full_from = steady_seconds() + options.window_seconds
+        # The host may have spent its share just before it restarted.
+        self._full_share_from = steady_seconds() + options.window_seconds
 
     def note_request(self, service_name: str) -> None:
         """Count the first send of a request."""
@@ -55,48 +54,48 @@
             sends.requests.append(steady_seconds())
 
     def take(self, service_name: str) -> bool:
-        """Spend one further send if there is one left."""
+        """Spend one retry if one is left; return whether it was."""
         with self._lock:
             sends = self._sends(service_name)
-            if not self._has_one(sends):
+            if not self._has_retry_left(sends):
                 return False
-            sends.further.append(steady_seconds())
+            sends.retries.append(steady_seconds())
             return True
 
     def has_one(self, service_name: str) -> bool:
-        """Say whether a further send is left, without spending it."""
+        """Return whether a retry is left, without spending it."""
         with self._lock:
             sends = self._sends(service_name)
-            return self._has_one(sends)
+            return self._has_retry_left(sends)
 
     def left_by_service(self) -> dict[str, float]:
-        """Return how many further sends are left, by service."""
+        """Return the number of retries left, by service."""
         with self._lock:
             return {
-                name: self._limit(sends) - len(sends.further)
+                name: self._limit(sends) - len(sends.retries)
                 for name in list(self._sends_by_service)
                 if (sends := self._sends(name))
             }
 
     def charge(self, service_name: str) -> None:
-        """Count a further send that has happened, whether one was left or not."""
+        """Count a retry that was sent, whether one was left or not."""
         with self._lock:
-            self._sends(service_name).further.append(steady_seconds())
+            self._sends(service_name).retries.append(steady_seconds())
 
-    def _has_one(self, sends: _Sends) -> bool:
-        return len(sends.further) + 1 <= self._limit(sends)
+    def _has_retry_left(self, sends: _ServiceSends) -> bool:
+        return len(sends.retries) + 1 <= self._limit(sends)
 
-    def _limit(self, sends: _Sends) -> float:
+    def _limit(self, sends: _ServiceSends) -> float:
         share = self._options.allowance / max(1, self._entry_hosts())
-        if steady_seconds() < self._full_from:
+        if steady_seconds() < self._full_share_from:
             share /= 2
-        own = self._options.ratio * len(sends.requests)
-        return SAFETY_SHARE * (own + share)
+        from_requests = self._options.ratio * len(sends.requests)
+        return SAFETY_SHARE * (from_requests + share)
 
-    def _sends(self, service_name: str) -> _Sends:
-        sends = self._sends_by_service.setdefault(service_name, _Sends())
+    def _sends(self, service_name: str) -> _ServiceSends:
+        sends = self._sends_by_service.setdefault(service_name, _ServiceSends())
         oldest = steady_seconds() - self._options.window_seconds
-        for times in (sends.requests, sends.further):
-            while times and times[0] < oldest:
-                times.popleft()
+        for send_times in (sends.requests, sends.retries):
+            while send_times and send_times[0] < oldest:
+                send_times.popleft()
         return sends
--- a/src/jujubeslip/forwarding/_crash_news.py
+++ b/src/jujubeslip/forwarding/_crash_news.py
@@ -1,4 +1,4 @@
-"""Tells a control host at once of crashes that this host has seen."""
+"""Reports crashes that this host has seen to a control host at once."""
 
 from __future__ import annotations
 
@@ -15,74 +15,81 @@
 logger = logging.getLogger(__name__)
 
 MILLISECONDS = 1000
-# How long a control host may take to answer before the next one is told, in seconds.
-ANSWER_SECONDS = 0.25
+# Timeout of a call to a control host before the next one is called, in seconds.
+CALL_TIMEOUT_SECONDS = 0.25
 
 
-class CrashNews:
-    """Tells of crashes before the next watch, which may wait for most of a second.
+class CrashReporter:
+    """Reports crashes without waiting for the next watch, which may take nearly 1 s.
 
-    One control host is enough: it tells those that watch it, and these are all hosts
-    that it reaches. Hosts that it doesn't reach hear of the crashes by other watches.
+    One control host is enough: it notifies the hosts that watch it, which are all hosts
+    that it reaches. The others learn of the crashes through other watches.
     """
 
     def __init__(
         self,
         process: Process,
         host_id: str,
-        crash_book: CrashBook,
+        crash_registry: CrashBook,
         followers: ControlFollowers,
-        contact: LeaderContact,
+        leader_contact: LeaderContact,
     ) -> None:
         self._process = process
         self._host_id = host_id
-        self._crash_book = crash_book
+        self._crash_registry = crash_registry
         self._followers = followers
-        self._contact = contact
-        self._told_version = 0
-        self._is_telling = False
+        self._leader_contact = leader_contact
+        self._reported_version = 0
+        self._is_reporting = False
         self._lock = threading.Lock()
 
-    def tell(self) -> None:
-        """Tell what is new, in a task of its own; returns at once."""
+    def report(self) -> None:
+        """Start a task that reports what is new; return at once."""
         with self._lock:
-            if self._is_telling:
+            if self._is_reporting:
                 return
-            self._is_telling = True
+            self._is_reporting = True
         self._process.start_task(self._run)
 
     def _run(self) -> None:
         while self._has_more():
-            version, histories = self._crash_book.changes_since(self._told_version)
-            self._tell_one([to_crash_record(history) for history in histories])
-            self._told_version = version
+            version, histories = self._crash_registry.changes_since(
+                self._reported_version
+            )
+            self._report_to_first([to_crash_record(history) for history in histories])
+            self._reported_version = version
 
     def _has_more(self) -> bool:
-        """Say whether there is something to tell; the task ends otherwise."""
+        """Return whether there is something to report; if not, the task ends."""
         with self._lock:
-            self._is_telling = self._crash_book.version > self._told_version
-            return self._is_telling
+            self._is_reporting = self._crash_registry.version > self._reported_version
+            return self._is_reporting
 
-    def _tell_one(self, crashes: list[CrashRecord]) -> None:
-        """Tell the first control host that answers; without one, watches tell later."""
-        begun = Deadline.after(0)
+    def _report_to_first(self, crashes: list[CrashRecord]) -> None:
+        """Report to the first control host that answers.
 
-        def ask(peer: Any) -> bool:
+        If none answers, the watches report the crashes later.
+        """
+        started = Deadline.after(0)
+
+        def rpc(peer: Any) -> bool:
             peer.tell_crashes(self._host_id, crashes)
             return True
 
-        reached = filter(self._followers.reaches, self._followers.addresses())
-        told = next(
+        reachable = filter(self._followers.reaches, self._followers.addresses())
+        reported_to = next(
             (
                 address
-                for address in reached
-                if self._contact.call_control_host(address, ANSWER_SECONDS, ask)
+                for address in reachable
+                if self._leader_contact.call_control_host(
+                    address, CALL_TIMEOUT_SECONDS, rpc
+                )
             ),
             "",
         )
         extra = {
-            "address": told,
+            "address": reported_to,
             "contents": len(crashes),
-            "took_ms": int(begun.overdue() * MILLISECONDS),
+            "took_ms": int(started.overdue() * MILLISECONDS),
         }
-        logger.info("crashes told", extra=extra)
+        logger.info("crashes reported", extra=extra)
--- a/src/jujubeslip/forwarding/_crashes.py
+++ b/src/jujubeslip/forwarding/_crashes.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint has ended while it ran a request."""
+"""Detects endpoints that have crashed while they ran a request."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that has been answered for this long has not crashed its endpoint by what it
-# asks for, in seconds.
+# A request whose answer has lasted this long did not crash its endpoint by its content,
+# in seconds.
 BEGIN_SECONDS = 0.5
 
 
 class CrashWatch:
-    """Tells endpoints that have ended from answers that were lost on their way."""
+    """Distinguishes endpoints that have crashed from answers lost in transit."""
 
     def __init__(
         self,
-        book: EndpointBook,
-        crash_book: CrashBook,
-        harmless: HarmlessContents,
-        tell: Callable[[], None],
+        registry: EndpointBook,
+        crash_registry: CrashBook,
+        harmless_contents: HarmlessContents,
+        report_crashes: Callable[[], None],
     ) -> None:
-        self._book = book
-        self._crash_book = crash_book
-        self._harmless = harmless
-        self._tell = tell
+        self._registry = registry
+        self._crash_registry = crash_registry
+        self._harmless_contents = harmless_contents
+        self._report_crashes = report_crashes
         self._crashes = metrics.get_meter("jujubeslip.forwarding").create_counter(
             "jujubeslip.forward.endpoint_crashes",
             description="Requests whose endpoint ended while it ran them, by service.",
@@ -42,24 +42,24 @@
     def note_cut(
         self, context: ForwardContext, attempts: Attempts, endpoint: Endpoint
     ) -> None:
-        """Note a run whose connection ended before its answer did."""
-        crashed = self._book.is_over(endpoint) or has_ended(endpoint.address)
+        """Record a run whose connection ended before its answer was complete."""
+        crashed = self._registry.is_over(endpoint) or has_ended(endpoint.address)
         if crashed:
             self._crashes.add(1, {"service": context.service_name})
-        is_harmless = self._harmless.holds(context.fingerprint)
+        is_harmless = self._harmless_contents.holds(context.fingerprint)
         if crashed and not is_harmless and attempts.answered_seconds < BEGIN_SECONDS:
             sent_at = attempts.latest_sent_at.instant
             was_answered = attempts.answered_from is not None
             crash = Crash(endpoint.start_id, sent_at, steady_seconds(), was_answered)
-            self._crash_book.note_crash(context.fingerprint, crash)
-            self._tell()
+            self._crash_registry.note_crash(context.fingerprint, crash)
+            self._report_crashes()
         extra = {
             "request_id": context.request.request_id,
             "fingerprint": context.fingerprint,
             "start_id": endpoint.start_id,
             "endpoint_ended": crashed,
             "harmless": is_harmless,
-            "harmless_ago_ms": self._harmless.ran_ago_ms(context.fingerprint),
+            "harmless_ago_ms": self._harmless_contents.ran_ago_ms(context.fingerprint),
             "sent_ago_ms": int(attempts.latest_sent_at.overdue() * 1000),
             "answered": attempts.answered_from is not None,
             "answered_ms": int(attempts.answered_seconds * 1000),
--- a/src/jujubeslip/forwarding/_engine_reports.py
+++ b/src/jujubeslip/forwarding/_engine_reports.py
@@ -1,4 +1,4 @@
-"""Reports of engines' state, asked for when they are needed and kept for a while."""
+"""Reports of the engines' state, fetched on demand and cached for a short time."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a report is used, in seconds. It is up to a second old when it comes, in
-# which an engine's answers change little; asking more often has its price.
-KEPT_SECONDS = 0.5
-# How long an engine may take to report, in seconds; it needs a millisecond or two. One
-# beyond a network partition takes all of it.
-ANSWER_SECONDS = 0.2
+# How long a report is used, in seconds. It is up to a second old when it arrives, and
+# an engine's answers change little in that time; each further call has a cost.
+CACHE_SECONDS = 0.5
+# Timeout of a call for a report, in seconds. An engine answers in a millisecond or two;
+# an engine beyond a network partition uses up the whole timeout.
+REPORT_TIMEOUT_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
-class _Kept:
+class _CachedReport:
     report: EngineReport | None
-    """None where what came is no report: asking again at once brings no other."""
+    """None if the answer is not a valid report; another call would bring the same."""
     usable_until: Deadline
 
 
@@ -37,44 +37,46 @@
 
     def __init__(self, sending: Sending) -> None:
         self._sending = sending
-        self._kept_by_start: dict[str, _Kept] = {}
+        self._cached_by_start: dict[str, _CachedReport] = {}
         self._lock = threading.Lock()
 
     def get(self, context: ForwardContext, endpoint: Endpoint) -> EngineReport | None:
-        """Return a report that is not too old, None if the engine gives none."""
+        """Return a recent report, None if the engine gives none."""
         with self._lock:
-            kept = self._kept_by_start.get(endpoint.start_id)
-        if kept is not None and not kept.usable_until.expired:
-            return kept.report
-        asked = self._ask(context, endpoint)
-        if asked is None:
+            cached = self._cached_by_start.get(endpoint.start_id)
+        if cached is not None and not cached.usable_until.expired:
+            return cached.report
+        fetched = self._fetch(context, endpoint)
+        if fetched is None:
             return None
         with self._lock:
-            self._kept_by_start[endpoint.start_id] = asked
-        return asked.report
+            self._cached_by_start[endpoint.start_id] = fetched
+        return fetched.report
 
-    def _ask(self, context: ForwardContext, endpoint: Endpoint) -> _Kept | None:
-        """Return what the engine answered, None if it gave no answer."""
-        question = self._sending.interface.ask_report(endpoint.endpoint_id)
+    def _fetch(
+        self, context: ForwardContext, endpoint: Endpoint
+    ) -> _CachedReport | None:
+        """Return the engine's answer, None if it gave none."""
+        request = self._sending.interface.ask_report(endpoint.endpoint_id)
         try:
             status, body = self._sending.ask(
-                endpoint, question, Deadline.after(ANSWER_SECONDS), context.gone
+                endpoint, request, Deadline.after(REPORT_TIMEOUT_SECONDS), context.gone
             )
         except EndpointError as error:
             self._sending.note_error(Attempts(), endpoint, error)
             return None
         if status != 200:
             return None
-        usable_until = Deadline.after(KEPT_SECONDS)
-        read = self._sending.interface.read_report(body)
-        if isinstance(read, Success):
-            report = read.unwrap()
-            own = endpoint.may_be(report.started_at_ms)
-            return _Kept(report, usable_until) if own else None
+        usable_until = Deadline.after(CACHE_SECONDS)
+        parsed = self._sending.interface.read_report(body)
+        if isinstance(parsed, Success):
+            report = parsed.unwrap()
+            is_from_start = endpoint.may_be(report.started_at_ms)
+            return _CachedReport(report, usable_until) if is_from_start else None
         extra = {
             "request_id": context.request.request_id,
             "endpoint_id": endpoint.endpoint_id,
-            "problem": read.failure(),
+            "problem": parsed.failure(),
         }
         logger.info("engine's report not usable", extra=extra)
-        return _Kept(None, usable_until)
+        return _CachedReport(None, usable_until)
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -16,7 +16,7 @@
 from jujubeslip.forwarding._app import ForwardApp, OpenRequests, ReadyApp
 from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._choice import Chooser, policies
-from jujubeslip.forwarding._crash_news import CrashNews
+from jujubeslip.forwarding._crash_news import CrashReporter
 from jujubeslip.forwarding._crashes import CrashWatch
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._first_endpoints import FirstEndpoints
@@ -102,14 +102,14 @@
             crash_book=self._crash_book,
         )
         self._leader = LeaderContact(identity, self._followers.reaches)
-        self._crash_news = CrashNews(
+        self._crash_reporter = CrashReporter(
             self._process,
             settings.host_id,
             self._crash_book,
             self._followers,
             self._leader,
         )
-        self._crash_book.tell_cleared(self._crash_news.tell)
+        self._crash_book.tell_cleared(self._crash_reporter.report)
         # With pauses of its own: a leader that knows no engines yet, and is not asked
         # for grants for a moment, does know the limits.
         self._limit_leader = LeaderContact(identity, self._followers.reaches)
@@ -204,7 +204,10 @@
             health,
             self._budgets,
             CrashWatch(
-                self._book, self._crash_book, self._harmless, self._crash_news.tell
+                self._book,
+                self._crash_book,
+                self._harmless,
+                self._crash_reporter.report,
             ),
             quarantine,
             self._endpoint_limits,
--- a/src/jujubeslip/forwarding/_quarantine.py
+++ b/src/jujubeslip/forwarding/_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, since equal ones have crashed endpoints."""
+"""Refuses requests whose content is quarantined because it crashed endpoints."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 
 
 class Quarantine:
-    """Refuses requests of quarantined contents, and clears those that are harmless."""
+    """Refuses requests of quarantined contents, and clears harmless contents."""
 
-    def __init__(self, crash_book: CrashBook, harmless: HarmlessContents) -> None:
-        self._crash_book = crash_book
-        self._harmless = harmless
-        crash_book.clear_harmless(harmless.holds)
+    def __init__(
+        self, crash_registry: CrashBook, harmless_contents: HarmlessContents
+    ) -> None:
+        self._crash_registry = crash_registry
+        self._harmless_contents = harmless_contents
+        crash_registry.clear_harmless(harmless_contents.holds)
 
     def holds(self, context: ForwardContext) -> bool:
-        """Say whether the request's content is held back now."""
+        """Return whether the request's content is quarantined now."""
         return self._find_held(context) is not None
 
     def check(self, context: ForwardContext) -> None:
-        """Raise RequestRefusedError if the request's content is held back now."""
+        """Raise RequestRefusedError if the request's content is quarantined now."""
         history = self._find_held(context)
         if history is None or history.held_until is None:
             return
@@ -34,7 +36,7 @@
             "crashes": history.count,
             "start_ids": [crash.start_id for crash in history.crashes],
             "held_for_ms": history.held_until.remaining_ms(),
-            "harmless_ago_ms": self._harmless.ran_ago_ms(history.fingerprint),
+            "harmless_ago_ms": self._harmless_contents.ran_ago_ms(history.fingerprint),
         }
         logger.info("request quarantined", extra=extra)
         raise RequestRefusedError(
@@ -46,19 +48,22 @@
         )
 
     def note_harmless(self, context: ForwardContext) -> None:
-        """Note that an endpoint has run the request, and goes on."""
-        self._harmless.note(context.fingerprint)
-        if not self._crash_book.is_empty:
-            self._crash_book.clear(context.fingerprint)
+        """Record that an endpoint has run the request without crashing."""
+        self._harmless_contents.note(context.fingerprint)
+        if not self._crash_registry.is_empty:
+            self._crash_registry.clear(context.fingerprint)
 
     def _find_held(self, context: ForwardContext) -> CrashHistory | None:
-        if self._crash_book.is_empty:
+        if self._crash_registry.is_empty:
             return None
-        history = self._crash_book.find(context.fingerprint)
+        history = self._crash_registry.find(context.fingerprint)
         if history is None or history.held_until is None:
             return None
-        if self._harmless.ran_at(history.fingerprint) > history.crashes[0].crashed_at:
-            # Other hosts saw it crash alone, and may not have heard of this run.
-            self._crash_book.clear(history.fingerprint)
+        if (
+            self._harmless_contents.ran_at(history.fingerprint)
+            > history.crashes[0].crashed_at
+        ):
+            # Other hosts only saw the crashes, and may not know of this run.
+            self._crash_registry.clear(history.fingerprint)
             return None
         return None if history.held_until.expired else history
--- a/src/jujubeslip/forwarding/_routes_follower.py
+++ b/src/jujubeslip/forwarding/_routes_follower.py
@@ -1,4 +1,4 @@
-"""The route table in force on this host."""
+"""Keeps the route table that is in force on this host up to date."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a control host may take to send a configuration that it told of, in seconds.
+# Timeout of a call for a configuration that a control host announced, in seconds.
 FETCH_SECONDS = 0.6
 
 
 class RoutesFollower:
-    """Fetches each newer version that a control host tells of.
+    """Fetches each newer version that a control host announces.
 
-    The version only grows, so that a control host that lags, or was cut off, can't
-    bring an older configuration back.
+    The version only grows, so that a control host that lags or was cut off can't
+    restore an older configuration.
     """
 
     def __init__(self, interface: Interface, identity: PeerIdentity) -> None:
@@ -41,12 +41,12 @@
         return self._table
 
     def has_accounts(self) -> bool:
-        """Say whether the configuration in force has client accounts."""
+        """Return whether the configuration in force has client accounts."""
         table = self._table
         return table is not None and table.accounts is not None
 
     def first_table(self, deadline: Deadline) -> RouteTable | None:
-        """Return the table in force, after waiting for the first one if need be."""
+        """Return the table in force, after waiting for the first one if necessary."""
         self._has_table.wait(deadline.remaining())
         return self._table
 
@@ -58,42 +58,42 @@
 
     @property
     def age_seconds(self) -> float:
-        """Return for how long the version has been in force here."""
+        """Return how long the version has been in force on this host."""
         return steady_seconds() - self._in_force_since
 
-    def take(self, news: News) -> None:
-        """Fetch the version that a control host told of, if it is newer."""
+    def take(self, update: News) -> None:
+        """Fetch the version that a control host announced, if it is newer."""
         with self._lock:
-            if news.configuration_version > self.version:
-                self._fetch(news.address)
+            if update.configuration_version > self.version:
+                self._fetch(update.address)
 
     def _fetch(self, address: str) -> None:
         version = self.version
         try:
-            found = self._clients.get(address).call(
+            fetched = self._clients.get(address).call(
                 lambda peer: peer.get_packed_configuration(version), FETCH_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"address": address, "error": str(error)}
             logger.warning("configuration not fetched", extra=extra)
             return
-        if found.revision <= version:
+        if fetched.revision <= version:
             return
         try:
-            content = zlib.decompress(found.packed_declaration).decode()
+            content = zlib.decompress(fetched.packed_declaration).decode()
         except (zlib.error, UnicodeDecodeError) as error:
             extra = {"address": address, "error": str(error)}
             logger.warning("configuration not unpacked", extra=extra)
             return
-        self._put_in_force(found.revision, content)
+        self._put_in_force(fetched.revision, content)
 
     def _put_in_force(self, version: int, content: str) -> None:
-        read = self._interface.read_routes(content)
-        if isinstance(read, Failure):
-            extra = {"version": version, "problem": read.failure()}
+        parsed = self._interface.read_routes(content)
+        if isinstance(parsed, Failure):
+            extra = {"version": version, "problem": parsed.failure()}
             logger.error("configuration not usable", extra=extra)
             return
-        self._table = read.unwrap()
+        self._table = parsed.unwrap()
         self._has_table.set()
         self._in_force_since = steady_seconds()
         extra = {"version": version, "routes": len(self._table.routes)}
--- a/tests/forwarding/test_crash_news.py
+++ b/tests/forwarding/test_crash_news.py
@@ -1,4 +1,4 @@
-"""How soon the other hosts know what crashes endpoints, with real processes."""
+"""How soon hosts learn of crashes seen by other hosts, with real processes."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 FATAL = b"this ends the process"
 CONTENTS = 3
-# Crashes of one content after which the hosts hold it back.
+# Number of crashes after which the hosts quarantine a content.
 CRASHES = 3
 ATTEMPTS = 2
 ENDPOINTS = CONTENTS * CRASHES + 3
-# How soon a client asks another host, in seconds: a tenth of what a watch may wait.
+# Pause before a client retries at another host, in seconds: a tenth of the longest
+# wait of a watch.
 CLIENT_PAUSE_SECONDS = 0.07
-# How long endpoints that have ended are down: longer than the tests take.
+# How long crashed endpoints are down, in seconds: longer than the tests take.
 DOWN_SECONDS = 60.0
 
 
@@ -42,7 +43,7 @@
 
 
 def ran_at(fleet: Fleet, system: PlatformSystem, target: str) -> set[str]:
-    """Send one more harmless request; return where those with its target ran."""
+    """Send a harmless request to each entry host; return where its target has run."""
     for entry in (0, 1):
         system.ask(target, "POST", b"harmless", entry=entry)
     return {
@@ -53,10 +54,10 @@
 
 
 class TestContentThatIsSentToAnotherHost:
-    """Guards against a content that ends more endpoints since its news come late."""
+    """Guards against more crashes by one content because reports of it come late."""
 
     @pytest.mark.parametrize("number", range(CONTENTS))
-    def test_ends_no_more_than_at_one_host(self, fleet: Fleet, number: int) -> None:
+    def test_crashes_no_more_than_at_one_host(self, fleet: Fleet, number: int) -> None:
         system: PlatformSystem = fleet.system  # type: ignore[attr-defined]
         target = f"/safe/fatal-{number}"
         first = system.ask(target, "POST", FATAL, entry=0)
--- a/tests/forwarding/test_crashing_requests.py
+++ b/tests/forwarding/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that end every endpoint that runs them, with real processes."""
+"""Requests that crash every endpoint that runs them, with real processes."""
 
 from __future__ import annotations
 
@@ -32,15 +32,16 @@
 
 FATAL = b"this ends the process"
 ENTRIES = 3
-# Crashes of one content after which the hosts hold it back, and how often it may still
-# reach an endpoint once they have had time to tell each other, in seconds.
+# Number of crashes after which the hosts quarantine a content, and how often it may
+# still reach an endpoint after the time in which the hosts notify each other, in
+# seconds.
 CRASHES = 3
-FURTHER_RUNS = 3
+MAX_RUNS_AFTER_CONTACT = 3
 CONTACT_SECONDS = 2.0
-# Events of a stream that lasts for more than a second.
-LONG_STREAM = 130
-# Contents that end endpoints in a storm, one after the other.
-FATAL_CONTENTS = 8
+# Number of events of a stream that lasts for more than a second.
+LONG_STREAM_EVENTS = 130
+# Number of contents that crash endpoints, one after the other.
+FATAL_CONTENT_COUNT = 8
 
 
 @pytest.fixture(scope="module")
@@ -66,7 +67,7 @@
                 *(running, 3, "long-model"),
                 stage="decode",
                 crashes_on=FATAL,
-                events=LONG_STREAM,
+                events=LONG_STREAM_EVENTS,
             ) as long_engines,
         ):
             running.add(PlatformWorker("reader", "model", "prefill"))
@@ -94,7 +95,7 @@
 
 
 class TestRunThatIsCutOff:
-    """Guards against logs that can't tell a crash from an answer that was lost."""
+    """Guards against logs that don't distinguish a crash from a lost answer."""
 
     def test_line_says_that_the_endpoint_has_ended(
         self, system: PlatformSystem
@@ -107,17 +108,17 @@
         assert line["endpoint_ended"]
         assert line["fingerprint"]
 
-    def test_line_says_that_the_endpoint_goes_on(self, system: PlatformSystem) -> None:
+    def test_line_says_that_the_endpoint_runs_on(self, system: PlatformSystem) -> None:
         with PlatformWorker("loses", "plain") as worker:
             worker.faults.lose = 1000
             system.add(worker)
 
-            def told() -> bool:
+            def logged() -> bool:
                 send(system, "/unsafe/lost", b"harmless")
                 found = lines(system, 0, "run cut off")
                 return any(line["start_id"] == "loses" for line in found)
 
-            wait_until(told, "a line about the worker that loses answers")
+            wait_until(logged, "a line about the worker that loses answers")
             system.withdraw(worker)
             system.beat(worker, "draining")
         found = [
@@ -166,7 +167,7 @@
         return reply
 
     def send_until(self, count: int, what: str) -> None:
-        """Send it until it has crashed so many endpoints."""
+        """Send it until it has crashed this many endpoints."""
 
         def crashed() -> bool:
             self.send()
@@ -175,13 +176,13 @@
         wait_until(crashed, what)
 
     def runs(self) -> list[float]:
-        """Return when those that reached an endpoint were sent, in order."""
+        """Return when the requests that reached an endpoint were sent, in order."""
         ran = set(self._fleet.run_ids())
         return sorted(at for name, at in self._sent_at_by_id.items() if name in ran)
 
 
 class TestRequestThatCrashesEndpoints:
-    """Guards against one content that ends endpoint after endpoint at all hosts."""
+    """Guards against one content that crashes many endpoints through all hosts."""
 
     @pytest.mark.parametrize("prefix", ["/unsafe/", "/stream/"])
     def test_reaches_few_more_at_any_host(
@@ -195,16 +196,16 @@
             fatal.send()
             time.sleep(0.1)
         late = [sent_at for sent_at in fatal.runs() if sent_at > known_from]
-        assert len(late) <= FURTHER_RUNS
+        assert len(late) <= MAX_RUNS_AFTER_CONTACT
 
-    def test_is_refused_with_the_time_when_it_is_tried_again(
+    def test_is_refused_with_the_time_of_its_next_trial(
         self, system: PlatformSystem
     ) -> None:
         fatal = quarantined(system, "/unsafe/refused")
         reply = fatal.send()
-        told = json.loads(reply.body)
+        refusal = json.loads(reply.body)
         assert reply.status == 503
-        assert (told["error"], told["ran"]) == ("request_quarantined", "no")
+        assert (refusal["error"], refusal["ran"]) == ("request_quarantined", "no")
         assert float(reply.headers["retry-after"]) > 60
         assert "Server-Stamp" not in reply.headers
 
@@ -217,7 +218,7 @@
 
 
 class TestRequestsBesideOneThatCrashes:
-    """Guards against refusing what only ran at an endpoint that another one ended."""
+    """Guards against refusing requests that ran beside one that crashes endpoints."""
 
     def test_polls_and_a_long_request_are_served_on(
         self, system: PlatformSystem
@@ -249,7 +250,10 @@
 
 
 class TestEqualStreamsBesideOneThatCrashes:
-    """Guards against refusing a content of which no answer gets whole in a storm."""
+    """Guards against refusing a harmless content whose answers are all cut off.
+
+    Other contents crash its endpoints before any of its streams is complete.
+    """
 
     def test_are_served_on(self, system: PlatformSystem) -> None:
         fleet = system.fleets["/long/"]  # type: ignore[attr-defined]
@@ -262,7 +266,7 @@
                 for entry in range(ENTRIES)
             ]
             try:
-                for number in range(FATAL_CONTENTS):
+                for number in range(FATAL_CONTENT_COUNT):
                     fatal = Repeated(system, fleet, f"/long/fatal-{number}")
                     fatal.send_until(CRASHES, "three endpoints ended")
             finally:
@@ -282,7 +286,7 @@
     ended: threading.Event,
     target: str = "/unsafe/poll",
 ) -> list[str]:
-    """Send equal requests until the end; return the errors that they got."""
+    """Send equal requests until the event is set; return the errors received."""
     errors = []
     while not ended.wait(0.01):
         reply = send(system, target, b"p", entry)
@@ -292,7 +296,7 @@
 
 
 def send_until_served(system: PlatformSystem, ended: threading.Event) -> list[str]:
-    """Send a stream that lasts, again whenever it is lost; return the errors."""
+    """Send a long stream, and repeat it whenever it is lost; return the errors."""
     errors = []
     while not ended.is_set():
         reply = send(system, "/stream/long", b"harmless", 1)
@@ -317,9 +321,9 @@
 
 
 class TestHostsThatComeAndGo:
-    """Guards against a quarantine that ends with a host, a leader or a majority."""
+    """Guards against a quarantine that is lost with a host, a leader or a majority."""
 
-    def test_a_host_that_starts_again_refuses_it(self, system: PlatformSystem) -> None:
+    def test_a_restarted_host_refuses_it(self, system: PlatformSystem) -> None:
         fatal = quarantined(system, "/unsafe/restart")
         runs = len(fatal.runs())
         system.entries[1].kill()
@@ -328,7 +332,7 @@
         wait_until(lambda: is_held(fatal, 1), "it is refused")
         assert len(fatal.runs()) <= runs + 1
 
-    def test_control_hosts_that_all_start_again_hear_of_it(
+    def test_control_hosts_that_all_restart_learn_of_it(
         self, system: PlatformSystem
     ) -> None:
         fatal = quarantined(system, "/unsafe/amnesia")
@@ -336,19 +340,22 @@
             host.kill()
         for host in system.controls:
             host.start()
-        wait_until(lambda: system.put(newest(system)) == 200, "a leader is there")
+        wait_until(
+            lambda: system.put(current_configuration(system)) == 200,
+            "a leader is there",
+        )
         system.entries[2].kill()
         system.entries[2].start()
         wait_until(lambda: system.ready(2), "the host is ready")
         runs = len(fatal.runs())
         wait_until(lambda: is_held(fatal, 2), "it is refused")
-        assert len(fatal.runs()) <= runs + FURTHER_RUNS
+        assert len(fatal.runs()) <= runs + MAX_RUNS_AFTER_CONTACT
 
-    def test_it_is_found_out_without_a_leader(self, system: PlatformSystem) -> None:
+    def test_it_is_established_without_a_leader(self, system: PlatformSystem) -> None:
         for host in system.controls[1:]:
             host.kill()
         try:
-            # The fleets announce themselves to the host that is left.
+            # The fleets announce themselves to the remaining control host.
             wait_until(
                 lambda: send(system, "/unsafe/x", b"harmless").status == 200,
                 "requests are served without a leader",
@@ -361,12 +368,15 @@
         finally:
             for host in system.controls[1:]:
                 host.start()
-        wait_until(lambda: system.put(newest(system)) == 200, "a leader is there")
+        wait_until(
+            lambda: system.put(current_configuration(system)) == 200,
+            "a leader is there",
+        )
 
-    def test_a_zone_that_is_cut_off_tells_the_others_afterwards(
+    def test_a_zone_that_was_cut_off_notifies_the_others_afterwards(
         self, system: PlatformSystem
     ) -> None:
-        # Suspended, the other control hosts are silent, as beyond a partition.
+        # The suspended control hosts are silent, as beyond a network partition.
         for host in system.controls[1:]:
             host.signal(signal.SIGSTOP)
         try:
@@ -389,7 +399,7 @@
 
 
 def shown(*addresses: str) -> str:
-    """Return what the control hosts say is held back."""
+    """Return the contents that the control hosts list as quarantined."""
     options = ["--peer-secret", SECRET]
     for address in addresses:
         options += ["--control", address]
@@ -397,13 +407,13 @@
     return result.stdout if result.exit_code == 0 else ""
 
 
-def newest(system: PlatformSystem) -> Any:
-    """Return the configuration in force, to be sent again."""
+def current_configuration(system: PlatformSystem) -> Any:
+    """Return the configuration in force, for another update with the same content."""
     return wait_until(lambda: system.read()[1], "the configuration is read")
 
 
-class TestOperatorWhoLiftsIt:
-    def test_sees_the_content_and_lets_it_run(self, system: PlatformSystem) -> None:
+class TestLiftOfAQuarantine:
+    def test_content_is_listed_and_then_runs(self, system: PlatformSystem) -> None:
         fatal = quarantined(system, "/unsafe/lifted")
         options = ["--peer-secret", SECRET]
         for address in system.seeds:
@@ -428,7 +438,7 @@
         for entry in range(ENTRIES):
             wait_until(lambda entry=entry: not is_held(fatal, entry), "it runs again")  # type: ignore[misc]
 
-    def test_is_told_where_no_crash_is_known(self, system: PlatformSystem) -> None:
+    def test_fails_if_no_crash_is_known(self, system: PlatformSystem) -> None:
         options = ["--peer-secret", SECRET, "--control", system.seeds[0]]
         command = ["quarantine", "lift", "0123456789abcdef", *options]
         refused = CliRunner().invoke(main, command)
@@ -445,6 +455,6 @@
             return cause_of(lines_about(request_id, [path]))
 
         wait_until(lambda: "quarantine" in cause(), "the cause")
-        told = re.search(r"have ended (\d+) endpoints", cause())
-        assert told is not None
-        assert CRASHES <= int(told[1]) <= CRASHES + FURTHER_RUNS
+        crashes = re.search(r"have ended (\d+) endpoints", cause())
+        assert crashes is not None
+        assert CRASHES <= int(crashes[1]) <= CRASHES + MAX_RUNS_AFTER_CONTACT
--- a/tests/forwarding/test_engine_reports.py
+++ b/tests/forwarding/test_engine_reports.py
@@ -1,4 +1,4 @@
-"""Reports of engines, of which one can't be used."""
+"""Reports of engines, one of which sends invalid ones."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 }
 
 
-class Asked:
-    """Stands in for two engines, of which `foreign` gives its memory as text."""
+class FakeEngines:
+    """Stands in for two engines, of which `foreign` sends its memory use as text."""
 
     def __init__(self) -> None:
         self.interface = SimpleNamespace(ask_report=ask_report, read_report=read_report)
@@ -43,26 +43,26 @@
 
 
 class TestReportThatIsNotUsable:
-    """An engine gives what it uses of its memory as text, in each of its reports.
+    """Guards against a call and a log line per request for an invalid report.
 
-    Each request would ask it once more and write a line; the other engines' reports
-    would still be good.
+    An engine sends its memory use as text in each of its reports. The other engines'
+    reports must stay in use.
     """
 
-    def test_is_told_once_and_the_others_hold(
+    def test_is_logged_once_and_the_others_are_used(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        asked: Any = Asked()
+        engines: Any = FakeEngines()
         context: Any = SimpleNamespace(
             gone=lambda: False, request=SimpleNamespace(request_id="r-1")
         )
-        reports = EngineReports(asked)
+        reports = EngineReports(engines)
         with caplog.at_level(logging.INFO):
             for _ in range(5):
                 assert reports.get(context, engine("foreign")) is None
-                sound = reports.get(context, engine("sound"))
-                assert sound is not None and sound.used_tokens == 10
-        assert asked.ids == ["foreign", "sound"]
+                report = reports.get(context, engine("sound"))
+                assert report is not None and report.used_tokens == 10
+        assert engines.ids == ["foreign", "sound"]
         [line] = caplog.records
         fields = vars(line)
         assert (fields["endpoint_id"], fields["request_id"]) == ("foreign", "r-1")
