--- a/src/jujubeslip/forwarding/_app.py
+++ b/src/jujubeslip/forwarding/_app.py
@@ -18,9 +18,10 @@
 logger = logging.getLogger(__name__)
 
 StartResponse = Callable[..., Any]
-# When a client should come back that met a host with no thread left, in seconds.
+# When a client should retry after a host had no free thread, in seconds.
 FULL_RETRY_SECONDS = 0.5
-# When one should that met a host in its last moment: another host can take it at once.
+# When a client should retry after it reached a stopping host, in seconds; another host
+# can serve it at once.
 STOPPING_RETRY_SECONDS = 0.05
 
 
@@ -40,16 +41,16 @@
 
     @property
     def closed(self) -> bool:
-        """Say whether no more are served."""
+        """Return whether no more requests are accepted."""
         return self._closed
 
     def close(self) -> None:
-        """Serve no more from now on."""
+        """Accept no more requests."""
         with self._changed:
             self._closed = True
 
     def try_enter(self) -> bool:
-        """Count one more, unless there are as many as may be, or none are served."""
+        """Count one more request, unless the maximum is reached or this is closed."""
         with self._changed:
             if self._closed or self._count >= self._maximum:
                 return False
@@ -57,13 +58,13 @@
             return True
 
     def leave(self) -> None:
-        """Count one less."""
+        """Count one request less."""
         with self._changed:
             self._count -= 1
             self._changed.notify_all()
 
     def wait_until_none(self, seconds: float) -> bool:
-        """Wait until none is being served; say whether that came in time."""
+        """Wait until no request is being served; return False on a timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: self._count == 0, seconds)
 
@@ -87,15 +88,19 @@
         """Answer one request."""
         request_id = environ.get("HTTP_REQUEST_ID", "")
         if not self._open_requests.try_enter():
-            refusal = _stopping() if self._open_requests.closed else _full()
+            refusal = (
+                _host_stopping_refusal()
+                if self._open_requests.closed
+                else _host_full_refusal()
+            )
             return self._refuse(start_response, refusal, request_id)
-        left = False
+        is_streamed = False
         try:
             body = self._answer(environ, start_response, request_id)
-            left = isinstance(body, _Events)
+            is_streamed = isinstance(body, _StreamedBody)
             return body
         finally:
-            if not left:
+            if not is_streamed:
                 self._open_requests.leave()
 
     def _answer(
@@ -103,20 +108,20 @@
     ) -> Iterable[bytes]:
         try:
             request = self._interface.read_request(environ)
-            gone = environ["waitress.client_disconnected"]
-            answer = self._service.answer(request, gone)
+            client_gone = environ["waitress.client_disconnected"]
+            answer = self._service.answer(request, client_gone)
         except RequestRefusedError as refusal:
             return self._refuse(start_response, refusal, request_id)
         except CallerGoneError as error:
-            return self._refuse(start_response, _gone(error), request_id)
+            return self._refuse(start_response, _client_gone_refusal(error), request_id)
         except Exception:
             logger.exception("request failed", extra={"request_id": request_id})
-            return self._refuse(start_response, _failed(), request_id)
+            return self._refuse(start_response, _internal_error_refusal(), request_id)
         if isinstance(answer, StreamedAnswer):
-            _start(start_response, answer.status, list(answer.headers))
-            return _Events(answer, self._open_requests)
+            _start_answer(start_response, answer.status, list(answer.headers))
+            return _StreamedBody(answer, self._open_requests)
         length = ("Content-Length", str(len(answer.body)))
-        _start(start_response, answer.status, [*answer.headers, length])
+        _start_answer(start_response, answer.status, [*answer.headers, length])
         return [answer.body]
 
     def _refuse(
@@ -127,17 +132,17 @@
     ) -> Iterable[bytes]:
         encoded = self._interface.refusal(refusal, request_id)
         length = ("Content-Length", str(len(encoded.body)))
-        _start(start_response, encoded.status, [*encoded.headers, length])
+        _start_answer(start_response, encoded.status, [*encoded.headers, length])
         return [encoded.body]
 
 
-class _Events:
-    """The events of an answer; closed by either end, it counts its request as ended."""
+class _StreamedBody:
+    """The events of an answer; closing it counts the request as ended."""
 
     def __init__(self, answer: StreamedAnswer, open_requests: OpenRequests) -> None:
         self._events = answer.events
         self._open_requests = open_requests
-        self._open = True
+        self._is_open = True
 
     def __iter__(self) -> Iterator[bytes]:
         try:
@@ -146,10 +151,10 @@
             raise AnswerAbandonedError(error.message) from error
 
     def close(self) -> None:
-        """Stop the run, if it has not ended."""
-        if not self._open:
+        """Stop the run if it has not ended."""
+        if not self._is_open:
             return
-        self._open = False
+        self._is_open = False
         try:
             self._events.close()  # type: ignore[attr-defined]
         finally:
@@ -157,7 +162,7 @@
 
 
 class ReadyApp:
-    """Tells a balancer whether this host takes requests."""
+    """Reports to a load balancer whether this host accepts requests."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -165,12 +170,12 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer 200 or 503."""
-        _start(start_response, 200 if self._is_ready() else 503, [])
+        """Answer 200 if the host accepts requests, 503 otherwise."""
+        _start_answer(start_response, 200 if self._is_ready() else 503, [])
         return [b""]
 
 
-def _start(
+def _start_answer(
     start_response: StartResponse, status: int, headers: list[tuple[str, str]]
 ) -> None:
     try:
@@ -180,7 +185,7 @@
     start_response(f"{status} {reason}", headers)
 
 
-def _full() -> RequestRefusedError:
+def _host_full_refusal() -> RequestRefusedError:
     return RequestRefusedError(
         "entry_full",
         "This host serves as many requests as it can.",
@@ -188,7 +193,7 @@
     )
 
 
-def _stopping() -> RequestRefusedError:
+def _host_stopping_refusal() -> RequestRefusedError:
     return RequestRefusedError(
         "entry_stopping",
         "This host is about to stop.",
@@ -196,14 +201,14 @@
     )
 
 
-def _gone(error: CallerGoneError) -> RequestRefusedError:
-    """Return what nobody reads: the client has closed its connection."""
+def _client_gone_refusal(error: CallerGoneError) -> RequestRefusedError:
+    """Return a refusal that nobody receives: the client has closed its connection."""
     return RequestRefusedError(
         error.error_id, error.message, status=502, ran=Ran.UNKNOWN
     )
 
 
-def _failed() -> RequestRefusedError:
+def _internal_error_refusal() -> RequestRefusedError:
     return RequestRefusedError(
         "internal",
         "This host failed on the request.",
--- a/src/jujubeslip/forwarding/_meters.py
+++ b/src/jujubeslip/forwarding/_meters.py
@@ -13,36 +13,36 @@
 from jujubeslip.routes import RouteKind
 from jujubeslip.telemetry import MILLISECOND_BUCKETS, observed
 
-# Accounts that have metrics of their own; each one is kept for good, and configurations
-# may bring new ones for years.
-MOST_ACCOUNTS = 200
+# Maximum number of accounts with their own metric labels. Labels are never removed, and
+# configurations may add new accounts for years.
+MAX_LABELED_ACCOUNTS = 200
 OTHER_ACCOUNTS = "other"
 LIMIT_OUTCOMES = ("client_limit", "limit_unknown")
 
 
 @dataclass(frozen=True)
 class HostState:
-    """What is read off the host whenever its metrics are."""
+    """The host's state that is read whenever its metrics are collected."""
 
     open_requests: int
     idle_connections: int
-    """Connections to endpoints that wait for the next request."""
+    """Idle connections to endpoints."""
     control_hosts: int
-    """Control hosts that answered when last asked."""
+    """Control hosts that answered the latest call."""
     configuration_version: int
     configuration_age_seconds: float
     retries_left_by_service: dict[str, float]
-    """Further sends that the budget of this host still has."""
+    """Retries left in this host's budget."""
     quarantined_contents: int
-    """Contents of requests that are held back."""
+    """Contents of requests that are quarantined."""
     limited_endpoints: int
-    """Endpoints that have named a limit."""
+    """Endpoints that have announced a limit."""
     held_endpoints: int
-    """Endpoints that are in backoff, or have said that they leave."""
+    """Endpoints that are in backoff, or have announced that they are leaving."""
 
 
 class ForwardMeters:
-    """Counts requests and what became of them; times in milliseconds."""
+    """Counts requests by outcome, and records their durations in milliseconds."""
 
     def __init__(self) -> None:
         meter = metrics.get_meter("jujubeslip.forwarding")
@@ -70,7 +70,7 @@
             "jujubeslip.forward.account_refusals",
             description="Requests refused for their account's limit, by account.",
         )
-        self._named_accounts: set[str] = set()
+        self._labeled_accounts: set[str] = set()
         self._duration = meter.create_histogram(
             "jujubeslip.forward.duration",
             unit="ms",
@@ -99,7 +99,7 @@
     def note_request(
         self, context: ForwardContext, attempts: Attempts, outcome: str
     ) -> None:
-        """Count a request that has ended."""
+        """Record a request that has ended."""
         kind = context.route.kind
         service = {"service": context.service_name}
         labels = {"kind": kind.value, **service, "outcome": outcome}
@@ -110,11 +110,11 @@
         if attempts.sends > 1:
             self._retries.add(attempts.sends - 1, service)
         if kind is RouteKind.STREAM:
-            self._note_stream(attempts, service)
+            self._record_stream(attempts, service)
         if context.cost:
-            self._note_account(context, outcome)
+            self._record_account(context, outcome)
 
-    def _note_account(self, context: ForwardContext, outcome: str) -> None:
+    def _record_account(self, context: ForwardContext, outcome: str) -> None:
         label = {"account": self._account_label(context.request.account_name)}
         if outcome in LIMIT_OUTCOMES:
             self._account_refusals.add(1, label)
@@ -122,12 +122,12 @@
             self._account_cost.add(context.cost, label)
 
     def _account_label(self, name: str) -> str:
-        """Return an account's name, of a bounded number of them."""
-        if len(self._named_accounts) < MOST_ACCOUNTS:
-            self._named_accounts.add(name)
-        return name if name in self._named_accounts else OTHER_ACCOUNTS
+        """Return an account's name, or a common label beyond the maximum number."""
+        if len(self._labeled_accounts) < MAX_LABELED_ACCOUNTS:
+            self._labeled_accounts.add(name)
+        return name if name in self._labeled_accounts else OTHER_ACCOUNTS
 
-    def _note_stream(self, attempts: Attempts, service: dict[str, str]) -> None:
+    def _record_stream(self, attempts: Attempts, service: dict[str, str]) -> None:
         if attempts.wasted_prompt_tokens:
             self._wasted_prompts.add(attempts.wasted_prompt_tokens, service)
         if attempts.granted_ms is not None:
@@ -138,7 +138,7 @@
 
 
 def observe_host(read: Callable[[], HostState]) -> None:
-    """Offer the host's state as gauges, read whenever the metrics are."""
+    """Register gauges of the host's state, read whenever metrics are collected."""
     meter = metrics.get_meter("jujubeslip.forwarding")
     meter.create_observable_gauge(
         "jujubeslip.forward.open_requests",
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -1,4 +1,4 @@
-"""The wiring of a forwarding host."""
+"""Builds and runs the components of a forwarding host."""
 
 from __future__ import annotations
 
@@ -56,22 +56,22 @@
 
 logger = logging.getLogger(__name__)
 
-# How often idle connections to endpoints are looked through, in seconds.
+# Interval between scans for expired idle connections to endpoints, in seconds.
 CLEANUP_SECONDS = 1.0
-# How often contents whose quarantine has ended are looked for, in seconds.
+# Interval between scans for contents whose quarantine has ended, in seconds.
 FORGET_SECONDS = 10.0
 READY_THREADS = 2
-# A balancer needs two unanswered questions, a second apart, to send no more; new
-# connections are taken until then, in seconds.
+# How long new connections are accepted after the stop begins, in seconds. A load
+# balancer sends no more requests after two failed health checks, a second apart.
 BALANCER_SECONDS = 2.6
-# How long the last answers may take to leave, in seconds, and what is kept of the
-# stop's limit for that and for the process to end.
+# How long sending the last answers may take, in seconds, and the part of the stop's
+# limit that is reserved for it and for the exit of the process.
 FLUSH_SECONDS = 0.5
-END_SECONDS = 1.0
+EXIT_SECONDS = 1.0
 
 
 class ForwardProcess:
-    """Everything that a forwarding host runs."""
+    """The process of a forwarding host, with all its components."""
 
     def __init__(self, settings: ForwardSettings, settings_path: Path) -> None:
         self._settings = settings
@@ -85,43 +85,43 @@
         )
         interface = interfaces.get(settings.interface)
         self._entry_hosts = 1
-        self._pool = ConnectionPool()
+        self._connection_pool = ConnectionPool()
         self._pressures = Pressures()
-        self._book = EndpointBook()
-        self._crash_book = CrashBook()
-        self._harmless = HarmlessContents()
-        quarantine = Quarantine(self._crash_book, self._harmless)
-        self._routes = RoutesFollower(interface, identity)
+        self._registry = EndpointBook()
+        self._crash_registry = CrashBook()
+        self._harmless_contents = HarmlessContents()
+        quarantine = Quarantine(self._crash_registry, self._harmless_contents)
+        self._routes_follower = RoutesFollower(interface, identity)
         self._followers = ControlFollowers(
             self._process,
             identity,
-            self._book,
-            self._take_news,
+            self._registry,
+            self._apply_update,
             is_entry_host=True,
             pressures=self._pressures.told,
-            crash_book=self._crash_book,
+            crash_book=self._crash_registry,
         )
-        self._leader = LeaderContact(identity, self._followers.reaches)
+        self._leader_contact = LeaderContact(identity, self._followers.reaches)
         self._crash_reporter = CrashReporter(
             self._process,
             settings.host_id,
-            self._crash_book,
+            self._crash_registry,
             self._followers,
-            self._leader,
+            self._leader_contact,
         )
-        self._crash_book.tell_cleared(self._crash_reporter.report)
-        # With pauses of its own: a leader that knows no engines yet, and is not asked
-        # for grants for a moment, does know the limits.
-        self._limit_leader = LeaderContact(identity, self._followers.reaches)
+        self._crash_registry.tell_cleared(self._crash_reporter.report)
+        # This contact has its own pauses: a leader that does not know the engines yet,
+        # and is skipped for grants, may already know the limits.
+        self._limit_leader_contact = LeaderContact(identity, self._followers.reaches)
         self._endpoint_limits = self._build_endpoint_limits()
         sending = self._build_sending(quarantine)
-        self._limits = self._build_limits()
+        self._account_limits = self._build_account_limits()
         self._admissions = (
             Admissions(
                 self._process,
-                self._leader,
+                self._leader_contact,
                 settings.availability_zone,
-                self._book,
+                self._registry,
                 sending.health,
                 self._endpoint_limits,
             )
@@ -132,14 +132,14 @@
             max(1, settings.http_threads - settings.reserved_threads)
         )
         service = ForwardService(
-            self._routes,
+            self._routes_follower,
             PlainPath(sending),
             StreamPath(
                 sending,
                 PromptReader(sending, settings.reads_prompts_apart, self._pressures),
                 Grants(
                     sending,
-                    self._book,
+                    self._registry,
                     self._pressures,
                     Reservations(
                         sending,
@@ -147,12 +147,12 @@
                         settings.availability_zone,
                     ),
                     self._admissions,
-                    self._limits,
+                    self._account_limits,
                 ),
             ),
             ForwardMeters(),
-            self._limits,
-            FirstEndpoints(self._book),
+            self._account_limits,
+            FirstEndpoints(self._registry),
             quarantine,
         )
         self._http = HttpServer(
@@ -168,15 +168,15 @@
             ReadyApp(self._is_ready),
         )
 
-    def _state(self) -> HostState:
+    def _host_state(self) -> HostState:
         return HostState(
             self._open_requests.count,
-            self._pool.idle_count,
+            self._connection_pool.idle_count,
             self._followers.count_reachable(),
-            self._routes.version,
-            self._routes.age_seconds,
-            self._budgets.left_by_service(),
-            len(self._crash_book.held_back()),
+            self._routes_follower.version,
+            self._routes_follower.age_seconds,
+            self._retry_budgets.left_by_service(),
+            len(self._crash_registry.held_back()),
             self._endpoint_limits.count,
             self._endpoint_limits.notices.held_count,
         )
@@ -190,23 +190,23 @@
             settings.retry_window_ms / 1000,
             settings.retry_allowance,
         )
-        self._budgets = RetryBudgets(budget, lambda: self._entry_hosts)
+        self._retry_budgets = RetryBudgets(budget, lambda: self._entry_hosts)
         return Sending(
             interfaces.get(settings.interface),
-            self._pool,
+            self._connection_pool,
             Chooser(
-                self._book,
+                self._registry,
                 health,
                 policy,
                 settings.endpoint_silence_ms / 1000,
                 self._endpoint_limits.hold_of,
             ),
             health,
-            self._budgets,
+            self._retry_budgets,
             CrashWatch(
-                self._book,
-                self._crash_book,
-                self._harmless,
+                self._registry,
+                self._crash_registry,
+                self._harmless_contents,
                 self._crash_reporter.report,
             ),
             quarantine,
@@ -217,12 +217,12 @@
         spending = HostSpending(
             ENDPOINT_BOUNDS, lambda: self._entry_hosts, steady_seconds()
         )
-        charges = SharedCharges(self._limit_leader, spending)
+        charges = SharedCharges(self._limit_leader_contact, spending)
         host_id = self._settings.host_id
-        notices = EndpointNotices(self._book)
+        notices = EndpointNotices(self._registry)
         return EndpointLimits(charges, host_id, lambda: self._entry_hosts, notices)
 
-    def _build_limits(self) -> AccountLimits:
+    def _build_account_limits(self) -> AccountLimits:
         settings = self._settings
         bounds = LimitBounds(
             settings.limit_window_ms / 1000,
@@ -232,26 +232,26 @@
         spending = HostSpending(bounds, lambda: self._entry_hosts, steady_seconds())
         return AccountLimits(
             self._process,
-            self._limit_leader,
+            self._limit_leader_contact,
             spending,
             settings.host_id,
             lambda: self._entry_hosts,
-            self._routes.has_accounts,
+            self._routes_follower.has_accounts,
         )
 
     def run(self) -> None:
-        """Serve until SIGTERM, then finish what is open and exit with status 0."""
+        """Serve until SIGTERM, then finish open requests and exit with status 0."""
         process = self._process
         process.catch_signals()
         process.reload_with(self._reload)
         self._followers.learn(self._settings.seed_addresses)
-        process.repeat(CLEANUP_SECONDS, self._pool.close_expired)
-        process.repeat(FORGET_SECONDS, self._crash_book.forget_old)
-        self._limits.start()
+        process.repeat(CLEANUP_SECONDS, self._connection_pool.close_expired)
+        process.repeat(FORGET_SECONDS, self._crash_registry.forget_old)
+        self._account_limits.start()
         self._endpoint_limits.start(process)
         if self._admissions is not None:
             self._admissions.start()
-        observe_host(self._state)
+        observe_host(self._host_state)
         serve_metrics(self._settings.telemetry, self._telemetry, process)
         self._http.start(process)
         self._ready_http.start(process)
@@ -259,41 +259,42 @@
         logger.info("forwarding host serves", extra=extra)
         process.run(self._drain)
 
-    def _take_news(self, news: News) -> None:
-        self._entry_hosts = max(self._entry_hosts, news.entry_hosts)
-        self._routes.take(news)
-        self._leader.take(news)
-        self._limit_leader.take(news)
+    def _apply_update(self, update: News) -> None:
+        self._entry_hosts = max(self._entry_hosts, update.entry_hosts)
+        self._routes_follower.take(update)
+        self._leader_contact.take(update)
+        self._limit_leader_contact.take(update)
 
     def _is_ready(self) -> bool:
-        return self._routes.version > 0 and not self._process.stopping.is_set()
+        return self._routes_follower.version > 0 and not self._process.stopping.is_set()
 
     def _reload(self) -> None:
-        """Follow the control hosts that the settings name now."""
-        read = load_forward_settings(self._settings_path)
-        if isinstance(read, Failure):
-            problems = [str(problem) for problem in read.failure()]
+        """Follow the control hosts that the current settings name."""
+        loaded = load_forward_settings(self._settings_path)
+        if isinstance(loaded, Failure):
+            problems = [str(problem) for problem in loaded.failure()]
             logger.error("settings not usable", extra={"problems": problems})
             return
-        seeds = read.unwrap().seed_addresses
+        seeds = loaded.unwrap().seed_addresses
         logger.info("seeds read", extra={"seeds": seeds})
         self._followers.learn(seeds)
 
     def _drain(self) -> None:
-        """Finish what is open, and what still comes until the balancer knows.
+        """Finish open requests, and those that arrive until the load balancer reacts.
 
-        Each answer from now on says that its connection closes, so that clients don't
-        send their next request on it.
+        Each answer from now on announces that its connection closes, so that clients
+        don't send their next request on it.
         """
-        limit = Deadline.after(self._settings.stop_limit_ms / 1000 - END_SECONDS)
+        limit = Deadline.after(self._settings.stop_limit_ms / 1000 - EXIT_SECONDS)
         self._http.announce_close()
         self._process.stopped.wait(BALANCER_SECONDS)
-        # A client may still ask over a connection that was idle all the while. Taken,
-        # its request would be cut off by the end of this process: a stream needs longer
-        # than is left. Refused, it has not run, and another host takes it at once.
+        # A client may still send a request on a connection that was idle until now. If
+        # it were accepted, the exit of this process would cut it off, as a stream takes
+        # longer than the remaining time. A refused request has not run, and another
+        # host can serve it at once.
         self._open_requests.close()
         extra = {"open_requests": self._open_requests.count}
-        logger.info("no further requests are taken", extra=extra)
+        logger.info("forwarding host accepts no further requests", extra=extra)
         self._open_requests.wait_until_none(limit.remaining())
         self._http.stop_listening()
         self._http.wait_until_flushed(FLUSH_SECONDS)
--- a/tests/forwarding/test_few_engines.py
+++ b/tests/forwarding/test_few_engines.py
@@ -1,4 +1,4 @@
-"""Streams of a service whose engines leave until few are left."""
+"""Streams of a service with few remaining engines, with real processes."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from tests.fakes.processes import wait_until
 from tests.fakes.steady_load import offer
 
-# Prompts that take a reader a fifth of the time that their answers take an engine.
+# The prefill of these prompts takes a fifth of the time of their decode.
 LONG_PROMPT = {**PROMPT, "Token-Count": "5000,13000", "Length-Hint": "11000"}
 SERVICE = {**ENGINE, "engine": {**ENGINE["engine"], "slots": 64, "stride": 65}}  # type: ignore[dict-item]
 READ_SECONDS = 0.05
 EVENTS = 180
 CLIENTS = 8
 PAUSE_SECONDS = 0.3
-# The leader watches its load for four seconds, after five in which it may not order.
+# The leader observes the load for four seconds, after five in which it may not order.
 ORDER_SECONDS = 15.0
 
 
@@ -43,30 +43,33 @@
     return system.ask("/stream/x", "POST", b"prompt", LONG_PROMPT, deadline_ms=8000)
 
 
-class TestThreeEnginesOfWhichTwoRead:
-    """Guards against two idle readers beside the only engine that answers."""
+class TestThreeEnginesOfWhichTwoPrefill:
+    """Guards against two idle prefill engines beside the only decode engine."""
 
-    def test_one_of_them_is_ordered_to_answer(self, system: PlatformSystem) -> None:
-        readers = [
+    def test_one_of_them_is_ordered_to_decode(self, system: PlatformSystem) -> None:
+        prefill_engines = [
             PlatformWorker(f"reader-{n}", "model", "prefill", read_seconds=READ_SECONDS)
             for n in (1, 2)
         ]
-        answering = [
+        decode_engines = [
             PlatformWorker(f"engine-{n}", "model", "decode", events=EVENTS)
             for n in (1, 2)
         ]
-        for worker in (*readers, *answering):
+        for worker in (*prefill_engines, *decode_engines):
             system.add(worker)
         system.wait_served("/stream/x", method="POST", headers=LONG_PROMPT)
-        system.withdraw(answering[1])
-        assert system.leave(answering[1]) == 200
+        system.withdraw(decode_engines[1])
+        assert system.leave(decode_engines[1]) == 200
         replies = offer(
             lambda n: ask(system, n), ORDER_SECONDS, [0] * CLIENTS, PAUSE_SECONDS
         )
-        assert [worker.orders for worker in readers].count(1) == 1
+        assert [worker.orders for worker in prefill_engines].count(1) == 1
         wait_until(
-            lambda: sorted(worker.stage for worker in readers) == ["decode", "prefill"],
-            "one of the readers answers",
+            lambda: (
+                sorted(worker.stage for worker in prefill_engines)
+                == ["decode", "prefill"]
+            ),
+            "one of the prefill engines decodes",
         )
         assert all(reply.status in (200, 503) for reply in replies)
         assert sum(reply.status == 200 for reply in replies) >= 0.9 * len(replies)
--- a/tests/forwarding/test_lapsed_leases.py
+++ b/tests/forwarding/test_lapsed_leases.py
@@ -1,4 +1,4 @@
-"""Charges at a leader whose lease lapses for moments, since its followers are late."""
+"""Charges at a leader whose lease lapses briefly because its followers are late."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tests.forwarding.test_takeover import LIMITED
 
 CONTROLS = 3
-# Each way to a follower: its answers take 0.7 of the election timeout of 0.4 s. The
-# lease holds for a part of the time only, and the lead is kept.
+# Network delay in each direction to a follower: its answers take 0.7 of the election
+# timeout of 0.4 s. The lease is valid for part of the time only, and the leader stays.
 LATE_SECONDS = 0.14
 ASKED_SECONDS = 4.0
 PAUSE_SECONDS = 0.05
 
 
 class TestChargeWhileTheLeaseHasLapsed:
-    """Guards against refusals by a leader whose lease is renewed a moment later."""
+    """Guards against refusals by a leader whose lease is renewed shortly afterwards."""
 
     def test_is_answered_by_the_same_leader(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, controls=CONTROLS, has_proxies=True) as system:
--- a/tests/forwarding/test_leader_lost.py
+++ b/tests/forwarding/test_leader_lost.py
@@ -1,4 +1,4 @@
-"""Streams go on while nobody gives grants at engines."""
+"""Streams are served while no leader gives grants, with real processes."""
 
 from __future__ import annotations
 
@@ -43,14 +43,15 @@
     )
 
 
-class TestLeaderThatDies:
-    """The control host that gives grants is killed while summaries are asked for.
+class TestKilledLeader:
+    """Guards against streams that fail while no leader gives grants.
 
-    Its entry hosts know the engines from before, and ask them for room by themselves;
-    after its restart it learns from the engines' reports what runs there.
+    The control host that gives grants is killed while streams are requested. The entry
+    hosts still know the engines, and reserve capacity there themselves. After its
+    restart the control host learns from the engines' reports what runs there.
     """
 
-    def test_streams_are_served_all_the_while(self, system: PlatformSystem) -> None:
+    def test_streams_are_served_throughout(self, system: PlatformSystem) -> None:
         wait_for_grants(system)
         system.controls[0].kill()
         for _ in range(5):
--- a/tests/forwarding/test_metrics.py
+++ b/tests/forwarding/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the metrics of the processes say after requests, read as a collector does."""
+"""The metrics of the processes after requests, read as a collector reads them."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class TestControlHost:
-    def test_says_that_it_leads_and_what_it_knows(self, system: PlatformSystem) -> None:
+    def test_reports_its_lead_and_what_it_knows(self, system: PlatformSystem) -> None:
         address = system.control_metrics[0]
 
         def decided() -> bool:
@@ -74,8 +74,8 @@
         assert values[known + 'leaving="false"}'] == 1
 
 
-class TestAddressThatIsTaken:
-    """Another process holds the metrics' port. Clients are served all the same."""
+class TestAddressInUse:
+    """Another process listens on the metrics' port; clients must still be served."""
 
     def test_is_logged(
         self, system: PlatformSystem, tmp_path_factory: pytest.TempPathFactory
--- a/tests/forwarding/test_orders_of_the_next_leader.py
+++ b/tests/forwarding/test_orders_of_the_next_leader.py
@@ -1,4 +1,4 @@
-"""Orders to engines after the leader was killed, with processes."""
+"""Role orders to engines after the leader was killed, with real processes."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 )
 
 CONTROLS = 3
-# No order is given before leaders have recorded their orders for five seconds, and each
-# two seconds tell the next one how long that was.
+# Leaders give no order before they have recorded their orders for five seconds; every
+# two seconds they store for the next leader how long that has been.
 RECORDED_SECONDS = 8.0
-# An order takes a look, a question to the engine and the order itself.
+# An order takes a scan, a status call to the engine and the order itself.
 ORDER_SECONDS = 2.0
 LOAD_SECONDS = 20.0
 
@@ -54,63 +54,69 @@
     return system.ask("/stream/x", "POST", b"prompt", LONG_PROMPT, deadline_ms=8000)
 
 
-def last_lead(system: PlatformSystem) -> dict[str, Any]:
-    """Return the line with which the leader of the latest term began to lead."""
+def latest_election(system: PlatformSystem) -> dict[str, Any]:
+    """Return the line that the leader of the latest term logged at its election."""
     return max(system.logged("leading"), key=lambda line: int(line["term"]))
 
 
 def leader_of(system: PlatformSystem) -> int:
     """Return the control host that leads in the latest term."""
-    line = json.dumps(last_lead(system)["time"])
+    line = json.dumps(latest_election(system)["time"])
     written = [line in host.output() for host in system.controls]
     return written.index(True)
 
 
 def seconds_between(earlier: dict[str, Any], later: dict[str, Any]) -> float:
     """Return the seconds between two lines."""
-    moments = [datetime.fromisoformat(line["time"]) for line in (earlier, later)]
-    return (moments[1] - moments[0]).total_seconds()
+    times = [datetime.fromisoformat(line["time"]) for line in (earlier, later)]
+    return (times[1] - times[0]).total_seconds()
 
 
-class TestLastReaderThatLeavesBesideTheLeader:
-    """Guards against engines that all answer until a new leader may order them."""
+class TestLastPrefillEngineLostWithTheLeader:
+    """Guards against a service without a prefill engine long after an election.
+
+    The last prefill engine leaves when the leader is killed, and a new leader has to
+    order one of the decode engines to replace it.
+    """
 
     def test_is_replaced_as_soon_as_a_host_leads(self, system: PlatformSystem) -> None:
-        reader = PlatformWorker("reader", "model", "prefill")
+        prefill_engine = PlatformWorker("reader", "model", "prefill")
         workers = [PlatformWorker(f"engine-{n}", "model", "decode") for n in range(3)]
-        for worker in (reader, *workers):
+        for worker in (prefill_engine, *workers):
             system.add(worker)
         system.wait_served("/stream/x", method="POST", headers=PROMPT)
         time.sleep(RECORDED_SECONDS)
         killed = leader_of(system)
-        before = last_lead(system)["term"]
+        before = latest_election(system)["term"]
         system.controls[killed].kill()
-        system.withdraw(reader)
+        system.withdraw(prefill_engine)
         others = [number for number in range(CONTROLS) if number != killed]
         for number in others:
-            system.leave(reader, control=number)
-        wait_until(lambda: last_lead(system)["term"] > before, "another host leads")
+            system.leave(prefill_engine, control=number)
+        wait_until(
+            lambda: latest_election(system)["term"] > before, "another host leads"
+        )
         wait_until(lambda: system.logged("engine ordered"), "an engine is ordered")
         ordered = system.logged("engine ordered")
         assert [line["role"] for line in ordered] == ["PREFILL"]
-        assert seconds_between(last_lead(system), ordered[0]) <= ORDER_SECONDS
+        assert seconds_between(latest_election(system), ordered[0]) <= ORDER_SECONDS
 
 
-class TestEngineThatLeavesBesideTheLeader:
-    """Guards against two idle readers beside the only engine that answers."""
+class TestDecodeEngineLostWithTheLeader:
+    """Guards against two idle prefill engines beside the only decode engine."""
 
-    def test_reader_takes_its_place_as_soon_as_a_host_leads(
+    def test_prefill_engine_replaces_it_as_soon_as_a_host_leads(
         self, system: PlatformSystem
     ) -> None:
-        readers = [
+        prefill_engines = [
             PlatformWorker(f"reader-{n}", "model", "prefill", read_seconds=READ_SECONDS)
             for n in (1, 2)
         ]
-        answering = [
+        decode_engines = [
             PlatformWorker(f"engine-{n}", "model", "decode", events=EVENTS)
             for n in (1, 2)
         ]
-        for worker in (*readers, *answering):
+        for worker in (*prefill_engines, *decode_engines):
             system.add(worker)
         system.wait_served("/stream/x", method="POST", headers=LONG_PROMPT)
         with ThreadPoolExecutor(1) as pool:
@@ -120,14 +126,16 @@
             time.sleep(WATCHED_SECONDS + ORDER_SECONDS)
             assert not system.logged("engine ordered")
             killed = leader_of(system)
-            before = last_lead(system)["term"]
+            before = latest_election(system)["term"]
             system.controls[killed].kill()
-            system.withdraw(answering[1])
+            system.withdraw(decode_engines[1])
             for number in range(CONTROLS):
                 if number != killed:
-                    system.leave(answering[1], control=number)
-            wait_until(lambda: last_lead(system)["term"] > before, "another host leads")
+                    system.leave(decode_engines[1], control=number)
+            wait_until(
+                lambda: latest_election(system)["term"] > before, "another host leads"
+            )
             assert replies.result()
         ordered = system.logged("engine ordered")
         assert [line["role"] for line in ordered] == ["DECODE"]
-        assert seconds_between(last_lead(system), ordered[0]) <= ORDER_SECONDS
+        assert seconds_between(latest_election(system), ordered[0]) <= ORDER_SECONDS
--- a/tests/forwarding/test_stops_beside_takeovers.py
+++ b/tests/forwarding/test_stops_beside_takeovers.py
@@ -1,4 +1,4 @@
-"""Planned stops of forwarding hosts and of the leader, one right after the other."""
+"""Planned stops of a forwarding host and of the leader in quick succession."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
     route("poll", "/poll/", "plain", kind="unsafe", timeoutMs=5000, maxAttempts=1),
     route("stream", "/stream/", "model", **SHAPE, maxAttempts=2),
 ]
-# A request whose last byte was sent longer before the end of its connection than this,
-# in seconds, was read by the host.
+# A request sent earlier than this before the end of its connection, in seconds, was
+# read by the host.
 READ_SECONDS = 0.2
 
 
 @dataclass
 class Client:
-    """Asks over one kept connection after the other, until it is told to stop."""
+    """Sends requests on one persistent connection after the other until stopped."""
 
     address: str
     target: str
     number: int
     stopped: threading.Event
     answered: set[str] = field(default_factory=set)
-    cut: dict[str, float] = field(default_factory=dict)
-    """Requests without a whole answer, and how long each was waited for."""
+    unanswered: dict[str, float] = field(default_factory=dict)
+    """Requests without a complete answer, and how long the client waited for each."""
 
     def run(self) -> None:
         while not self.stopped.is_set():
@@ -74,7 +74,7 @@
                 response = connection.getresponse()
                 response.read()
             except (OSError, http.client.HTTPException):
-                self.cut[request_id] = time.monotonic() - sent_at
+                self.unanswered[request_id] = time.monotonic() - sent_at
                 return
             self.answered.add(request_id)
             if response.getheader("connection") == "close":
@@ -98,12 +98,12 @@
     return host
 
 
-class TestKeptConnection:
-    """Guards against a request that was passed on and ends without an answer."""
+class TestPersistentConnection:
+    """Guards against a forwarded request that ends without an answer."""
 
     @pytest.mark.parametrize("target", [STREAM, POLL])
     @pytest.mark.parametrize("order", ["leader first", "host first", "both again"])
-    def test_request_passed_on_is_answered(
+    def test_forwarded_request_is_answered(
         self, system: PlatformSystem, target: str, order: str
     ) -> None:
         stage = "decode" if target == STREAM else ""
@@ -146,7 +146,9 @@
             stopped.set()
             for item in running:
                 item.result()
-        cut = {key: at for client in clients for key, at in client.cut.items()}
-        passed_on = {run.request_id for worker in workers for run in worker.runs}
-        assert cut.keys() & passed_on == set()
-        assert [at for at in cut.values() if at > READ_SECONDS] == []
+        unanswered = {
+            key: at for client in clients for key, at in client.unanswered.items()
+        }
+        forwarded = {run.request_id for worker in workers for run in worker.runs}
+        assert unanswered.keys() & forwarded == set()
+        assert [at for at in unanswered.values() if at > READ_SECONDS] == []
--- a/tests/forwarding/test_takeover.py
+++ b/tests/forwarding/test_takeover.py
@@ -1,4 +1,4 @@
-"""Charges and grants of entry hosts while one leader follows another."""
+"""Charges and grants of entry hosts after a new leader takes over."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
 CONTROLS = 3
 ENTRIES = 4
-# How long a leader that is there may take to answer a charge or to give a grant.
+# How long an available leader may take to answer a charge or to give a grant.
 LEADER_SECONDS = 0.25
-# So long after an election has to be known who leads: nobody may wait for the leader
-# before it any more.
+# Time after an election by which hosts have to know the new leader; after that no
+# request may wait for the previous one.
 KNOWN_SECONDS = 0.25
-# What an endpoint of these tests may take beside that: an engine reads the prompt, and
-# its first events come in milliseconds.
+# How long an endpoint of these tests may take in addition: an engine prefills the
+# prompt, and the first events follow within milliseconds.
 RUN_SECONDS = 0.25
-# Each request is charged at the leader, and none is refused for its limit.
+# With these fields each request is charged at the leader, and none is refused.
 LIMITED = {"unit": "tokens", "plainTokens": 1, "ratePerS": 1e6, "burst": 1_000_000}
 
 
@@ -57,7 +57,7 @@
 def ask_all(
     system: PlatformSystem, path: str, headers: dict[str, str]
 ) -> list[tuple[Reply, float]]:
-    """Ask once at each entry host; return the answers and their seconds."""
+    """Send a request to each entry host; return the answers and their durations."""
 
     def ask(entry: int) -> tuple[Reply, float]:
         began = time.monotonic()
@@ -69,7 +69,7 @@
 
 
 class TestChargeAfterATakeover:
-    """Guards against requests held or refused for a leader that is gone."""
+    """Guards against requests delayed or refused because of a lost leader."""
 
     @pytest.mark.parametrize("takeovers", [1, 2])
     def test_is_answered_by_the_next_leader(
@@ -82,13 +82,13 @@
                 time.sleep(KNOWN_SECONDS)
                 answers += ask_all(system, CLOSED, key("k-limited"))
             wait_until_followed(system, suspended)
-        told = [(reply.status, round(seconds, 3)) for reply, seconds in answers]
-        assert {status for status, _ in told} == {200}, told
-        assert max(seconds for _, seconds in told) < LEADER_SECONDS, told
+        outcomes = [(reply.status, round(seconds, 3)) for reply, seconds in answers]
+        assert {status for status, _ in outcomes} == {200}, outcomes
+        assert max(seconds for _, seconds in outcomes) < LEADER_SECONDS, outcomes
 
 
 class TestStreamAfterATakeover:
-    """Guards against streams that wait for a grant of a leader that is gone."""
+    """Guards against streams that wait for a grant from a lost leader."""
 
     @pytest.mark.parametrize("takeovers", [1, 2])
     def test_starts_in_time(self, system: PlatformSystem, takeovers: int) -> None:
@@ -100,9 +100,11 @@
                 time.sleep(KNOWN_SECONDS)
                 answers += ask_all(system, MODEL, headers)
             wait_until_followed(system, suspended)
-        told = [(reply.status, round(seconds, 3)) for reply, seconds in answers]
-        assert {status for status, _ in told} == {200}, told
-        assert max(seconds for _, seconds in told) < LEADER_SECONDS + RUN_SECONDS, told
+        outcomes = [(reply.status, round(seconds, 3)) for reply, seconds in answers]
+        assert {status for status, _ in outcomes} == {200}, outcomes
+        assert max(seconds for _, seconds in outcomes) < LEADER_SECONDS + RUN_SECONDS, (
+            outcomes
+        )
 
     def test_takes_no_longer_in_steady_state(self, system: PlatformSystem) -> None:
         answers = ask_all(system, MODEL, {**key("k"), **PROMPT})
