--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -148,10 +148,10 @@
 
     def _limit_unknown_refusal(self, context: ForwardContext) -> RequestRefusedError:
         """Return the refusal of a request that could not be charged."""
-        self._log_refusal(context, "no leader knows what is left")
+        self._log_refusal(context, "no leader available")
         return RequestRefusedError(
             "limit_unknown",
-            "No control host that leads can say whether the client account's "
+            "No leading control host can check whether the client account's "
             "limit allows the request.",
             retry_after=NO_LEADER_RETRY_SECONDS,
         )
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -46,7 +46,7 @@
 
     start_id: str
     """The start of the decode engine, empty without a grant."""
-    reader_start_id: str
+    prefill_start_id: str
     """The start of the prefill engine, empty if the decode engine prefills."""
     forecast: float
     """Expected waiting time of the request, in seconds."""
@@ -99,10 +99,10 @@
                 continue
             forecast = reply.forecast_ms / 1000
             if reply.status == AdmissionStatus.ADMITTED:
-                reader_start_id = reply.reader_start_id or ""
+                prefill_start_id = reply.reader_start_id or ""
                 read_seconds = (reply.read_ms or 0) / 1000
                 return AdmissionAnswer(
-                    reply.start_id, reader_start_id, forecast, read_seconds
+                    reply.start_id, prefill_start_id, forecast, read_seconds
                 )
             if reply.status == AdmissionStatus.OVER_LIMIT:
                 return AdmissionAnswer("", "", 0.0, over_limit_seconds=forecast)
--- a/src/jujubeslip/forwarding/_app.py
+++ b/src/jujubeslip/forwarding/_app.py
@@ -211,7 +211,7 @@
 def _internal_error_refusal() -> RequestRefusedError:
     return RequestRefusedError(
         "internal",
-        "This host failed on the request.",
+        "This host failed to process the request.",
         status=502,
         ran=Ran.UNKNOWN,
         remedy="Report it with the request id; the host's log says more.",
--- a/src/jujubeslip/forwarding/_crash_news.py
+++ b/src/jujubeslip/forwarding/_crash_news.py
@@ -20,7 +20,7 @@
 
 
 class CrashReporter:
-    """Reports crashes without waiting for the next watch, which may take nearly 1 s.
+    """Reports crashes before the next watch, which may take most of a second.
 
     One control host is enough: it notifies the hosts that watch it, which are all hosts
     that it reaches. The others learn of the crashes through other watches.
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -149,7 +149,7 @@
 
         Raises RequestRefusedError if the client account has used up its limit. A
         request of an account with a limit waits for a leader that can charge it: only
-        the leader knows what is left, and hosts without one may admit only little.
+        the leader knows what is left, and without it hosts may admit few requests.
         """
         context, attempts, limits = (
             capacity_request.context,
@@ -194,9 +194,9 @@
         attempts.note(answer.start_id, "grant")
         return Grant(
             endpoint,
-            reader=self._usable_endpoint(answer.reader_start_id),
+            reader=self._usable_endpoint(answer.prefill_start_id),
             read_seconds=answer.read_seconds,
-            reads_itself=not answer.reader_start_id,
+            reads_itself=not answer.prefill_start_id,
             prompt_read=partial(admissions.report_prefilled, request_id, attempt),
             at_end=partial(admissions.end, request_id, attempt),
         )
--- a/src/jujubeslip/forwarding/_quarantine.py
+++ b/src/jujubeslip/forwarding/_quarantine.py
@@ -41,7 +41,7 @@
         logger.info("request quarantined", extra=extra)
         raise RequestRefusedError(
             "request_quarantined",
-            f"Equal requests have ended {history.count} endpoints one after another.",
+            f"Equal requests have crashed {history.count} endpoints in succession.",
             retry_after=history.held_until.remaining(),
             remedy="Ask the operators to look into it; once it is harmless, they can "
             f"run `jujubeslip quarantine lift {history.fingerprint}`.",
--- a/tests/forwarding/test_account_limits.py
+++ b/tests/forwarding/test_account_limits.py
@@ -104,7 +104,7 @@
             assert b'"ran": "no"' in reply.body
             assert b"tokens" in reply.body
 
-    def test_takes_nothing_from_others(self, system: PlatformSystem) -> None:
+    def test_does_not_affect_other_accounts(self, system: PlatformSystem) -> None:
         ask_many(system, CLOSED, "k-hot", 12)
         replies = ask_many(system, CLOSED, "k-free", 12)
         assert {reply.status for reply in replies} == {200}
--- a/tests/forwarding/test_crashing_requests.py
+++ b/tests/forwarding/test_crashing_requests.py
@@ -147,8 +147,8 @@
         assert first == second != third
 
 
-class Repeated:
-    """One content, sent again and again to one entry host after another."""
+class RepeatedRequest:
+    """A request that is sent repeatedly, to the entry hosts in turn."""
 
     def __init__(self, system: PlatformSystem, fleet: Fleet, target: str) -> None:
         self._system = system
@@ -189,7 +189,7 @@
         self, system: PlatformSystem, prefix: str
     ) -> None:
         fleet = system.fleets[prefix]  # type: ignore[attr-defined]
-        fatal = Repeated(system, fleet, f"{prefix}fatal")
+        fatal = RepeatedRequest(system, fleet, f"{prefix}fatal")
         fatal.send_until(CRASHES, "three endpoints ended")
         known_from = time.monotonic() + CONTACT_SECONDS
         while time.monotonic() < known_from + 4.0:
@@ -218,15 +218,18 @@
 
 
 class TestRequestsBesideOneThatCrashes:
-    """Guards against refusing requests that ran beside one that crashes endpoints."""
+    """Guards against refusing requests that only ran beside one that crashes.
 
-    def test_polls_and_a_long_request_are_served_on(
+    An endpoint that crashes also ends the other requests that it runs.
+    """
+
+    def test_polls_and_a_long_request_continue_to_be_served(
         self, system: PlatformSystem
     ) -> None:
         fleet = system.fleets["/unsafe/"]  # type: ignore[attr-defined]
         for worker in fleet.starts:
             worker.run_seconds = 0.02
-        fatal = Repeated(system, fleet, "/unsafe/beside")
+        fatal = RepeatedRequest(system, fleet, "/unsafe/beside")
         ended = threading.Event()
         with ThreadPoolExecutor(4) as pool:
             polls = [pool.submit(poll, system, entry, ended) for entry in range(3)]
@@ -255,7 +258,7 @@
     Other contents crash its endpoints before any of its streams is complete.
     """
 
-    def test_are_served_on(self, system: PlatformSystem) -> None:
+    def test_continue_to_be_served(self, system: PlatformSystem) -> None:
         fleet = system.fleets["/long/"]  # type: ignore[attr-defined]
         for entry in range(ENTRIES):
             assert send(system, "/long/poll", b"p", entry).status == 200
@@ -267,7 +270,7 @@
             ]
             try:
                 for number in range(FATAL_CONTENT_COUNT):
-                    fatal = Repeated(system, fleet, f"/long/fatal-{number}")
+                    fatal = RepeatedRequest(system, fleet, f"/long/fatal-{number}")
                     fatal.send_until(CRASHES, "three endpoints ended")
             finally:
                 ended.set()
@@ -305,22 +308,22 @@
     return errors
 
 
-def quarantined(system: PlatformSystem, target: str) -> Repeated:
+def quarantined(system: PlatformSystem, target: str) -> RepeatedRequest:
     """Send a content that crashes endpoints until every host refuses it."""
     fleet = system.fleets["/unsafe/"]  # type: ignore[attr-defined]
-    fatal = Repeated(system, fleet, target)
+    fatal = RepeatedRequest(system, fleet, target)
     fatal.send_until(CRASHES, "three endpoints ended")
     for entry in range(ENTRIES):
-        wait_until(lambda entry=entry: is_held(fatal, entry), "it is refused")  # type: ignore[misc]
+        wait_until(lambda entry=entry: is_refused(fatal, entry), "it is refused")  # type: ignore[misc]
     return fatal
 
 
-def is_held(fatal: Repeated, entry: int) -> bool:
+def is_refused(fatal: RepeatedRequest, entry: int) -> bool:
     reply = fatal.send(entry)
     return b"request_quarantined" in reply.body
 
 
-class TestHostsThatComeAndGo:
+class TestRestartsAndPartitions:
     """Guards against a quarantine that is lost with a host, a leader or a majority."""
 
     def test_a_restarted_host_refuses_it(self, system: PlatformSystem) -> None:
@@ -329,7 +332,7 @@
         system.entries[1].kill()
         system.entries[1].start()
         wait_until(lambda: system.ready(1), "the host is ready")
-        wait_until(lambda: is_held(fatal, 1), "it is refused")
+        wait_until(lambda: is_refused(fatal, 1), "it is refused")
         assert len(fatal.runs()) <= runs + 1
 
     def test_control_hosts_that_all_restart_learn_of_it(
@@ -348,7 +351,7 @@
         system.entries[2].start()
         wait_until(lambda: system.ready(2), "the host is ready")
         runs = len(fatal.runs())
-        wait_until(lambda: is_held(fatal, 2), "it is refused")
+        wait_until(lambda: is_refused(fatal, 2), "it is refused")
         assert len(fatal.runs()) <= runs + MAX_RUNS_AFTER_CONTACT
 
     def test_it_is_established_without_a_leader(self, system: PlatformSystem) -> None:
@@ -363,7 +366,7 @@
             fatal = quarantined(system, "/unsafe/alone")
             runs = len(fatal.runs())
             for entry in range(ENTRIES):
-                assert is_held(fatal, entry)
+                assert is_refused(fatal, entry)
             assert len(fatal.runs()) == runs
         finally:
             for host in system.controls[1:]:
@@ -436,7 +439,9 @@
         lifted = CliRunner().invoke(main, command)
         assert lifted.exit_code == 0, lifted.output
         for entry in range(ENTRIES):
-            wait_until(lambda entry=entry: not is_held(fatal, entry), "it runs again")  # type: ignore[misc]
+            wait_until(
+                lambda entry=entry: not is_refused(fatal, entry), "it runs again"
+            )  # type: ignore[misc]
 
     def test_fails_if_no_crash_is_known(self, system: PlatformSystem) -> None:
         options = ["--peer-secret", SECRET, "--control", system.seeds[0]]
--- a/tests/forwarding/test_endpoint_holds.py
+++ b/tests/forwarding/test_endpoint_holds.py
@@ -139,7 +139,7 @@
                 wait_used_again(system, later, "/safe/x")
 
 
-class TestWhereAllAreInBackoff:
+class TestAllEndpointsInBackoff:
     """Guards against requests that wait for endpoints while all are in backoff."""
 
     @pytest.mark.parametrize("target", [*PLAIN_ROUTES, STREAM])
@@ -326,7 +326,7 @@
             assert {item.error for item in refused} == {"no_endpoint"}
             assert sorted(item.seconds for item in refused)[-3] < AT_ONCE_SECONDS
 
-    def test_is_used_once_it_has_started_again(self, system: PlatformSystem) -> None:
+    def test_is_used_once_it_has_restarted(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (leaving,):
             leaving.started_at_ms = 1_700_000_000_000
             wait_until(lambda: ask(system, "/safe/x").reply.status == 200, "served")
--- a/tests/forwarding/test_endpoint_limits.py
+++ b/tests/forwarding/test_endpoint_limits.py
@@ -162,7 +162,7 @@
             served = sum(reply.status == 200 for reply in replies)
             assert served > 0.95 * len(replies)
 
-    def test_is_used_where_all_endpoints_have_one(self, system: PlatformSystem) -> None:
+    def test_is_used_up_if_all_endpoints_have_one(self, system: PlatformSystem) -> None:
         with workers(system, 2) as limited:
             system.wait_served("/unsafe/x", method="POST", body=b"p")
             for worker in limited:
@@ -202,7 +202,7 @@
             reached = sum(at > known_from for at in arrivals(limited).at)
             assert reached > 5
 
-    def test_holds_for_a_host_that_starts_again(self, system: PlatformSystem) -> None:
+    def test_holds_across_the_restart_of_a_host(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (limited,):
             system.wait_served("/unsafe/x", method="POST", body=b"p")
             limited.limit = str(LIMIT)
--- a/tests/forwarding/test_engine_reports.py
+++ b/tests/forwarding/test_engine_reports.py
@@ -42,7 +42,7 @@
         return 200, json.dumps({**REPORT, "kvUsed": used}).encode()
 
 
-class TestReportThatIsNotUsable:
+class TestInvalidReport:
     """Guards against a call and a log line per request for an invalid report.
 
     An engine sends its memory use as text in each of its reports. The other engines'
--- a/tests/forwarding/test_leader_contact.py
+++ b/tests/forwarding/test_leader_contact.py
@@ -30,7 +30,7 @@
         """The leader address that other requests get during each call."""
         self.contact: LeaderContact | None = None
 
-    def call_within(self, ask: object, timeout: float) -> str:
+    def call_within(self, rpc: object, timeout: float) -> str:
         assert self.contact is not None
         self.calls += 1
         self.addresses_during_calls.append(self.contact.address())
@@ -66,7 +66,7 @@
     return contact
 
 
-def ask(contact: LeaderContact) -> str | None:
+def call_leader(contact: LeaderContact) -> str | None:
     """Return the leader's answer, None if it is skipped or does not answer."""
     address = contact.address()
     if address is None:
@@ -85,17 +85,17 @@
     def test_is_not_called_for_a_while(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
-        assert ask(contact) is None
+        assert call_leader(contact) is None
         clock.now += PAUSE_SECONDS - 0.1
-        assert ask(contact) is None
+        assert call_leader(contact) is None
         assert peer.calls == 1
 
     def test_is_called_by_one_request_after_the_pause(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
-        ask(contact)
+        call_leader(contact)
         clock.now += PAUSE_SECONDS + 0.1
-        ask(contact)
+        call_leader(contact)
         assert peer.calls == 2
         # During the first call no request knows of the failure; during the second one
         # the other requests skip the leader.
@@ -104,11 +104,11 @@
     def test_is_called_by_all_once_it_has_answered(
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
-        ask(contact)
+        call_leader(contact)
         clock.now += PAUSE_SECONDS + 0.1
         peer.error = None
-        assert ask(contact) == "granted"
-        assert ask(contact) == "granted"
+        assert call_leader(contact) == "granted"
+        assert call_leader(contact) == "granted"
         assert peer.addresses_during_calls[-1] == LEADER
 
 
@@ -119,9 +119,9 @@
         self, contact: LeaderContact, peer: Peer, clock: Clock
     ) -> None:
         peer.error = PeerRefusal("engines_unknown", "No report yet.", "Wait.", 0)
-        ask(contact)
+        call_leader(contact)
         clock.now += PAUSE_SECONDS + 0.1
-        ask(contact)
+        call_leader(contact)
         assert peer.addresses_during_calls == [LEADER, LEADER]
 
 
@@ -149,11 +149,11 @@
 
     def test_is_called_at_once(self, contact: LeaderContact, peer: Peer) -> None:
         peer.error = NotLeader("", "")
-        assert ask(contact) is None
+        assert call_leader(contact) is None
         for sender in (LEADER, "10.0.0.2:7000", "10.0.0.3:7000"):
             report(contact, sender, LEADER, 3)
         peer.error = None
-        assert ask(contact) == "granted"
+        assert call_leader(contact) == "granted"
 
 
 class TestLeaderOutvotedByOlderReports:
@@ -188,13 +188,13 @@
             address=successor, leader_address=successor, leader_term=7
         )
 
-        def ask(_: object, timeout: float) -> str:
+        def call_within(_: object, timeout: float) -> str:
             peer.calls += 1
             if is_elected:
                 contact.take(update)
             raise PeerUnavailableError("No answer.")
 
-        peer.call_within = ask  # type: ignore[assignment]
+        peer.call_within = call_within  # type: ignore[assignment]
         assert contact.call(LEADER, "r", TIMEOUT, lambda _: "granted") is None
         assert peer.calls == (1 if is_elected else 2)
 
