--- a/tests/forwarding/test_crashing_requests.py
+++ b/tests/forwarding/test_crashing_requests.py
@@ -440,8 +440,9 @@
         assert lifted.exit_code == 0, lifted.output
         for entry in range(ENTRIES):
             wait_until(
-                lambda entry=entry: not is_refused(fatal, entry), "it runs again"
-            )  # type: ignore[misc]
+                lambda entry=entry: not is_refused(fatal, entry),  # type: ignore[misc]
+                "it runs again",
+            )
 
     def test_fails_if_no_crash_is_known(self, system: PlatformSystem) -> None:
         options = ["--peer-secret", SECRET, "--control", system.seeds[0]]
