--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -46,9 +46,9 @@
 # How long a request waits for a leader whose answer was late, in seconds: until the
 # leader is called again. The client of a refused request would not retry sooner.
 LATE_LEADER_SECONDS = 1.0
-# The shortest time after which a refused client should retry, in seconds, and the share
-# of the waiting time up to which a random part is added. If all refused clients retried
-# at once, the first ones would use up the limit.
+# The shortest time after which a refused client should retry, in seconds, and the
+# largest random addition as a share of the wait. If all refused clients retried at
+# once, the first ones would use up the limit.
 MIN_RETRY_SECONDS = 0.1
 RETRY_JITTER_SHARE = 0.3
 
