--- a/bench/admission/calls.py
+++ b/bench/admission/calls.py
@@ -101,7 +101,7 @@
             self._asking.append(request_id)
             return
         self.grants += 1
-        self._timed(partial(self.pool.note_read, request_id, 1))
+        self._timed(partial(self.pool.note_prefilled, request_id, 1))
         self._held.append(_Held(request_id, Deadline.after(HELD_SECONDS)))
         self._number += 1
         self._asking.append(f"request-{self._number}")
--- a/bench/admission/measure.py
+++ b/bench/admission/measure.py
@@ -16,7 +16,7 @@
 
 from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._memory_forecast import MemoryOptions
-from jujubeslip.admission._models import Applicant
+from jujubeslip.admission._models import GrantRequest
 from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline, steady_seconds
@@ -47,9 +47,9 @@
     )
 
 
-def applicant(request_id: str) -> Applicant:
+def applicant(request_id: str) -> GrantRequest:
     """Return a request that waits for as long as the burst lasts."""
-    return Applicant(
+    return GrantRequest(
         request_id,
         1,
         PROMPT_TOKENS,
@@ -110,7 +110,7 @@
                 asking = applicant(request_id)
                 decision = self.pool.ask(asking, (), Deadline.after(0.2))
             self.delays.append(steady_seconds() - self._room_at)
-            self.pool.note_read(request_id, 1)
+            self.pool.note_prefilled(request_id, 1)
             self.pool.end(request_id, 1)
 
     def run(self, seconds: float) -> None:
--- a/bench/replay/_play.py
+++ b/bench/replay/_play.py
@@ -15,11 +15,11 @@
 from bench.replay._patterns import Loss, Pattern, Workload
 from bench.replay._roles import ReplayedRoles
 from jujubeslip.admission import MemoryOptions, WaitingOptions, lengths_of
-from jujubeslip.admission._models import Applicant, Grant
+from jujubeslip.admission._models import Grant, GrantRequest
 from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
-from jujubeslip.forwarding._pressure import WAITED_SECONDS
-from jujubeslip.forwarding._return_times import return_seconds
+from jujubeslip.forwarding._pressure import MIN_WAIT_SECONDS
+from jujubeslip.forwarding._return_times import retry_after_seconds
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineReport
@@ -44,7 +44,7 @@
 class Ways:
     """What a play decides by."""
 
-    memory: MemoryOptions = MemoryOptions(margin=0.05, caution=1.5)
+    memory: MemoryOptions = MemoryOptions(margin=0.05, safety_deviations=1.5)
     waiting: WaitingOptions = WaitingOptions()
 
 
@@ -369,7 +369,7 @@
             self.outcome.unserved += 1
             self._pool.end(request.request_id, request.attempt)
             return
-        applicant = Applicant(
+        applicant = GrantRequest(
             request.request_id,
             request.attempt,
             request.prompt_tokens,
@@ -386,7 +386,7 @@
         is_decided = decision.grant is not None or decision.refused
         if self._roles is not None and is_decided:
             waited = self._clock.now - request.asked_at
-            self._roles.note_wait(waited if decision.grant else WAITED_SECONDS)
+            self._roles.note_wait(waited if decision.grant else MIN_WAIT_SECONDS)
         if decision.grant is not None:
             self._send(request, decision.grant)
         elif decision.refused:
@@ -399,17 +399,17 @@
         if request.came_back:
             self.outcome.unserved += 1
             return
-        back_at = self._clock.now + return_seconds(forecast, self._draw.random())
+        back_at = self._clock.now + retry_after_seconds(forecast, self._draw.random())
         back = replace(
             request, came_back=True, asked_at=back_at, attempt=1, reads_itself=False
         )
         self._at(back_at, lambda: self._arrive(back))
 
     def _send(self, request: _Request, grant: Grant) -> None:
-        if grant.reader is None:
+        if grant.prefill_engine is None:
             self._begin(request, grant, True)
             return
-        reader = self._reading.get(grant.reader.start_id)
+        reader = self._reading.get(grant.prefill_engine.start_id)
         if reader is None or reader.lost_until > self._clock.now:
             self._again(request, reads_itself=False)
             return
@@ -421,7 +421,7 @@
     def _begin(self, request: _Request, grant: Grant, reads_itself: bool) -> None:
         engine = self._answering.get(grant.endpoint.start_id)
         if not reads_itself:
-            self._pool.note_read(request.request_id, request.attempt)
+            self._pool.note_prefilled(request.request_id, request.attempt)
         answer = Answer(
             request.request_id,
             request.prompt_tokens,
--- a/bench/replay/_roles.py
+++ b/bench/replay/_roles.py
@@ -9,13 +9,13 @@
 
 from returns.result import Result, Success
 
-from jujubeslip.admission._home import REPORTS_NOW_SECONDS
+from jujubeslip.admission._home import RECENT_REPORT_SECONDS
 from jujubeslip.admission._pool import EnginePool
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._engine_table import EngineTable
-from jujubeslip.control._given_orders import GivenOrders
+from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
-from jujubeslip.control._roles import RoleKeeper
+from jujubeslip.control._roles import RoleManager
 from jujubeslip.discovery import Endpoint
 from jujubeslip.forwarding._pressure import Pressures
 from jujubeslip.interfaces import EndpointQuestion, RoleOrder
@@ -48,7 +48,7 @@
         self._asked = ""
         self._ordered: RoleOrder | None = None
         self._engine_table = EngineTable()
-        self._engine_table.note_loads(EngineLoads([]), 0)
+        self._engine_table.set_loads(EngineLoads([]), 0)
         self._term = 1
         self._keeper = self._new_keeper()
 
@@ -59,9 +59,9 @@
 
     def _commit(self, command: EngineOrder | EngineLoads) -> None:
         if isinstance(command, EngineOrder):
-            self._engine_table.note_order(command, _stamp_ms())
+            self._engine_table.add_order(command, _stamp_ms())
         else:
-            self._engine_table.note_loads(command, _stamp_ms())
+            self._engine_table.set_loads(command, _stamp_ms())
 
     def _new_keeper(self) -> _Keeper:
         pool = self._pool
@@ -91,12 +91,12 @@
             interface,
             ControlSettings.order_lease_ms / 1000,
             lambda: {SERVICE_NAME},
-            GivenOrders(),
-            lambda _: pool.busy_readers,
+            OutstandingOrders(),
+            lambda _: pool.busy_prefill_engines,
             lambda: None,
             lambda _: pool.use,
-            reports_now=lambda engine: pool.reported_within(
-                engine.start_id, REPORTS_NOW_SECONDS
+            has_recent_report=lambda engine: pool.reported_within(
+                engine.start_id, RECENT_REPORT_SECONDS
             ),
             answer_count=lambda engine: pool.answer_count(engine.start_id),
         )
@@ -106,7 +106,7 @@
     def look(self, engines: Sequence[Endpoint], may_order: bool) -> None:
         """Order engines to change, if that is allowed now."""
         self._engines, self._may_order = engines, may_order
-        self._keeper.look()
+        self._keeper.scan()
 
     def note_wait(self, seconds: float) -> None:
         """Note how long a request waited for a grant, found or not."""
@@ -125,7 +125,7 @@
         return [engine for engine in self._engines if engine.role is role]
 
     def _pressure(self, _: str) -> ServicePressure:
-        told = self._pressures.told()
+        told = self._pressures.report()
         return told[0] if told else ServicePressure(SERVICE_NAME, 0, 0)
 
     def _note_asked(self, name: str) -> None:
@@ -151,7 +151,7 @@
     return int(steady_seconds() * 1000)
 
 
-class _Keeper(RoleKeeper):
+class _Keeper(RoleManager):
     """Gives its orders to the engines of the replay, without a connection."""
 
     answer: Callable[[], tuple[int, bytes]]
--- a/src/jujubeslip/admission/__init__.py
+++ b/src/jujubeslip/admission/__init__.py
@@ -15,7 +15,7 @@
 )
 from jujubeslip.admission._models import EngineNeed, EngineUse, WaitingOptions
 from jujubeslip.admission._urgency import urgency
-from jujubeslip.admission._vain_waits import waits_in_vain
+from jujubeslip.admission._vain_waits import is_wait_unservable
 
 __all__ = [
     "AdmissionHome",
@@ -29,5 +29,5 @@
     "growth_of",
     "lengths_of",
     "urgency",
-    "waits_in_vain",
+    "is_wait_unservable",
 ]
--- a/src/jujubeslip/admission/_engine_demand.py
+++ b/src/jujubeslip/admission/_engine_demand.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._memory_forecast import MemoryOptions
-from jujubeslip.admission._models import Applicant, EngineNeed, EngineUse
+from jujubeslip.admission._models import EngineNeed, EngineUse, GrantRequest
 from jujubeslip.admission._prompt_demand import PromptDemand
 from jujubeslip.admission._prompt_queue import INITIAL_TOKENS_PER_SECOND
 from jujubeslip.admission._request_needs import RequestNeeds
@@ -23,14 +23,14 @@
         self._requested = PromptDemand()
         self._granted = PromptDemand()
         self._needs = RequestNeeds()
-        self._latest_granted: Applicant | None = None
+        self._latest_granted: GrantRequest | None = None
         self._latest_reporting_engine: EngineMemory | None = None
 
     def note_report(self, engine: EngineMemory) -> None:
         """Note the decode engine that reported last."""
         self._latest_reporting_engine = engine
 
-    def note_requested(self, grant_request: Applicant) -> None:
+    def note_requested(self, grant_request: GrantRequest) -> None:
         """Note a request that asks for a grant."""
         if grant_request.reads_itself:
             return
@@ -40,14 +40,14 @@
         if is_new and engine is not None and engine.usable:
             self._needs.note(self._need_of(grant_request, engine))
 
-    def note_granted(self, grant_request: Applicant, now: float) -> None:
+    def note_granted(self, grant_request: GrantRequest, now: float) -> None:
         """Note a request that was granted at this time of the steady clock."""
         self._latest_granted = grant_request
         granted_id = f"{grant_request.request_id}/{grant_request.attempt}"
         self._granted.note(granted_id, grant_request.prompt_tokens, now)
 
     @property
-    def busy_readers(self) -> float:
+    def busy_prefill_engines(self) -> float:
         """Return how many prefill engines the recently requested prompts keep busy.
 
         Computed from the requested tokens and the measured prefill speed. The measured
@@ -61,18 +61,18 @@
 
         A decode engine counts as busy by the share of its memory at the expected peak.
         """
-        usual_need = self._needs.mean
+        mean_need = self._needs.mean
         if self._latest_granted is None:
-            return EngineUse(0.0, 0.0, usual_need)
+            return EngineUse(0.0, 0.0, mean_need)
         tokens = self._granted.tokens_per_second(steady_seconds())
         busy_decode_engines = sum(
             self._busy_share(engine, self._latest_granted)
             for engine in engines
             if engine.usable
         )
-        return EngineUse(tokens / self.prefill_speed, busy_decode_engines, usual_need)
+        return EngineUse(tokens / self.prefill_speed, busy_decode_engines, mean_need)
 
-    def _need_of(self, grant_request: Applicant, engine: EngineMemory) -> EngineNeed:
+    def _need_of(self, grant_request: GrantRequest, engine: EngineMemory) -> EngineNeed:
         """Return the expected need of a request at engines like this one."""
         events = grant_request.lengths.mean
         grown_by = events * grant_request.event_tokens
@@ -84,8 +84,8 @@
             memory_share * events / max(1.0, engine.event_rate),
         )
 
-    def _busy_share(self, engine: EngineMemory, new_request: Applicant) -> float:
-        peak = engine.profile(new_request).peak(self._options.caution)
+    def _busy_share(self, engine: EngineMemory, new_request: GrantRequest) -> float:
+        peak = engine.profile(new_request).peak(self._options.safety_deviations)
         return peak / self._limit(engine)
 
     def _limit(self, engine: EngineMemory) -> float:
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -12,7 +12,7 @@
     MemoryProfile,
     profile_of,
 )
-from jujubeslip.admission._models import USABLE_SECONDS, Applicant, GrantedRequest
+from jujubeslip.admission._models import USABLE_SECONDS, GrantedRequest, GrantRequest
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import EngineReport, RunningAnswer
@@ -139,10 +139,10 @@
         self._decode_start_by_id.pop(request_id, None)
         self._granted_by_id[request_id] = granted_request
         self._profile_by_key.clear()
-        if granted_request.grant.reader is None:
+        if granted_request.grant.prefill_engine is None:
             self._prefilling.add(request_id)
 
-    def note_read(self, request_id: str, attempt: int) -> None:
+    def note_prefilled(self, request_id: str, attempt: int) -> None:
         """Note that the prompt of this attempt of a request has been prefilled."""
         if self.find(request_id, attempt) is not None:
             self._decode_start_by_id.setdefault(request_id, steady_seconds())
@@ -170,7 +170,7 @@
         self._ended_at_by_id[request_id] = steady_seconds()
         self._profile_by_key.clear()
 
-    def profile(self, new_request: Applicant) -> MemoryProfile:
+    def profile(self, new_request: GrantRequest) -> MemoryProfile:
         """Return how the memory of its answers grows, without the new request.
 
         The profile is cached until an answer begins or ends here or the engine reports:
@@ -189,7 +189,7 @@
         running = _request_ids(self._report.running if self._report else ())
         return len((running | self._granted_by_id.keys()) - self._ended_at_by_id.keys())
 
-    def answers(self, new_request: Applicant) -> list[GrowingAnswer]:
+    def answers(self, new_request: GrantRequest) -> list[GrowingAnswer]:
         """Return the answers that the engine decodes or is about to decode.
 
         A request that another host granted is assumed to be like the new request.
@@ -211,7 +211,7 @@
         return answers + unreported
 
     def _reported_answer(
-        self, item: RunningAnswer, since_state: float, new_request: Applicant
+        self, item: RunningAnswer, since_state: float, new_request: GrantRequest
     ) -> GrowingAnswer:
         granted_request = self._granted_by_id.get(item.request_id)
         if granted_request is None:
--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_engines.py
@@ -12,10 +12,10 @@
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._memory_forecast import MemoryOptions, MemoryProfile
 from jujubeslip.admission._models import (
-    Applicant,
     EngineUse,
     Grant,
     GrantedRequest,
+    GrantRequest,
     MissingResource,
 )
 from jujubeslip.admission._prompt_queue import PrefillQueue
@@ -27,7 +27,7 @@
 from jujubeslip.routes import EngineReport
 
 T = TypeVar("T", EngineMemory, PrefillQueue)
-MayPrefill = Callable[[EngineMemory, Applicant], bool]
+MayPrefill = Callable[[EngineMemory, GrantRequest], bool]
 
 # How much fuller an engine in the entry host's own availability zone may be than one
 # in another zone, as a share of its memory. When a zone is cut off, the answers that
@@ -116,16 +116,16 @@
         return engine.answer_count if engine is not None else 0
 
     @property
-    def busy_readers(self) -> float:
+    def busy_prefill_engines(self) -> float:
         """Return how many prefill engines the recently requested prompts keep busy."""
-        return self._demand.busy_readers
+        return self._demand.busy_prefill_engines
 
     @property
     def use(self) -> EngineUse:
         """Return how many engines the recently granted requests keep busy."""
         return self._demand.use_of(self._engine_by_start.values())
 
-    def note_requested(self, grant_request: Applicant) -> None:
+    def note_requested(self, grant_request: GrantRequest) -> None:
         """Note a request that asks for a grant."""
         self._demand.note_requested(grant_request)
 
@@ -143,19 +143,21 @@
         """Say whether the state of any engine is recent enough to grant requests."""
         return any(engine.usable for engine in self._engine_by_start.values())
 
-    def admit(self, grant_request: Applicant, grant: Grant) -> None:
+    def admit(self, grant_request: GrantRequest, grant: Grant) -> None:
         """Note that a request was given a grant."""
         now = steady_seconds()
         self._demand.note_granted(grant_request, now)
         granted_request = GrantedRequest(grant_request, grant, now)
         self._engine_by_start[grant.endpoint.start_id].admit(granted_request)
-        if grant.reader is not None:
-            self._prefill_queue_by_start[grant.reader.start_id].add(grant_request)
+        if grant.prefill_engine is not None:
+            self._prefill_queue_by_start[grant.prefill_engine.start_id].add(
+                grant_request
+            )
         self._grant_by_key[
             _GrantKey(grant_request.request_id, grant_request.attempt)
         ] = grant
 
-    def existing_grant(self, grant_request: Applicant) -> Grant | None:
+    def existing_grant(self, grant_request: GrantRequest) -> Grant | None:
         """Return the grant of a request whose host asks again after a lost reply."""
         grant = self._grant_by_key.get(
             _GrantKey(grant_request.request_id, grant_request.attempt)
@@ -166,23 +168,23 @@
         held = engine and engine.find(grant_request.request_id, grant_request.attempt)
         return grant if held else None
 
-    def note_read(self, request_id: str, attempt: int) -> None:
+    def note_prefilled(self, request_id: str, attempt: int) -> None:
         """Note that a prompt was prefilled, or won't be at the engine of its grant."""
         grant = self._grant_by_key.get(_GrantKey(request_id, attempt))
         if grant is None:
             return
         engine = self._engine_by_start.get(grant.endpoint.start_id)
         if engine is not None:
-            engine.note_read(request_id, attempt)
-        if grant.reader is None:
+            engine.note_prefilled(request_id, attempt)
+        if grant.prefill_engine is None:
             return
-        prefill_queue = self._prefill_queue_by_start.get(grant.reader.start_id)
+        prefill_queue = self._prefill_queue_by_start.get(grant.prefill_engine.start_id)
         if prefill_queue is not None:
-            prefill_queue.note_read(request_id, attempt)
+            prefill_queue.note_prefilled(request_id, attempt)
 
     def end(self, request_id: str, attempt: int) -> None:
         """Note that a request has ended, or will not be sent."""
-        self.note_read(request_id, attempt)
+        self.note_prefilled(request_id, attempt)
         grant = self._grant_by_key.pop(_GrantKey(request_id, attempt), None)
         if grant is None:
             return
@@ -227,7 +229,7 @@
             return found
         return replace(
             found,
-            reader=prefill_queue.endpoint,
+            prefill_engine=prefill_queue.endpoint,
             prefill_seconds=prefill_queue.seconds_for(grant_request.prompt_tokens),
         )
 
@@ -301,7 +303,7 @@
                 yield engine
 
     def _may_prefill_after_pause(
-        self, engine: EngineMemory, grant_request: Applicant
+        self, engine: EngineMemory, grant_request: GrantRequest
     ) -> bool:
         """Say whether the engine may prefill the prompt while prefill engines are busy.
 
@@ -312,7 +314,7 @@
             engine, grant_request
         )
 
-    def _may_prefill(self, engine: EngineMemory, grant_request: Applicant) -> bool:
+    def _may_prefill(self, engine: EngineMemory, grant_request: GrantRequest) -> bool:
         """Say whether the decode engine may prefill the prompt beside its answers.
 
         It prefills one prompt at a time and none that takes too long. Otherwise its
@@ -331,7 +333,7 @@
         capacity = max(1, engine.capacity_tokens)
         limit = (1 - self._options.margin) * capacity
         own_profile = search.own_profile(profile.longest)
-        peak = profile.peak_with(own_profile, self._options.caution, limit)
+        peak = profile.peak_with(own_profile, self._options.safety_deviations, limit)
         if peak is None:
             return None
         return Grant(engine.endpoint, peak / capacity, int(engine.report_age * 1000))
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -43,7 +43,7 @@
 RETRY_SECONDS = 0.05
 # An engine may have crashed if its last report is older than this, in seconds: two of
 # its reports are missing.
-REPORTS_NOW_SECONDS = 0.55
+RECENT_REPORT_SECONDS = 0.55
 # Engines are polled for reports only if a request came within this time, in seconds.
 ACTIVE_SECONDS = 5.0
 # Upper bound for the wait of a call, in seconds, whatever its host asks for: each
@@ -144,11 +144,11 @@
                     if was_waiting and self._charges is not None:
                         self._charges.give_back(update.request_id)
                 else:
-                    pool.note_read(update.request_id, update.attempt)
+                    pool.note_prefilled(update.request_id, update.attempt)
 
-    def busy_readers(self, service_name: str) -> float:
+    def busy_prefill_engines(self, service_name: str) -> float:
         """Return how many prefill engines a service's recent prompts keep busy."""
-        return self._pool(service_name).busy_readers
+        return self._pool(service_name).busy_prefill_engines
 
     def engine_use(self, service_name: str) -> EngineUse:
         """Return how many engines a service's recently granted requests keep busy."""
@@ -158,10 +158,10 @@
         """Return how many answers an engine is decoding, 0 if it is unknown."""
         return self._pool(engine.service_name).answer_count(engine.start_id)
 
-    def reports_now(self, engine: Endpoint) -> bool:
+    def has_recent_report(self, engine: Endpoint) -> bool:
         """Say whether an engine has recently replied to a poll for its report."""
         pool = self._pool(engine.service_name)
-        return pool.reported_within(engine.start_id, REPORTS_NOW_SECONDS)
+        return pool.reported_within(engine.start_id, RECENT_REPORT_SECONDS)
 
     def look(self) -> None:
         """Update the set of polled engines; poll none unless this host is in use."""
@@ -267,10 +267,10 @@
             extra["lacked"] = decision.missing_resource
             logger.info("no grant at an engine", extra=extra)
             return
-        reader = decision.grant.reader
+        prefill_engine = decision.grant.prefill_engine
         extra["endpoint_id"] = decision.grant.endpoint.endpoint_id
         extra["started_at_ms"] = decision.grant.endpoint.started_at_ms
-        extra["reader_id"] = reader.endpoint_id if reader else ""
+        extra["reader_id"] = prefill_engine.endpoint_id if prefill_engine else ""
         extra["fill"] = round(decision.grant.fill, 3)
         extra["report_age_ms"] = decision.grant.report_age_ms
         logger.info("grant at an engine", extra=extra)
@@ -284,7 +284,7 @@
             AdmissionStatus.ADMITTED,
             grant.endpoint.start_id,
             forecast_ms,
-            grant.reader.start_id if grant.reader else "",
+            grant.prefill_engine.start_id if grant.prefill_engine else "",
             int(grant.prefill_seconds * 1000),
         )
     refused = decision.refused
--- a/src/jujubeslip/admission/_memory_forecast.py
+++ b/src/jujubeslip/admission/_memory_forecast.py
@@ -40,7 +40,7 @@
 
     margin: float
     """Share of the engine's memory that is left free."""
-    caution: float
+    safety_deviations: float
     """Standard deviations above the expected memory use that have to fit."""
 
 
@@ -52,13 +52,15 @@
     maximum: float
     """Tokens in use if every answer that may still run does so."""
 
-    def with_deviations(self, caution: float) -> float:
-        """Return the mean use in tokens plus `caution` standard deviations.
+    def with_deviations(self, safety_deviations: float) -> float:
+        """Return the mean use in tokens plus `safety_deviations` standard deviations.
 
         The result is limited to what all answers use together: if nearly all of them
         still run, the mean plus some deviations would exceed that.
         """
-        return min(self.maximum, self.mean + caution * math.sqrt(self.variance))
+        return min(
+            self.maximum, self.mean + safety_deviations * math.sqrt(self.variance)
+        )
 
 
 @dataclass(frozen=True)
@@ -75,12 +77,14 @@
         """Return the expected tokens in use at the first point, which is now."""
         return self.points[0].mean
 
-    def peak(self, caution: float) -> float:
-        """Return the peak use in tokens, with `caution` as safety margin."""
-        return max(expected.with_deviations(caution) for expected in self.points)
+    def peak(self, safety_deviations: float) -> float:
+        """Return the peak use in tokens, with `safety_deviations` as safety margin."""
+        return max(
+            expected.with_deviations(safety_deviations) for expected in self.points
+        )
 
     def peak_with(
-        self, other: MemoryProfile, caution: float, limit: float
+        self, other: MemoryProfile, safety_deviations: float, limit: float
     ) -> float | None:
         """Return the joint peak with other answers, whose points are the same.
 
@@ -91,7 +95,11 @@
         for point, added_point in zip(self.points, other.points, strict=True):
             mean, variance, maximum = point
             added_mean, added_variance, added_maximum = added_point
-            tokens = mean + added_mean + caution * math.sqrt(variance + added_variance)
+            tokens = (
+                mean
+                + added_mean
+                + safety_deviations * math.sqrt(variance + added_variance)
+            )
             if tokens > maximum + added_maximum:
                 tokens = maximum + added_maximum
             if tokens > limit:
@@ -116,9 +124,11 @@
     return MemoryProfile(len(answers), longest, sums.expected())
 
 
-def forecast_peak(answers: Sequence[GrowingAnswer], caution: float = 0.0) -> float:
-    """Return the peak use in tokens, with `caution` as safety margin."""
-    return profile_of(answers).peak(caution)
+def forecast_peak(
+    answers: Sequence[GrowingAnswer], safety_deviations: float = 0.0
+) -> float:
+    """Return the peak use in tokens, with `safety_deviations` as safety margin."""
+    return profile_of(answers).peak(safety_deviations)
 
 
 def growth_of(
@@ -139,7 +149,7 @@
     ]
     answers.append(GrowingAnswer(prompt_tokens, 0, event_tokens, lengths))
     now = sum(answer.memory_tokens for answer in answers)
-    peak = forecast_peak(answers, options.caution)
+    peak = forecast_peak(answers, options.safety_deviations)
     margin = options.margin * report.capacity_tokens
     return max(1, int(peak - now + margin))
 
--- a/src/jujubeslip/admission/_models.py
+++ b/src/jujubeslip/admission/_models.py
@@ -26,7 +26,7 @@
     Meanwhile small requests use the memory that is too little for it. Without a limit,
     a large request would never get enough memory.
     """
-    reader_seconds: float = math.inf
+    prefill_wait_seconds: float = math.inf
     """How long a prompt waits for a prefill engine before a decode engine may take it.
 
     In seconds. The decode engine's other answers pause during the prefill.
@@ -40,8 +40,8 @@
 class EngineNeed:
     """The need of one request in each role, in seconds of a whole engine."""
 
-    reading_seconds: float
-    answering_seconds: float
+    prefill_seconds: float
+    decode_seconds: float
     """Duration of its answer, times the share of the engine's memory that it holds."""
 
 
@@ -51,7 +51,7 @@
 
     reading: float
     answering: float
-    usual_need: EngineNeed | None = None
+    mean_need: EngineNeed | None = None
     """Mean expected need of a request, None before enough requests have arrived."""
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Applicant:
+class GrantRequest:
     """A request that needs a grant at an engine."""
 
     request_id: str
@@ -98,7 +98,7 @@
     """Share of the engine's memory that its answers use at the expected peak."""
     report_age_ms: int
     """Age of the engine's report at the time of the decision."""
-    reader: Endpoint | None = None
+    prefill_engine: Endpoint | None = None
     """The engine that prefills the prompt, None if the decode engine does."""
     prefill_seconds: float = 0.0
     """Expected time until the prompt is prefilled."""
@@ -108,15 +108,15 @@
 class GrantedRequest:
     """A request together with its grant."""
 
-    grant_request: Applicant
+    grant_request: GrantRequest
     grant: Grant
     since: float
     """Time of the grant, by the steady clock in seconds."""
 
 
-def grant_request_of(request: AdmissionRequest) -> Applicant:
+def grant_request_of(request: AdmissionRequest) -> GrantRequest:
     """Return the grant request of an entry host's admission call."""
-    return Applicant(
+    return GrantRequest(
         request.request_id,
         request.attempt,
         request.prompt_tokens,
--- a/src/jujubeslip/admission/_pool.py
+++ b/src/jujubeslip/admission/_pool.py
@@ -12,15 +12,15 @@
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import (
     DEFAULT_WAITING,
-    Applicant,
     EngineUse,
     Grant,
+    GrantRequest,
     MissingResource,
     WaitingOptions,
 )
 from jujubeslip.admission._order import QueueEntry, WaitingQueue
 from jujubeslip.admission._room_search import CapacitySearch
-from jujubeslip.admission._vain_waits import waits_in_vain
+from jujubeslip.admission._vain_waits import is_wait_unservable
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.routes import EngineReport
@@ -56,7 +56,7 @@
 
 @dataclass
 class _WaitingRequest:
-    grant_request: Applicant
+    grant_request: GrantRequest
     search: CapacitySearch
     since: float
     last_asked_at: float
@@ -163,10 +163,10 @@
             return self._engines.answer_count(start_id)
 
     @property
-    def busy_readers(self) -> float:
+    def busy_prefill_engines(self) -> float:
         """Return how many prefill engines the recently requested prompts keep busy."""
         with self._lock:
-            return self._engines.busy_readers
+            return self._engines.busy_prefill_engines
 
     @property
     def use(self) -> EngineUse:
@@ -177,7 +177,7 @@
     # Requests
 
     def ask(
-        self, grant_request: Applicant, avoided: Collection[str], until: Deadline
+        self, grant_request: GrantRequest, avoided: Collection[str], until: Deadline
     ) -> Decision:
         """Wait for a decision about the request, until the deadline at most."""
         with self._lock:
@@ -202,10 +202,10 @@
                 waiting.open_calls -= 1
                 waiting.last_asked_at = steady_seconds()
 
-    def note_read(self, request_id: str, attempt: int) -> None:
+    def note_prefilled(self, request_id: str, attempt: int) -> None:
         """Note that a prompt was prefilled, or won't be at the engine of its grant."""
         with self._lock:
-            self._engines.note_read(request_id, attempt)
+            self._engines.note_prefilled(request_id, attempt)
             self._grant_waiting()
 
     def end(self, request_id: str, attempt: int) -> bool:
@@ -226,7 +226,7 @@
 
     # Waiting requests; the caller of each method holds the lock.
 
-    def _end_earlier_attempt(self, grant_request: Applicant) -> None:
+    def _end_earlier_attempt(self, grant_request: GrantRequest) -> None:
         waiting = self._waiting_by_id.get(grant_request.request_id)
         if (
             waiting is not None
@@ -235,7 +235,7 @@
             self._refuse(waiting)
 
     def _update_target(
-        self, waiting: _WaitingRequest, grant_request: Applicant
+        self, waiting: _WaitingRequest, grant_request: GrantRequest
     ) -> None:
         """Reorder a request whose host now states a later target than before.
 
@@ -251,14 +251,14 @@
         self._queue.add(waiting.entry)
 
     def _enqueue(
-        self, grant_request: Applicant, avoided: Collection[str]
+        self, grant_request: GrantRequest, avoided: Collection[str]
     ) -> _WaitingRequest:
         """Add a request to the queue."""
         now = steady_seconds()
         if not self._waiting_by_id:
             self._busy_since = now
         forecast = self._forecast(grant_request, now)
-        is_unservable = waits_in_vain(forecast, grant_request.limit.remaining())
+        is_unservable = is_wait_unservable(forecast, grant_request.limit.remaining())
         search = CapacitySearch(grant_request, avoided)
         waiting = _WaitingRequest(
             grant_request, search, now, now, forecast, is_unservable
@@ -267,7 +267,7 @@
         self._queue.add(waiting.entry)
         return waiting
 
-    def _forecast(self, grant_request: Applicant, now: float) -> float:
+    def _forecast(self, grant_request: GrantRequest, now: float) -> float:
         entry = QueueEntry(grant_request.target_by.instant, grant_request.request_id)
         return (self._queue.count_ahead(entry, now) + 1) * self._interval
 
@@ -285,7 +285,9 @@
                 or waiting.prompt_tokens >= too_large
             ):
                 continue
-            may_use_decode_engine = now - waiting.since >= self._options.reader_seconds
+            may_use_decode_engine = (
+                now - waiting.since >= self._options.prefill_wait_seconds
+            )
             grant = self._engines.find_grant(
                 waiting.search, prefill_candidates, may_use_decode_engine
             )
--- a/src/jujubeslip/admission/_prompt_queue.py
+++ b/src/jujubeslip/admission/_prompt_queue.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from jujubeslip.admission._contact import EngineReachability
-from jujubeslip.admission._models import USABLE_SECONDS, Applicant
+from jujubeslip.admission._models import USABLE_SECONDS, GrantRequest
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import EngineReport
@@ -102,7 +102,7 @@
         self._accepts_prompts = report.reads_prompts and not report.busy
         self._remove_lost()
 
-    def add(self, grant_request: Applicant) -> None:
+    def add(self, grant_request: GrantRequest) -> None:
         """Add a prompt that is assigned to the engine."""
         now = steady_seconds()
         if not self._assigned_by_request:
@@ -113,7 +113,7 @@
         )
         self._assigned_tokens += grant_request.prompt_tokens
 
-    def note_read(
+    def note_prefilled(
         self, request_id: str, attempt: int, updates_speed: bool = True
     ) -> None:
         """Note that the prompt of this attempt was prefilled, or won't be.
@@ -145,4 +145,4 @@
         oldest = steady_seconds() - LOST_PROMPT_SECONDS
         for request_id, assigned in list(self._assigned_by_request.items()):
             if assigned.assigned_at < oldest:
-                self.note_read(request_id, assigned.attempt, updates_speed=False)
+                self.note_prefilled(request_id, assigned.attempt, updates_speed=False)
--- a/src/jujubeslip/admission/_request_needs.py
+++ b/src/jujubeslip/admission/_request_needs.py
@@ -35,6 +35,6 @@
         if count < MINIMUM_REQUESTS:
             return None
         return EngineNeed(
-            sum(need.reading_seconds for need in self._latest) / count,
-            sum(need.answering_seconds for need in self._latest) / count,
+            sum(need.prefill_seconds for need in self._latest) / count,
+            sum(need.decode_seconds for need in self._latest) / count,
         )
--- a/src/jujubeslip/admission/_room_search.py
+++ b/src/jujubeslip/admission/_room_search.py
@@ -9,13 +9,13 @@
     MemoryProfile,
     profile_of,
 )
-from jujubeslip.admission._models import Applicant, MissingResource
+from jujubeslip.admission._models import GrantRequest, MissingResource
 
 
 class CapacitySearch:
     """The search for capacity for one request, over all its tries."""
 
-    def __init__(self, grant_request: Applicant, avoided: Collection[str]) -> None:
+    def __init__(self, grant_request: GrantRequest, avoided: Collection[str]) -> None:
         self.grant_request = grant_request
         self.avoided = frozenset(avoided)
         """Starts of engines that the request must not be granted."""
--- a/src/jujubeslip/admission/_vain_waits.py
+++ b/src/jujubeslip/admission/_vain_waits.py
@@ -14,6 +14,6 @@
 CERTAIN_TIMES = 3.0
 
 
-def waits_in_vain(forecast: float, limit: float) -> bool:
+def is_wait_unservable(forecast: float, limit: float) -> bool:
     """Say whether to refuse a request at once that may wait `limit` seconds."""
     return forecast > CERTAIN_TIMES * max(0.0, limit)
--- a/src/jujubeslip/control/_claims.py
+++ b/src/jujubeslip/control/_claims.py
@@ -159,7 +159,7 @@
         )
         return KeyReply(KeyStatus.FIRST, claim.request_id, claim.owner, None)
 
-    def pass_time(self, from_ms: int, to_ms: int) -> None:
+    def advance_time(self, from_ms: int, to_ms: int) -> None:
         """Remove the expired claims at each full interval of log time.
 
         All replicas do so at the same entry, since the removal affects which outcomes
--- a/src/jujubeslip/control/_engine_table.py
+++ b/src/jujubeslip/control/_engine_table.py
@@ -13,7 +13,7 @@
 # How long an order may take to be carried out, in seconds: an engine that did not
 # respond may still carry it out up to twelve seconds later.
 ORDER_EXPIRY_SECONDS = 13.0
-ORDER_MS = int(ORDER_EXPIRY_SECONDS * 1000)
+ORDER_EXPIRY_MS = int(ORDER_EXPIRY_SECONDS * 1000)
 
 
 class EngineTable:
@@ -29,7 +29,7 @@
         self.since_ms: int | None = None
         """Log time of the first entry; None while no leader has recorded any."""
 
-    def note_order(self, order: EngineOrder, stamp_ms: int) -> None:
+    def add_order(self, order: EngineOrder, stamp_ms: int) -> None:
         """Add an order given at this log time, and remove the expired ones."""
         self._record_start(stamp_ms)
         pending = self.orders_at(stamp_ms)
@@ -41,10 +41,10 @@
         return [
             record
             for record in self._record_by_start.values()
-            if stamp_ms < record.stamp_ms + ORDER_MS
+            if stamp_ms < record.stamp_ms + ORDER_EXPIRY_MS
         ]
 
-    def note_loads(self, reported: EngineLoads, stamp_ms: int) -> None:
+    def set_loads(self, reported: EngineLoads, stamp_ms: int) -> None:
         """Replace the loads of all services."""
         self._record_start(stamp_ms)
         self._load_by_service = {load.service_name: load for load in reported.loads}
--- a/src/jujubeslip/control/_gateway.py
+++ b/src/jujubeslip/control/_gateway.py
@@ -59,7 +59,7 @@
         if endpoint.leaving:
             self._confirm(version, Removal.of_start(endpoint))
         elif not self._is_staying(endpoint.endpoint_id):
-            self._watches.wait_until_told(version, Deadline.after(CONFIRM_SECONDS))
+            self._watches.wait_until_confirmed(version, Deadline.after(CONFIRM_SECONDS))
 
     def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> None:
         """See ControlGateway."""
@@ -78,4 +78,4 @@
         """
         confirmed_by = Deadline.after(CONFIRM_SECONDS)
         self._record_removal(removal, Deadline.after(LEADER_TIMEOUT_SECONDS))
-        self._watches.wait_until_told(version, confirmed_by)
+        self._watches.wait_until_confirmed(version, confirmed_by)
--- a/src/jujubeslip/control/_given_orders.py
+++ b/src/jujubeslip/control/_given_orders.py
@@ -21,7 +21,7 @@
     """Until then the order stays, whichever role its engine announces."""
 
 
-class GivenOrders:
+class OutstandingOrders:
     """The roles that engines were recently ordered to take, by start id.
 
     An engine's reports show a change about a second after it has begun. Prompts that
--- a/src/jujubeslip/control/_machine.py
+++ b/src/jujubeslip/control/_machine.py
@@ -54,7 +54,7 @@
     def apply(self, entry: LogEntry) -> Outcome:
         """Apply one committed entry and return its outcome for the proposer."""
         now_ms = max(self.stamp_ms, entry.stamp_ms)
-        self.claims.pass_time(self.stamp_ms, now_ms)
+        self.claims.advance_time(self.stamp_ms, now_ms)
         self.stamp_ms = now_ms
         return self._apply(command_of(entry))
 
@@ -91,17 +91,17 @@
 
     @_apply.register(EngineOrder)
     def _(self, command: EngineOrder) -> Outcome:
-        self.engines.note_order(command, self.stamp_ms)
+        self.engines.add_order(command, self.stamp_ms)
         return None
 
     @_apply.register(EngineLoads)
     def _(self, command: EngineLoads) -> Outcome:
-        self.engines.note_loads(command, self.stamp_ms)
+        self.engines.set_loads(command, self.stamp_ms)
         return None
 
     @_apply.register(EndpointRemoval)
     def _(self, command: EndpointRemoval) -> Outcome:
-        self.removals.note(command, self.stamp_ms)
+        self.removals.add(command, self.stamp_ms)
         return None
 
     def find_claim(self, claim: KeyClaim) -> KeyReply | None:
--- a/src/jujubeslip/control/_removal_table.py
+++ b/src/jujubeslip/control/_removal_table.py
@@ -39,7 +39,7 @@
         self.version = 0
         """Increases with each removal; differs between replicas."""
 
-    def note(self, removal: EndpointRemoval, stamp_ms: int) -> None:
+    def add(self, removal: EndpointRemoval, stamp_ms: int) -> None:
         """Add a removal at this log time, and remove the expired ones."""
         entries = self._entry_by_key
         key = _key(removal)
--- a/src/jujubeslip/control/_role_balance.py
+++ b/src/jujubeslip/control/_role_balance.py
@@ -33,7 +33,7 @@
 DECODE_PER_PREFILL = 3
 # Length of the observation window before a prefill engine counts as idle, in seconds:
 # long enough to see the load rise and fall, short enough to act before the next burst.
-WATCHED_SECONDS = 4.0
+OBSERVATION_SECONDS = 4.0
 # Prefill capacity to keep, as a multiple of the observed peak load: the request rate
 # doubles in a burst, and changing an engine back takes longer than a burst lasts.
 BURST_HEADROOM = 2.0
@@ -87,7 +87,7 @@
     def inherited(cls, now: float, peak: float) -> PrefillLoad:
         """Return a load as if observed for a full window until now, with this peak."""
         load = cls()
-        load._first_load_at = now - WATCHED_SECONDS
+        load._first_load_at = now - OBSERVATION_SECONDS
         load._inherited_peak = (now, peak)
         return load
 
@@ -98,7 +98,7 @@
         if self._first_sample_at is None:
             self._first_sample_at = now
         self._samples.append((now, busy_prefill_engines))
-        while self._samples[0][0] < now - WATCHED_SECONDS:
+        while self._samples[0][0] < now - OBSERVATION_SECONDS:
             self._samples.popleft()
 
     def peak(self, now: float) -> float | None:
@@ -108,11 +108,14 @@
         entry hosts may be unable to reach this host, and their prompts resume once
         they can.
         """
-        if self._first_load_at is None or now - self._first_load_at < WATCHED_SECONDS:
+        if (
+            self._first_load_at is None
+            or now - self._first_load_at < OBSERVATION_SECONDS
+        ):
             return None
         inherited_at, inherited = self._inherited_peak
         loads = [busy for _, busy in self._samples]
-        if inherited_at >= now - WATCHED_SECONDS:
+        if inherited_at >= now - OBSERVATION_SECONDS:
             loads.append(inherited)
         return max(loads, default=0.0) or None
 
@@ -155,7 +158,7 @@
     def inherited(cls, now: float, use: EngineUse) -> RoleShares:
         """Return shares as if observed for a full window until now, with this use."""
         shares = cls()
-        shares._first_load_at, shares._last_sample_at = now - WATCHED_SECONDS, now
+        shares._first_load_at, shares._last_sample_at = now - OBSERVATION_SECONDS, now
         shares._prefill_use, shares._decode_use = use.reading, use.answering
         return shares
 
@@ -166,7 +169,7 @@
 
     def record(self, now: float, use: EngineUse) -> None:
         """Record how many engines are busy at this time."""
-        self._expected_need = use.usual_need
+        self._expected_need = use.mean_need
         if self._first_load_at is None:
             if use.reading <= 0:
                 return
@@ -206,12 +209,12 @@
     def prefill_share(self, now: float) -> float | None:
         """Return the share of engines needed for prefill, None while unknown."""
         begun_at, need = self._first_load_at, self._expected_need
-        is_observed = begun_at is not None and now - begun_at >= WATCHED_SECONDS
+        is_observed = begun_at is not None and now - begun_at >= OBSERVATION_SECONDS
         if is_observed and self._prefill_use:
             return self._prefill_use / (self._prefill_use + self._decode_use)
         if need is None:
             return None
-        return need.reading_seconds / (need.reading_seconds + need.answering_seconds)
+        return need.prefill_seconds / (need.prefill_seconds + need.decode_seconds)
 
 
 def choose_role_change(
--- a/src/jujubeslip/control/_roles.py
+++ b/src/jujubeslip/control/_roles.py
@@ -14,7 +14,7 @@
 
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog
-from jujubeslip.control._given_orders import GivenOrders
+from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
 from jujubeslip.control._order_log import BalanceInputs, BalanceLog, NoOrderReason
 from jujubeslip.control._replica import Replica
@@ -61,7 +61,7 @@
 ACCEPTED_STATUSES = (200, 202)
 
 
-class RoleKeeper:
+class RoleManager:
     """Orders engines to change role, on the leader only.
 
     Two hosts must never order the same engine. The leader's term is the fencing number;
@@ -78,16 +78,16 @@
         interface: Interface,
         order_lease_seconds: float,
         configured_services: Callable[[], Collection[str]],
-        orders: GivenOrders,
+        orders: OutstandingOrders,
         busy_prefill_engines: Callable[[str], float],
         on_order: Callable[[], None],
         engine_use: Callable[[str], EngineUse],
         notices: EndpointNotices | None = None,
-        reports_now: Callable[[Endpoint], bool] = lambda _: True,
+        has_recent_report: Callable[[Endpoint], bool] = lambda _: True,
         answer_count: Callable[[Endpoint], int] = lambda _: 0,
     ) -> None:
         self._notices = notices or EndpointNotices()
-        self._reports_now = reports_now
+        self._reports_now = has_recent_report
         self._answer_count = answer_count
         self._engine_use = engine_use
         self._role_shares_by_service: dict[str, RoleShares] = {}
@@ -108,7 +108,7 @@
         self._own_prefill_load_by_service: dict[str, PrefillLoad] = {}
         self._balance_log = BalanceLog()
 
-    def look(self) -> None:
+    def scan(self) -> None:
         """Order engines of each service to change role, if this host leads."""
         fence = self._fence()
         if fence is None:
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -21,7 +21,7 @@
 from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._gateway import LeaderGateway
-from jujubeslip.control._given_orders import GivenOrders
+from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._handler import ControlHandler
 from jujubeslip.control._joining import Joining
 from jujubeslip.control._meters import observe_replica
@@ -30,11 +30,11 @@
 from jujubeslip.control._removal_log import RemovalLog
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._replication import Replication
-from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleKeeper
+from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleManager
 from jujubeslip.control._routes_in_force import ActiveRoutes
-from jujubeslip.control._stopping import step_aside
+from jujubeslip.control._stopping import prepare_to_stop
 from jujubeslip.control._storage import Storage
-from jujubeslip.control._upkeep import Upkeep
+from jujubeslip.control._upkeep import LogMaintenance
 from jujubeslip.control._watches import Watches
 from jujubeslip.discovery import ControlFollowers, EndpointBook, News
 from jujubeslip.http_server import HttpServer, HttpServerOptions
@@ -93,7 +93,7 @@
             settings.peer_address,
             crash_book=self._crash_registry,
         )
-        self._orders = GivenOrders()
+        self._orders = OutstandingOrders()
         self._routes = ActiveRoutes(
             lambda: self._replica.machine.configurations, self._read_routes
         )
@@ -196,9 +196,9 @@
         observe_replica(self._replica, self._registry, self._crash_registry)
         serve_metrics(self._settings.telemetry, self._telemetry, process)
         self._server.start()
-        upkeep = Upkeep(self._replica)
-        process.start_task(upkeep.run_writes)
-        process.start_task(upkeep.run_snapshots)
+        log_maintenance = LogMaintenance(self._replica)
+        process.start_task(log_maintenance.run_writes)
+        process.start_task(log_maintenance.run_snapshots)
         process.start_task(Replication(self._replica, self._clients).run)
         process.start_task(Elections(self._replica, self._clients).run)
         process.start_task(Joining(self._replica, self._clients).run)
@@ -232,7 +232,7 @@
         if not settings.changes_roles:
             return
         admissions = self._admissions
-        manager = RoleKeeper(
+        manager = RoleManager(
             self._replica,
             EngineLog(self._replica),
             self._registry,
@@ -241,14 +241,14 @@
             settings.order_lease_ms / 1000,
             self._routes.engine_services,
             self._orders,
-            admissions.busy_readers if admissions else lambda _: 0.0,
+            admissions.busy_prefill_engines if admissions else lambda _: 0.0,
             admissions.look if admissions else lambda: None,
             admissions.engine_use if admissions else lambda _: EngineUse(0.0, 0.0),
             self._notices,
-            admissions.reports_now if admissions else lambda _: True,
+            admissions.has_recent_report if admissions else lambda _: True,
             admissions.answer_count if admissions else lambda _: 0,
         )
-        self._process.repeat(SCAN_INTERVAL_SECONDS, manager.look)
+        self._process.repeat(SCAN_INTERVAL_SECONDS, manager.scan)
 
     def _leadership_began_at(self) -> float | None:
         """Return the time since which this host leads, None while it doesn't."""
@@ -270,7 +270,7 @@
         """Ignore configurations, which reach every replica through the log."""
 
     def _stop(self) -> None:
-        step_aside(self._replica, self._clients)
+        prepare_to_stop(self._replica, self._clients)
         self._telemetry.shutdown()
         if self._http is not None:
             self._http.stop_listening()
--- a/src/jujubeslip/control/_stopping.py
+++ b/src/jujubeslip/control/_stopping.py
@@ -24,7 +24,7 @@
 POLL_SECONDS = 0.05
 
 
-def step_aside(replica: Replica, clients: ReplicaClients) -> None:
+def prepare_to_stop(replica: Replica, clients: ReplicaClients) -> None:
     """Transfer leadership to another replica and leave the membership.
 
     A host that is permanently replaced stops like any other. If its replica stayed a
--- a/src/jujubeslip/control/_upkeep.py
+++ b/src/jujubeslip/control/_upkeep.py
@@ -14,7 +14,7 @@
 KEPT_BYTES = 2 * 1024 * 1024
 
 
-class Upkeep:
+class LogMaintenance:
     """Writes proposed entries to disk and replaces old entries by snapshots."""
 
     def __init__(self, replica: Replica) -> None:
--- a/src/jujubeslip/control/_watches.py
+++ b/src/jujubeslip/control/_watches.py
@@ -181,7 +181,7 @@
             return self._leader()
         return _Leader(request.known_leader_address or "", request.known_leader_term)
 
-    def wait_until_told(self, version: int, deadline: Deadline) -> bool:
+    def wait_until_confirmed(self, version: int, deadline: Deadline) -> bool:
         """Wait until each live watcher has confirmed this version of the registry.
 
         The removal of a leaving endpoint is acknowledged after that: by then, no host
--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -116,7 +116,7 @@
         while self._leader.address() is None:
             if limit.expired or self._process.stopped.wait(LEADER_POLL_SECONDS):
                 return False
-            if context.gone():
+            if context.client_disconnected():
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
         return True
 
@@ -158,12 +158,12 @@
 
     def give_back(self, context: ForwardContext, attempts: Attempts) -> None:
         """Refund the amount that this host spent for a request that has not run."""
-        if not attempts.spent_here or attempts.may_have_run:
+        if not attempts.charged_locally or attempts.may_have_run:
             return
         with self._lock:
             name = context.request.account_name
-            self._spending.give_back(name, attempts.spent_here)
-        attempts.spent_here = 0.0
+            self._spending.give_back(name, attempts.charged_locally)
+        attempts.charged_locally = 0.0
 
     def over_limit_refusal(
         self, context: ForwardContext, wait: float
@@ -237,7 +237,7 @@
             self._spending.take_answer(state.account_name, answer, steady_seconds())
 
     def _record_spent(self, context: ForwardContext, attempts: Attempts) -> None:
-        attempts.spent_here = context.cost
+        attempts.charged_locally = context.cost
 
     def _log_refusal(
         self, context: ForwardContext, reason: str, wait: float = 0.0
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -13,7 +13,7 @@
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.forwarding._leader_contact import LeaderContact
-from jujubeslip.forwarding._models import RoomRequest
+from jujubeslip.forwarding._models import CapacityRequest
 from jujubeslip.kernel import Process, Ran, RequestRefusedError
 from jujubeslip.peers import (
     AdmissionNews,
@@ -50,7 +50,7 @@
     """The start of the prefill engine, empty if the decode engine prefills."""
     forecast: float
     """Expected waiting time of the request, in seconds."""
-    read_seconds: float = 0.0
+    prefill_seconds: float = 0.0
     """Expected duration of the prefill."""
     over_limit_seconds: float = 0.0
     """When the client may retry if its account has used up its limit, otherwise 0."""
@@ -83,14 +83,14 @@
         """Report the progress of requests to the leader until the process stops."""
         self._process.start_task(self._send_updates)
 
-    def ask(self, capacity_request: RoomRequest) -> AdmissionAnswer | None:
+    def ask(self, capacity_request: CapacityRequest) -> AdmissionAnswer | None:
         """Return the leader's decision, None without a leader that answers.
 
         Raises CallerGoneError if the client disconnects while the request waits, and
         RequestRefusedError once all engines are in backoff.
         """
         context, attempts = capacity_request.context, capacity_request.attempts
-        attempts.grants_asked += 1
+        attempts.grant_requests += 1
         while (address := self._leader.address()) is not None:
             self._check_backoff(capacity_request)
             request = self._to_request(capacity_request)
@@ -100,26 +100,26 @@
             forecast = reply.forecast_ms / 1000
             if reply.status == AdmissionStatus.ADMITTED:
                 prefill_start_id = reply.reader_start_id or ""
-                read_seconds = (reply.read_ms or 0) / 1000
+                prefill_seconds = (reply.read_ms or 0) / 1000
                 return AdmissionAnswer(
-                    reply.start_id, prefill_start_id, forecast, read_seconds
+                    reply.start_id, prefill_start_id, forecast, prefill_seconds
                 )
             if reply.status == AdmissionStatus.OVER_LIMIT:
                 return AdmissionAnswer("", "", 0.0, over_limit_seconds=forecast)
             if reply.status == AdmissionStatus.REFUSED:
                 return AdmissionAnswer("", "", forecast)
-            if context.gone():
+            if context.client_disconnected():
                 self.end(request.request_id, request.attempt)
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
         return None
 
-    def _check_backoff(self, capacity_request: RoomRequest) -> None:
+    def _check_backoff(self, capacity_request: CapacityRequest) -> None:
         try:
             capacity_request.check_backoff()
         except RequestRefusedError:
             self.end(
                 capacity_request.context.request.request_id,
-                capacity_request.attempts.grants_asked,
+                capacity_request.attempts.grant_requests,
             )
             raise
 
@@ -135,7 +135,7 @@
             AdmissionNews(request_id, attempt, AdmissionStep.ENDED)
         )
 
-    def _to_request(self, capacity_request: RoomRequest) -> AdmissionRequest:
+    def _to_request(self, capacity_request: CapacityRequest) -> AdmissionRequest:
         context, attempts = capacity_request.context, capacity_request.attempts
         engine, prompt = capacity_request.engine, capacity_request.prompt
         event_tokens = engine.event_tokens
@@ -156,7 +156,7 @@
             WAIT_MS,
             [*attempts.tried, *self._skipped_starts()],
             reads_itself=capacity_request.reads_itself,
-            attempt=attempts.grants_asked,
+            attempt=attempts.grant_requests,
             availability_zone=self._availability_zone,
             maximum_gap_ms=context.route.maximum_gap_ms,
             account_name=account_name,
--- a/src/jujubeslip/forwarding/_budget.py
+++ b/src/jujubeslip/forwarding/_budget.py
@@ -53,7 +53,7 @@
             sends = self._sends(service_name)
             sends.requests.append(steady_seconds())
 
-    def take(self, service_name: str) -> bool:
+    def spend(self, service_name: str) -> bool:
         """Spend one retry if one is left; return whether it was."""
         with self._lock:
             sends = self._sends(service_name)
@@ -62,7 +62,7 @@
             sends.retries.append(steady_seconds())
             return True
 
-    def has_one(self, service_name: str) -> bool:
+    def has_retry_left(self, service_name: str) -> bool:
         """Return whether a retry is left, without spending it."""
         with self._lock:
             sends = self._sends(service_name)
--- a/src/jujubeslip/forwarding/_crashes.py
+++ b/src/jujubeslip/forwarding/_crashes.py
@@ -17,10 +17,10 @@
 
 # A request whose answer has lasted this long did not crash its endpoint by its content,
 # in seconds.
-BEGIN_SECONDS = 0.5
+CRASH_WINDOW_SECONDS = 0.5
 
 
-class CrashWatch:
+class CrashDetector:
     """Distinguishes endpoints that have crashed from answers lost in transit."""
 
     def __init__(
@@ -39,7 +39,7 @@
             description="Requests whose endpoint ended while it ran them, by service.",
         )
 
-    def note_cut(
+    def record_cut_off(
         self, context: ForwardContext, attempts: Attempts, endpoint: Endpoint
     ) -> None:
         """Record a run whose connection ended before its answer was complete."""
@@ -47,9 +47,13 @@
         if crashed:
             self._crashes.add(1, {"service": context.service_name})
         is_harmless = self._harmless_contents.holds(context.fingerprint)
-        if crashed and not is_harmless and attempts.answered_seconds < BEGIN_SECONDS:
+        if (
+            crashed
+            and not is_harmless
+            and attempts.answered_seconds < CRASH_WINDOW_SECONDS
+        ):
             sent_at = attempts.latest_sent_at.instant
-            was_answered = attempts.answered_from is not None
+            was_answered = attempts.answer_started is not None
             crash = Crash(endpoint.start_id, sent_at, steady_seconds(), was_answered)
             self._crash_registry.note_crash(context.fingerprint, crash)
             self._report_crashes()
@@ -61,7 +65,7 @@
             "harmless": is_harmless,
             "harmless_ago_ms": self._harmless_contents.ran_ago_ms(context.fingerprint),
             "sent_ago_ms": int(attempts.latest_sent_at.overdue() * 1000),
-            "answered": attempts.answered_from is not None,
+            "answered": attempts.answer_started is not None,
             "answered_ms": int(attempts.answered_seconds * 1000),
         }
         logger.info("run cut off", extra=extra)
--- a/src/jujubeslip/forwarding/_endpoint_limits.py
+++ b/src/jujubeslip/forwarding/_endpoint_limits.py
@@ -74,7 +74,7 @@
         with self._charges.lock:
             return self._charges.spending.wait_for(start_id, steady_seconds())
 
-    def take(self, request_id: str, start_id: str) -> float:
+    def spend(self, request_id: str, start_id: str) -> float:
         """Charge a request to a start; return the seconds to wait, 0 if it may go."""
         limit = self.notices.limit_of(start_id)
         if limit is None:
--- a/src/jujubeslip/forwarding/_engine_reports.py
+++ b/src/jujubeslip/forwarding/_engine_reports.py
@@ -11,7 +11,7 @@
 from jujubeslip.discovery import Endpoint
 from jujubeslip.endpoints import EndpointError
 from jujubeslip.forwarding._models import Attempts, ForwardContext
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport
 
@@ -35,8 +35,8 @@
 class EngineReports:
     """The latest report of each engine's start."""
 
-    def __init__(self, sending: Sending) -> None:
-        self._sending = sending
+    def __init__(self, sender: EndpointSender) -> None:
+        self._sender = sender
         self._cached_by_start: dict[str, _CachedReport] = {}
         self._lock = threading.Lock()
 
@@ -57,18 +57,21 @@
         self, context: ForwardContext, endpoint: Endpoint
     ) -> _CachedReport | None:
         """Return the engine's answer, None if it gave none."""
-        request = self._sending.interface.ask_report(endpoint.endpoint_id)
+        request = self._sender.interface.ask_report(endpoint.endpoint_id)
         try:
-            status, body = self._sending.ask(
-                endpoint, request, Deadline.after(REPORT_TIMEOUT_SECONDS), context.gone
+            status, body = self._sender.ask(
+                endpoint,
+                request,
+                Deadline.after(REPORT_TIMEOUT_SECONDS),
+                context.client_disconnected,
             )
         except EndpointError as error:
-            self._sending.note_error(Attempts(), endpoint, error)
+            self._sender.note_error(Attempts(), endpoint, error)
             return None
         if status != 200:
             return None
         usable_until = Deadline.after(CACHE_SECONDS)
-        parsed = self._sending.interface.read_report(body)
+        parsed = self._sender.interface.read_report(body)
         if isinstance(parsed, Success):
             report = parsed.unwrap()
             is_from_start = endpoint.may_be(report.started_at_ms)
--- a/src/jujubeslip/forwarding/_exchange.py
+++ b/src/jujubeslip/forwarding/_exchange.py
@@ -41,7 +41,7 @@
         interface: Interface,
         endpoint: Endpoint,
         request: ForwardedRequest,
-        gone: Interrupted,
+        client_disconnected: Interrupted,
         notices: EndpointNotices,
     ) -> None:
         self._notices = notices
@@ -49,7 +49,7 @@
         self._interface = interface
         self._endpoint = endpoint
         self._request = request
-        self._client_disconnected = gone
+        self._client_disconnected = client_disconnected
         self._connection: EndpointConnection | None = None
         self._response: http.client.HTTPResponse | None = None
         self._head: EndpointHead | None = None
--- a/src/jujubeslip/forwarding/_first_endpoints.py
+++ b/src/jujubeslip/forwarding/_first_endpoints.py
@@ -29,7 +29,7 @@
 CLIENT_CHECK_SECONDS = 0.1
 
 
-class FirstEndpoints:
+class InitialDiscovery:
     """Delays requests of a newly started host while endpoints may be unknown."""
 
     def __init__(self, registry: EndpointBook) -> None:
@@ -45,7 +45,7 @@
             return
         limit = self._limit(context)
         while not limit.expired and not self._has_endpoint(context.service_name):
-            if context.gone():
+            if context.client_disconnected():
                 raise CallerGoneError("The client closed its connection.", Ran.NO)
             self._wait_for_change(context.service_name, limit)
         extra = {
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -13,10 +13,10 @@
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._admissions import AdmissionAnswer, Admissions
-from jujubeslip.forwarding._models import Attempts, ForwardContext, RoomRequest
-from jujubeslip.forwarding._pressure import WAITED_SECONDS, Pressures
+from jujubeslip.forwarding._models import Attempts, CapacityRequest, ForwardContext
+from jujubeslip.forwarding._pressure import MIN_WAIT_SECONDS, Pressures
 from jujubeslip.forwarding._reservations import Reservations
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import EndpointRole
 
@@ -40,17 +40,17 @@
     """The engine at which a run is to start, and how to release what is held for it."""
 
     endpoint: Endpoint
-    reader: Endpoint | None = None
+    prefill_engine: Endpoint | None = None
     """The engine that is to prefill the prompt, None if any engine may."""
-    read_seconds: float = 0.0
+    prefill_seconds: float = 0.0
     """Expected duration of the prefill, 0 if unknown."""
     reads_itself: bool = False
     """Whether the decode engine is to prefill the prompt, too."""
-    before_run: Callable[[], None] = _release_nothing
+    release_before_run: Callable[[], None] = _release_nothing
     """Releases what is not to be held during the run."""
-    prompt_read: Callable[[], None] = _release_nothing
+    report_prefilled: Callable[[], None] = _release_nothing
     """Reports that the prompt was prefilled, here or elsewhere."""
-    at_end: Callable[[], None] = _release_nothing
+    release_at_end: Callable[[], None] = _release_nothing
     """Releases the rest, once the run has ended or will not start."""
 
 
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        sending: Sending,
+        sender: EndpointSender,
         registry: EndpointBook,
         pressures: Pressures,
         reservations: Reservations,
@@ -67,7 +67,7 @@
         limits: AccountLimits | None = None,
     ) -> None:
         self._limits = limits
-        self._sending = sending
+        self._sender = sender
         self._registry = registry
         self._pressures = pressures
         self._reservations = reservations
@@ -78,19 +78,17 @@
     ) -> Grant | None:
         """Return a grant, None if no engine is usable or none has capacity in time.
 
-        `attempts.found_no_room` tells the two cases apart. `reads_itself` says that no
-        other engine can prefill the prompt for the decode engine.
+        `attempts.found_no_capacity` tells the two cases apart. `reads_itself` says that
+        no other engine can prefill the prompt for the decode engine.
         """
         service = context.table.service_by_name[context.service_name]
         prompt = context.request.prompt
         if service.engine is None or not service.engine.reservation_ms or not prompt:
             if self._limits is not None:
                 self._limits.charge(context, attempts)
-            endpoint = self._sending.choose(
-                context, EndpointRole.DECODE, attempts.tried
-            )
+            endpoint = self._sender.choose(context, EndpointRole.DECODE, attempts.tried)
             return None if endpoint is None else Grant(endpoint)
-        capacity_request = RoomRequest(
+        capacity_request = CapacityRequest(
             context,
             attempts,
             service.engine,
@@ -103,19 +101,19 @@
         grant = self._find_capacity(capacity_request)
         if grant is not None and attempts.granted_ms is None:
             attempts.granted_ms = attempts.elapsed_ms
-        waited = context.request.arrived.overdue() if grant else WAITED_SECONDS
+        waited = context.request.arrived.overdue() if grant else MIN_WAIT_SECONDS
         self._pressures.note_wait(context.service_name, waited)
         return grant
 
     def _check_backoff(self, context: ForwardContext, attempts: Attempts) -> None:
-        self._sending.check_backoff(context, attempts, EndpointRole.DECODE)
+        self._sender.check_backoff(context, attempts, EndpointRole.DECODE)
 
-    def _find_capacity(self, capacity_request: RoomRequest) -> Grant | None:
+    def _find_capacity(self, capacity_request: CapacityRequest) -> Grant | None:
         context, attempts = capacity_request.context, capacity_request.attempts
         if self._admissions is not None:
             answer = self._ask_leader(self._admissions, capacity_request)
             if answer is not None and not answer.start_id:
-                attempts.note_no_room("no grant in time", answer.forecast)
+                attempts.note_no_capacity("no grant in time", answer.forecast)
                 return None
             if answer is not None:
                 attempts.is_charged = True
@@ -139,11 +137,11 @@
         return Grant(
             reservation.endpoint,
             reads_itself=capacity_request.reads_itself,
-            before_run=release_reservation,
+            release_before_run=release_reservation,
         )
 
     def _ask_leader(
-        self, admissions: Admissions, capacity_request: RoomRequest
+        self, admissions: Admissions, capacity_request: CapacityRequest
     ) -> AdmissionAnswer | None:
         """Return the leader's decision, None without a leader that gives grants.
 
@@ -184,7 +182,7 @@
     ) -> Grant | None:
         """Return the leader's grant, None if its engine is not usable on this host."""
         request_id = context.request.request_id
-        attempt = attempts.grants_asked
+        attempt = attempts.grant_requests
         endpoint = self._usable_endpoint(answer.start_id)
         if endpoint is None:
             extra = {"request_id": request_id, "start_id": answer.start_id}
@@ -194,11 +192,11 @@
         attempts.note(answer.start_id, "grant")
         return Grant(
             endpoint,
-            reader=self._usable_endpoint(answer.prefill_start_id),
-            read_seconds=answer.read_seconds,
+            prefill_engine=self._usable_endpoint(answer.prefill_start_id),
+            prefill_seconds=answer.prefill_seconds,
             reads_itself=not answer.prefill_start_id,
-            prompt_read=partial(admissions.report_prefilled, request_id, attempt),
-            at_end=partial(admissions.end, request_id, attempt),
+            report_prefilled=partial(admissions.report_prefilled, request_id, attempt),
+            release_at_end=partial(admissions.end, request_id, attempt),
         )
 
     def _usable_endpoint(self, start_id: str) -> Endpoint | None:
@@ -222,7 +220,7 @@
     answer.
     """
     end = Deadline(context.end_by.instant - MIN_RUN_SECONDS)
-    is_first_try = not context.came_back and attempts.granted_ms is None
+    is_first_try = not context.is_client_retry and attempts.granted_ms is None
     if is_first_try and not attempts.may_have_run:
         start = Deadline(context.target_by.instant - FIRST_EVENT_SECONDS)
         return end.earlier_of(start)
--- a/src/jujubeslip/forwarding/_leader_contact.py
+++ b/src/jujubeslip/forwarding/_leader_contact.py
@@ -51,7 +51,7 @@
         self._last_logged_address: str | None = None
         self._lock = threading.Lock()
 
-    def take(self, update: News) -> None:
+    def apply_update(self, update: News) -> None:
         """Record the leader that a control host reports."""
         report = _LeaderReport(update.leader_address, update.leader_term)
         with self._lock:
--- a/src/jujubeslip/forwarding/_models.py
+++ b/src/jujubeslip/forwarding/_models.py
@@ -40,7 +40,7 @@
     service_name: str
     end_by: Deadline
     """The latest time at which the client is answered."""
-    gone: Interrupted
+    client_disconnected: Interrupted
     """Whether the client has closed its connection."""
     target_by: Deadline
     """When the answer, or its first event, is due."""
@@ -72,7 +72,7 @@
         )
 
     @property
-    def came_back(self) -> bool:
+    def is_client_retry(self) -> bool:
         """Return whether the client is retrying after a refusal."""
         first_try_target = self.request.arrived.instant + self.route.target_ms / 1000
         return self.target_by.instant < first_try_target
@@ -110,7 +110,7 @@
     sends: int = 0
     latest_sent_at: Deadline = field(default_factory=lambda: Deadline.after(0))
     """When the latest send began."""
-    answered_from: Deadline | None = None
+    answer_started: Deadline | None = None
     """When the endpoint of the latest send began to answer, None before that."""
     runs: int = 0
     """Sends whose endpoint may have run the request."""
@@ -137,11 +137,11 @@
     """Identifies its charge at the leader; request ids are not unique among clients."""
     is_charged: bool = False
     """Whether the account's limit was charged, or the account has none."""
-    spent_here: float = 0.0
+    charged_locally: float = 0.0
     """Cost that this host charged to the account without asking the leader."""
-    grants_asked: int = 0
+    grant_requests: int = 0
     """Number of grants requested from the leader."""
-    found_no_room: bool = False
+    found_no_capacity: bool = False
     """Whether engines were usable but had no free capacity in time."""
     capacity_wait_forecast: float = 0.0
     """The forecast wait for capacity at that time, in seconds."""
@@ -149,7 +149,7 @@
     @property
     def answered_seconds(self) -> float:
         """Return for how long the endpoint has been answering the latest send."""
-        return self.answered_from.overdue() if self.answered_from else 0.0
+        return self.answer_started.overdue() if self.answer_started else 0.0
 
     @property
     def elapsed_ms(self) -> int:
@@ -165,10 +165,10 @@
         self.events += 1
         self.longest_gap_ms = max(self.longest_gap_ms, int(gap * 1000))
 
-    def note_no_room(self, outcome: str, forecast: float) -> None:
+    def note_no_capacity(self, outcome: str, forecast: float) -> None:
         """Record that engines are usable but have no free capacity in time."""
         self.note("-", f"{outcome}, forecast {forecast:.2f} s")
-        self.found_no_room = True
+        self.found_no_capacity = True
         self.capacity_wait_forecast = forecast
 
     def note_error(self, start_id: str, error: EndpointError) -> None:
@@ -185,7 +185,7 @@
 
 
 @dataclass(frozen=True)
-class RoomRequest:
+class CapacityRequest:
     """A request that needs capacity at an engine."""
 
     context: ForwardContext
--- a/src/jujubeslip/forwarding/_pressure.py
+++ b/src/jujubeslip/forwarding/_pressure.py
@@ -12,7 +12,7 @@
 # Period that a report covers, in seconds: long enough for a few requests of each host.
 WINDOW_SECONDS = 2.0
 # A request that got capacity sooner than this counts as not having waited, in seconds.
-WAITED_SECONDS = 0.15
+MIN_WAIT_SECONDS = 0.15
 
 
 @dataclass
@@ -30,7 +30,7 @@
 
     def note_wait(self, service_name: str, seconds: float) -> None:
         """Record how long a request waited for capacity, whether it got any or not."""
-        if seconds >= WAITED_SECONDS:
+        if seconds >= MIN_WAIT_SECONDS:
             with self._lock:
                 self._observations(service_name).waits.append(steady_seconds())
 
@@ -39,7 +39,7 @@
         with self._lock:
             self._observations(service_name).prompts.append((steady_seconds(), seconds))
 
-    def told(self) -> list[ServicePressure]:
+    def report(self) -> list[ServicePressure]:
         """Return the report for the control hosts."""
         oldest = steady_seconds() - WINDOW_SECONDS
         with self._lock:
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -17,20 +17,20 @@
 from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._choice import Chooser, policies
 from jujubeslip.forwarding._crash_news import CrashReporter
-from jujubeslip.forwarding._crashes import CrashWatch
+from jujubeslip.forwarding._crashes import CrashDetector
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
-from jujubeslip.forwarding._first_endpoints import FirstEndpoints
+from jujubeslip.forwarding._first_endpoints import InitialDiscovery
 from jujubeslip.forwarding._grants import Grants
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._meters import ForwardMeters, HostState, observe_host
 from jujubeslip.forwarding._plain_path import PlainPath
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import PromptReader
+from jujubeslip.forwarding._prompts import Prefiller
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._reservations import Reservations
 from jujubeslip.forwarding._routes_follower import RoutesFollower
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.forwarding._service import ForwardService
 from jujubeslip.forwarding._shared_charges import SharedCharges
 from jujubeslip.forwarding._stream_path import StreamPath
@@ -98,7 +98,7 @@
             self._registry,
             self._apply_update,
             is_entry_host=True,
-            pressures=self._pressures.told,
+            pressures=self._pressures.report,
             crash_book=self._crash_registry,
         )
         self._leader_contact = LeaderContact(identity, self._followers.reaches)
@@ -114,7 +114,7 @@
         # and is skipped for grants, may already know the limits.
         self._limit_leader_contact = LeaderContact(identity, self._followers.reaches)
         self._endpoint_limits = self._build_endpoint_limits()
-        sending = self._build_sending(quarantine)
+        sender = self._build_sending(quarantine)
         self._account_limits = self._build_account_limits()
         self._admissions = (
             Admissions(
@@ -122,7 +122,7 @@
                 self._leader_contact,
                 settings.availability_zone,
                 self._registry,
-                sending.health,
+                sender.health,
                 self._endpoint_limits,
             )
             if settings.asks_leader
@@ -133,16 +133,16 @@
         )
         service = ForwardService(
             self._routes_follower,
-            PlainPath(sending),
+            PlainPath(sender),
             StreamPath(
-                sending,
-                PromptReader(sending, settings.reads_prompts_apart, self._pressures),
+                sender,
+                Prefiller(sender, settings.reads_prompts_apart, self._pressures),
                 Grants(
-                    sending,
+                    sender,
                     self._registry,
                     self._pressures,
                     Reservations(
-                        sending,
+                        sender,
                         MemoryOptions(settings.memory_margin, settings.memory_caution),
                         settings.availability_zone,
                     ),
@@ -152,7 +152,7 @@
             ),
             ForwardMeters(),
             self._account_limits,
-            FirstEndpoints(self._registry),
+            InitialDiscovery(self._registry),
             quarantine,
         )
         self._http = HttpServer(
@@ -181,7 +181,7 @@
             self._endpoint_limits.notices.held_count,
         )
 
-    def _build_sending(self, quarantine: Quarantine) -> Sending:
+    def _build_sending(self, quarantine: Quarantine) -> EndpointSender:
         settings = self._settings
         health = EndpointHealth()
         policy = policies.get(settings.policy)(health, settings.availability_zone)
@@ -191,7 +191,7 @@
             settings.retry_allowance,
         )
         self._retry_budgets = RetryBudgets(budget, lambda: self._entry_hosts)
-        return Sending(
+        return EndpointSender(
             interfaces.get(settings.interface),
             self._connection_pool,
             Chooser(
@@ -203,7 +203,7 @@
             ),
             health,
             self._retry_budgets,
-            CrashWatch(
+            CrashDetector(
                 self._registry,
                 self._crash_registry,
                 self._harmless_contents,
@@ -261,9 +261,9 @@
 
     def _apply_update(self, update: News) -> None:
         self._entry_hosts = max(self._entry_hosts, update.entry_hosts)
-        self._routes_follower.take(update)
-        self._leader_contact.take(update)
-        self._limit_leader_contact.take(update)
+        self._routes_follower.apply_update(update)
+        self._leader_contact.apply_update(update)
+        self._limit_leader_contact.apply_update(update)
 
     def _is_ready(self) -> bool:
         return self._routes_follower.version > 0 and not self._process.stopping.is_set()
--- a/src/jujubeslip/forwarding/_prompts.py
+++ b/src/jujubeslip/forwarding/_prompts.py
@@ -17,7 +17,7 @@
 from jujubeslip.forwarding._exchange import SUCCESS
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.interfaces import EndpointCall
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
@@ -64,13 +64,13 @@
 NOT_PREFILLED = PromptLocation()
 
 
-class PromptReader:
+class Prefiller:
     """Has prompts prefilled by the service's prefill engines."""
 
     def __init__(
-        self, sending: Sending, uses_prefill_engines: bool, pressures: Pressures
+        self, sender: EndpointSender, uses_prefill_engines: bool, pressures: Pressures
     ) -> None:
-        self._sending = sending
+        self._sender = sender
         self._uses_prefill_engines = uses_prefill_engines
         self._pressures = pressures
 
@@ -114,7 +114,7 @@
             return True
         if attempts.prefill_calls >= MAXIMUM_PREFILL_CALLS:
             return False
-        return self._sending.budgets.has_one(context.service_name)
+        return self._sender.budgets.has_retry_left(context.service_name)
 
     def is_lost(self, location: PromptLocation) -> bool:
         """Return whether the engine that prefilled the prompt has restarted since.
@@ -124,7 +124,7 @@
         would then be made, because no engine checks whose prompt it is.
         """
         prefill_engine = location.prefill_engine
-        return prefill_engine is not None and self._sending.chooser.is_over(
+        return prefill_engine is not None and self._sender.chooser.is_over(
             prefill_engine
         )
 
@@ -150,7 +150,7 @@
         return location
 
     def _choose(self, context: ForwardContext) -> Endpoint | None:
-        chooser = self._sending.chooser
+        chooser = self._sender.chooser
         return chooser.choose_healthy(context.service_name, EndpointRole.PREFILL)
 
     def _prefill_at(
@@ -162,10 +162,10 @@
     ) -> PromptLocation:
         """Have this engine prefill the prompt; return NOT_PREFILLED if it does not."""
         attempts.prefill_error = None
-        if self._sending.is_on_hold(attempts, endpoint):
+        if self._sender.is_on_hold(attempts, endpoint):
             return NOT_PREFILLED
         attempts.prefill_calls += 1
-        if not self._sending.charge_endpoint_limit(context, attempts, endpoint):
+        if not self._sender.charge_endpoint_limit(context, attempts, endpoint):
             return NOT_PREFILLED
         started = steady_seconds()
         try:
@@ -177,7 +177,7 @@
         finally:
             taken = steady_seconds() - started
             self._pressures.note_prompt(context.service_name, taken)
-        self._sending.health.note_success(endpoint.start_id)
+        self._sender.health.note_success(endpoint.start_id)
         attempts.note(endpoint.start_id, "prompt read")
         return PromptLocation(endpoint, handle)
 
@@ -186,15 +186,15 @@
         remaining = context.end_by.remaining_ms()
         call = EndpointCall(endpoint.endpoint_id, remaining, reads_prompt_only=True)
         deadline = context.end_by.earlier_of(limit)
-        tracked = self._sending.health.track_request(endpoint.start_id)
-        with tracked, self._sending.exchange(context, endpoint) as exchange:
+        tracked = self._sender.health.track_request(endpoint.start_id)
+        with tracked, self._sender.exchange(context, endpoint) as exchange:
             head = exchange.call(call, deadline)
             body = exchange.read_rest()
         if head.status not in SUCCESS:
             raise EndpointAnswerError(
                 f"{endpoint.address}: prefill failed with status {head.status}."
             )
-        prefilled = self._sending.interface.read_prefilled(body)
+        prefilled = self._sender.interface.read_prefilled(body)
         if isinstance(prefilled, Failure):
             raise EndpointAnswerError(f"{endpoint.address}: {prefilled.failure()}")
         return prefilled.unwrap().handle
@@ -213,11 +213,11 @@
         retry budget. The engine is skipped for a while, so that another one is asked,
         unless its answer was cut: it has prefilled the prompt then and still has it.
         """
-        self._sending.budgets.charge(context.service_name)
+        self._sender.budgets.charge(context.service_name)
         call = Attempts(latest_sent_at=Deadline(asked_at))
-        self._sending.note_request_error(context, call, endpoint, error)
+        self._sender.note_request_error(context, call, endpoint, error)
         if not isinstance(error, _ERRORS_WITHOUT_SKIP):
-            self._sending.health.note_unreachable(endpoint.start_id)
+            self._sender.health.note_unreachable(endpoint.start_id)
         attempts.note(endpoint.start_id, f"prompt not read, {error.error_id}")
 
 
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -14,12 +14,12 @@
 
 from returns.result import Success
 
-from jujubeslip.admission import MemoryOptions, growth_of, waits_in_vain
+from jujubeslip.admission import MemoryOptions, growth_of, is_wait_unservable
 from jujubeslip.discovery import Endpoint
 from jujubeslip.endpoints import CallerGoneError, EndpointError
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._models import Attempts, ForwardContext
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.forwarding._waiting import WaitingQueue
 from jujubeslip.kernel import Deadline, Ran
 from jujubeslip.peers import EndpointRole
@@ -49,12 +49,12 @@
     """Takes reservations for requests, in the order of their queue."""
 
     def __init__(
-        self, sending: Sending, options: MemoryOptions, availability_zone: str
+        self, sender: EndpointSender, options: MemoryOptions, availability_zone: str
     ) -> None:
-        self._sending = sending
+        self._sender = sender
         self._availability_zone = availability_zone
         self._options = options
-        self._reports = EngineReports(sending)
+        self._reports = EngineReports(sender)
         self._queue_by_service: dict[str, WaitingQueue] = {}
         self._lock = threading.Lock()
 
@@ -72,13 +72,13 @@
         """
         queue = self._queue_for(context.service_name)
         forecast = queue.forecast(context)
-        if waits_in_vain(forecast, limit.remaining()):
+        if is_wait_unservable(forecast, limit.remaining()):
             # Refused at once: waiting until the limit would only delay the refusal.
-            attempts.note_no_room("no room in time", forecast)
+            attempts.note_no_capacity("no room in time", forecast)
             return None
         with queue.enter(context) as ticket:
             while queue.wait_for_turn(ticket, context, limit):
-                self._sending.check_backoff(context, attempts, EndpointRole.DECODE)
+                self._sender.check_backoff(context, attempts, EndpointRole.DECODE)
                 if self._has_no_engine(context, attempts):
                     return None
                 reservation = self._ask_round(context, attempts, engine, prompt)
@@ -88,11 +88,11 @@
                     return reservation
                 if limit.expired:
                     break
-                if context.gone():
+                if context.client_disconnected():
                     message = "The client closed its connection."
                     raise CallerGoneError(message, Ran.NO)
                 self._pause()
-        attempts.note_no_room("no room in time", forecast)
+        attempts.note_no_capacity("no room in time", forecast)
         return None
 
     def _queue_for(self, service_name: str) -> WaitingQueue:
@@ -107,14 +107,14 @@
         another request.
         """
         endpoint = reservation.endpoint
-        if self._sending.chooser.is_over(endpoint):
+        if self._sender.chooser.is_over(endpoint):
             return
-        question = self._sending.interface.release(
+        question = self._sender.interface.release(
             endpoint.endpoint_id, reservation.token
         )
         try:
             # Sent even if the client has disconnected.
-            self._sending.ask(endpoint, question, Deadline.after(ANSWER_SECONDS))
+            self._sender.ask(endpoint, question, Deadline.after(ANSWER_SECONDS))
         except EndpointError as error:
             # It expires by itself; until then the engine has less capacity for others.
             extra = {
@@ -126,7 +126,7 @@
 
     def _has_no_engine(self, context: ForwardContext, attempts: Attempts) -> bool:
         role = EndpointRole.DECODE
-        return self._sending.choose(context, role, attempts.tried) is None
+        return self._sender.choose(context, role, attempts.tried) is None
 
     def _pause(self) -> None:
         threading.Event().wait(ROUND_PAUSE_SECONDS)
@@ -144,9 +144,9 @@
             if endpoint is None:
                 return None
             asked.add(endpoint.start_id)
-            was_paused = self._sending.health.is_paused(endpoint.start_id)
+            was_paused = self._sender.health.is_paused(endpoint.start_id)
             growth = self._growth(context, endpoint, engine, prompt)
-            if not was_paused and self._sending.health.is_paused(endpoint.start_id):
+            if not was_paused and self._sender.health.is_paused(endpoint.start_id):
                 # It just failed to report its state, so a reservation would fail, too.
                 continue
             tokens = prompt.prompt_tokens + growth
@@ -164,11 +164,11 @@
         mostly because the leader's zone is partitioned from its own: engines of other
         zones are then silent, and each costs the whole timeout.
         """
-        role, chooser = EndpointRole.DECODE, self._sending.chooser
+        role, chooser = EndpointRole.DECODE, self._sender.chooser
         in_zone = chooser.choose_in_zone(
             context.service_name, role, asked, self._availability_zone
         )
-        return in_zone or self._sending.choose(context, role, asked)
+        return in_zone or self._sender.choose(context, role, asked)
 
     def _growth(
         self,
@@ -194,13 +194,16 @@
         self, context: ForwardContext, endpoint: Endpoint, tokens: int, ttl_ms: int
     ) -> str:
         """Return the reservation's token, empty if the engine has no free capacity."""
-        question = self._sending.interface.reserve(endpoint.endpoint_id, tokens, ttl_ms)
+        question = self._sender.interface.reserve(endpoint.endpoint_id, tokens, ttl_ms)
         try:
-            status, body = self._sending.ask(
-                endpoint, question, Deadline.after(ANSWER_SECONDS), context.gone
+            status, body = self._sender.ask(
+                endpoint,
+                question,
+                Deadline.after(ANSWER_SECONDS),
+                context.client_disconnected,
             )
         except EndpointError as error:
-            self._sending.note_error(Attempts(), endpoint, error)
+            self._sender.note_error(Attempts(), endpoint, error)
             return ""
         extra: dict[str, object] = {
             "request_id": context.request.request_id,
@@ -210,7 +213,7 @@
             "body": body[:100].decode("latin-1"),
         }
         if status == 200:
-            read = self._sending.interface.read_reservation(body)
+            read = self._sender.interface.read_reservation(body)
             if isinstance(read, Success):
                 return read.unwrap()
             extra["problem"] = read.failure()
--- a/src/jujubeslip/forwarding/_return_times.py
+++ b/src/jujubeslip/forwarding/_return_times.py
@@ -21,7 +21,7 @@
 SPREAD_SHARE = 0.2
 
 
-def return_seconds(forecast: float, position: float | None = None) -> float:
+def retry_after_seconds(forecast: float, position: float | None = None) -> float:
     """Return the Retry-After seconds of a request that was forecast to wait so long.
 
     By then the requests that were queued before it have found capacity. `position`,
--- a/src/jujubeslip/forwarding/_routes_follower.py
+++ b/src/jujubeslip/forwarding/_routes_follower.py
@@ -61,7 +61,7 @@
         """Return how long the version has been in force on this host."""
         return steady_seconds() - self._in_force_since
 
-    def take(self, update: News) -> None:
+    def apply_update(self, update: News) -> None:
         """Fetch the version that a control host announced, if it is newer."""
         with self._lock:
             if update.configuration_version > self.version:
--- a/src/jujubeslip/forwarding/_sending.py
+++ b/src/jujubeslip/forwarding/_sending.py
@@ -23,7 +23,7 @@
 )
 from jujubeslip.forwarding._budget import RetryBudgets
 from jujubeslip.forwarding._choice import Chooser
-from jujubeslip.forwarding._crashes import CrashWatch
+from jujubeslip.forwarding._crashes import CrashDetector
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._exchange import Exchange
 from jujubeslip.forwarding._health import EndpointHealth
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Sending:
+class EndpointSender:
     """Sends requests to endpoints and records the outcomes for later choices."""
 
     interface: Interface
@@ -58,7 +58,7 @@
     chooser: Chooser
     health: EndpointHealth
     budgets: RetryBudgets
-    crashes: CrashWatch
+    crashes: CrashDetector
     quarantine: Quarantine
     limits: EndpointLimits
 
@@ -80,7 +80,7 @@
             self.interface,
             endpoint,
             context.request,
-            context.gone,
+            context.client_disconnected,
             self.notices,
         )
 
@@ -89,7 +89,7 @@
         endpoint: Endpoint,
         question: EndpointQuestion,
         deadline: Deadline,
-        gone: Interrupted = never_interrupted,
+        client_disconnected: Interrupted = never_interrupted,
     ) -> tuple[int, bytes]:
         """Send the endpoint a question of this host; return status and body."""
         return ask_endpoint(
@@ -99,7 +99,7 @@
             endpoint,
             question,
             deadline,
-            gone,
+            client_disconnected,
         )
 
     def charge_endpoint_limit(
@@ -111,7 +111,7 @@
         """
         if self.is_on_hold(attempts, endpoint):
             return False
-        wait = self.limits.take(context.request.request_id, endpoint.start_id)
+        wait = self.limits.spend(context.request.request_id, endpoint.start_id)
         if wait > 0:
             attempts.note(endpoint.start_id, "its limit is used")
         return wait == 0
@@ -165,12 +165,12 @@
             self.budgets.note_request(context.service_name)
         elif not self.is_open(context, attempts):
             return False
-        elif not self.budgets.take(context.service_name):
+        elif not self.budgets.spend(context.service_name):
             attempts.note("-", "no retry budget left")
             return False
         attempts.sends += 1
         attempts.latest_sent_at = Deadline.after(0)
-        attempts.answered_from = None
+        attempts.answer_started = None
         return True
 
     def is_open(self, context: ForwardContext, attempts: Attempts) -> bool:
@@ -198,7 +198,7 @@
     ) -> None:
         """Record that a request to an endpoint, which may have run it, failed."""
         if isinstance(error, AnswerCutError):
-            self.crashes.note_cut(context, attempts, endpoint)
+            self.crashes.record_cut_off(context, attempts, endpoint)
         self.note_error(attempts, endpoint, error)
 
     def note_error(
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -9,7 +9,7 @@
 
 from jujubeslip.endpoints import CallerGoneError, Interrupted
 from jujubeslip.forwarding._account_limits import AccountLimits
-from jujubeslip.forwarding._first_endpoints import FirstEndpoints
+from jujubeslip.forwarding._first_endpoints import InitialDiscovery
 from jujubeslip.forwarding._identification import check_account, identify
 from jujubeslip.forwarding._meters import ForwardMeters
 from jujubeslip.forwarding._models import (
@@ -55,7 +55,7 @@
         stream_path: StreamPath,
         meters: ForwardMeters,
         limits: AccountLimits | None = None,
-        initial_discovery: FirstEndpoints | None = None,
+        initial_discovery: InitialDiscovery | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self._quarantine = quarantine or Quarantine(CrashBook(), HarmlessContents())
@@ -66,9 +66,11 @@
         self._plain_path = plain_path
         self._stream_path = stream_path
 
-    def answer(self, request: ForwardedRequest, gone: Interrupted) -> Answer:
+    def answer(
+        self, request: ForwardedRequest, client_disconnected: Interrupted
+    ) -> Answer:
         """Return the answer, or raise RequestRefusedError or CallerGoneError."""
-        context = self._context(request, gone)
+        context = self._context(request, client_disconnected)
         attempts = Attempts()
         try:
             self._quarantine.check(context)
@@ -96,7 +98,9 @@
             self._limits.charge(context, attempts)
         return self._plain_path.answer(context, attempts)
 
-    def _context(self, request: ForwardedRequest, gone: Interrupted) -> ForwardContext:
+    def _context(
+        self, request: ForwardedRequest, client_disconnected: Interrupted
+    ) -> ForwardContext:
         table = self._table_for(request)
         route = table.find_route(request.host, request.path)
         if route is None:
@@ -115,7 +119,7 @@
             route=route,
             service_name=_pick_service(route),
             end_by=_end_deadline(request, route),
-            gone=gone,
+            client_disconnected=client_disconnected,
             target_by=target_of(request, route),
             account=account,
             check_account=partial(
@@ -180,7 +184,7 @@
                 "target_ms": context.route.target_ms,
                 "timeout_ms": context.route.timeout_ms,
                 "client_waits_ms": _client_waits_ms(context.request),
-                "came_back": context.came_back,
+                "came_back": context.is_client_retry,
                 "events": attempts.events,
                 "longest_gap_ms": attempts.longest_gap_ms,
                 "maximum_gap_ms": context.route.maximum_gap_ms,
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -16,7 +16,7 @@
     EndpointRoleError,
     EndpointUnreachableError,
 )
-from jujubeslip.forwarding._crashes import BEGIN_SECONDS
+from jujubeslip.forwarding._crashes import CRASH_WINDOW_SECONDS
 from jujubeslip.forwarding._events import EventSplitter
 from jujubeslip.forwarding._exchange import SUCCESS, Exchange
 from jujubeslip.forwarding._grants import Grant, Grants
@@ -27,9 +27,9 @@
     StreamedAnswer,
     WholeAnswer,
 )
-from jujubeslip.forwarding._prompts import NOT_PREFILLED, PromptLocation, PromptReader
-from jujubeslip.forwarding._return_times import return_seconds
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._prompts import NOT_PREFILLED, Prefiller, PromptLocation
+from jujubeslip.forwarding._return_times import retry_after_seconds
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.interfaces import EndpointCall, EndpointHead
 from jujubeslip.kernel import (
     Deadline,
@@ -60,8 +60,10 @@
 class StreamPath:
     """Obtains a grant at an engine, prefills the prompt, and relays the stream."""
 
-    def __init__(self, sending: Sending, prompts: PromptReader, grants: Grants) -> None:
-        self._sending = sending
+    def __init__(
+        self, sender: EndpointSender, prompts: Prefiller, grants: Grants
+    ) -> None:
+        self._sender = sender
         self._prompts = prompts
         self._grants = grants
 
@@ -83,17 +85,17 @@
         # None until a prefill engine was asked; NOT_PREFILLED once the decode engine
         # has to prefill the prompt itself.
         prompt_location = NOT_PREFILLED if resume_after else None
-        while self._sending.is_open(context, attempts):
+        while self._sender.is_open(context, attempts):
             grant = self._find_grant(
                 context, attempts, prompt_location == NOT_PREFILLED
             )
             if grant is None:
                 break
             with ExitStack() as resources:
-                resources.callback(grant.at_end)
+                resources.callback(grant.release_at_end)
                 with ExitStack() as before_run:
-                    before_run.callback(grant.before_run)
-                    if not self._sending.charge_endpoint_limit(
+                    before_run.callback(grant.release_before_run)
+                    if not self._sender.charge_endpoint_limit(
                         context, attempts, grant.endpoint
                     ):
                         continue
@@ -102,7 +104,7 @@
                     )
                     if not self._can_start(attempts, grant, prompt_location):
                         continue
-                    if not self._sending.may_send(context, attempts):
+                    if not self._sender.may_send(context, attempts):
                         break
                 call = _call(context, grant, prompt_location, resume_after)
                 try:
@@ -115,29 +117,29 @@
                         prompt_location = NOT_PREFILLED
                     continue
             if isinstance(started, _Run):
-                grant.prompt_read()
+                grant.report_prefilled()
                 return started
             failed = started
             self._note_failed(attempts, grant.endpoint)
         if failed is not None:
             return failed
-        raise self._sending.refusal(context, attempts, EndpointRole.DECODE)
+        raise self._sender.refusal(context, attempts, EndpointRole.DECODE)
 
     def _can_start(
         self, attempts: Attempts, grant: Grant, prompt_location: PromptLocation | None
     ) -> bool:
         """Return whether the run can start at the granted engine now."""
-        if self._sending.chooser.is_over(grant.endpoint):
+        if self._sender.chooser.is_over(grant.endpoint):
             # The engine restarted during the prefill.
             attempts.tried.add(grant.endpoint.start_id)
             return False
-        if self._sending.is_on_hold(attempts, grant.endpoint):
+        if self._sender.is_on_hold(attempts, grant.endpoint):
             return False
         # When the granted prefill engine failed, the leader has to grant another one,
         # or has to know which decode engine prefills the prompt: that engine's other
         # streams stall meanwhile.
         not_prefilled = prompt_location in (None, NOT_PREFILLED)
-        return not (not_prefilled and grant.reader is not None)
+        return not (not_prefilled and grant.prefill_engine is not None)
 
     def _locate_prompt(
         self,
@@ -160,15 +162,15 @@
             return prompt_location
         if prompt_location is None:
             prompt_location = self._prefill_prompt(context, attempts, grant)
-        grant.prompt_read()
+        grant.report_prefilled()
         return prompt_location
 
     def _prefill_prompt(
         self, context: ForwardContext, attempts: Attempts, grant: Grant
     ) -> PromptLocation | None:
-        prefill_engine = grant.reader
+        prefill_engine = grant.prefill_engine
         location = self._prompts.prefill(
-            context, attempts, prefill_engine, grant.read_seconds
+            context, attempts, prefill_engine, grant.prefill_seconds
         )
         not_prefilled = location == NOT_PREFILLED and prefill_engine is not None
         asks_again = not_prefilled and self._prompts.may_ask(context, attempts)
@@ -182,7 +184,7 @@
         prompt_location: PromptLocation | None,
         error: EndpointError,
     ) -> None:
-        self._sending.note_request_error(context, attempts, grant.endpoint, error)
+        self._sender.note_request_error(context, attempts, grant.endpoint, error)
         was_prefilled = prompt_location is not None and prompt_location != NOT_PREFILLED
         if was_prefilled and isinstance(error, EndpointRefusedError):
             # The refusal may concern the prompt's KV cache, which expires; the same
@@ -199,7 +201,7 @@
         Raises RequestRefusedError if engines exist but have no free capacity in time.
         """
         grant = self._grants.find(context, attempts, reads_itself)
-        if grant is None and attempts.found_no_room and not attempts.may_have_run:
+        if grant is None and attempts.found_no_capacity and not attempts.may_have_run:
             raise no_capacity_refusal(attempts)
         if grant is not None and not attempts.may_have_run:
             self._recheck_request(context, grant)
@@ -212,17 +214,17 @@
         """
         try:
             context.check_account()
-            self._sending.quarantine.check(context)
+            self._sender.quarantine.check(context)
         except RequestRefusedError:
-            grant.before_run()
-            grant.at_end()
+            grant.release_before_run()
+            grant.release_at_end()
             raise
 
     def _note_failed(self, attempts: Attempts, endpoint: Endpoint) -> None:
         """Record a failure that the engine itself reported: the request has run."""
         attempts.runs += 1
         attempts.tried.add(endpoint.start_id)
-        self._sending.health.note_failure(endpoint.start_id)
+        self._sender.health.note_failure(endpoint.start_id)
 
     def _run(
         self,
@@ -237,9 +239,9 @@
         A returned run takes over `resources` and closes them at its end.
         """
         with ExitStack() as stack:
-            health = self._sending.health
+            health = self._sender.health
             stack.enter_context(health.track_request(endpoint.start_id))
-            exchange = stack.enter_context(self._sending.exchange(context, endpoint))
+            exchange = stack.enter_context(self._sender.exchange(context, endpoint))
             head = exchange.call(call, self._silence_deadline(context, attempts))
             if head.status not in SUCCESS:
                 attempts.note(endpoint.start_id, str(head.status))
@@ -254,7 +256,7 @@
                     )
                 first_events = splitter.take(part)
             attempts.note(endpoint.start_id, "streams")
-            attempts.answered_from = Deadline.after(0)
+            attempts.answer_started = Deadline.after(0)
             if attempts.first_event_ms is None:
                 attempts.first_event_ms = attempts.elapsed_ms
             stack.push(resources.pop_all())
@@ -272,7 +274,9 @@
         """
         route = context.route
         may_resume = attempts.runs + 1 < route.maximum_attempts and route.repeatable
-        if not may_resume or not self._sending.budgets.has_one(context.service_name):
+        if not may_resume or not self._sender.budgets.has_retry_left(
+            context.service_name
+        ):
             return context.end_by
         seconds = SILENCE_SHARE * route.patience_ms / 1000
         return context.end_by.earlier_of(Deadline.after(seconds))
@@ -287,10 +291,10 @@
         while True:
             try:
                 yield from self._events_of(context, attempts, run)
-                self._sending.health.note_success(run.endpoint.start_id)
+                self._sender.health.note_success(run.endpoint.start_id)
                 return
             except EndpointError as error:
-                self._sending.note_request_error(context, attempts, run.endpoint, error)
+                self._sender.note_request_error(context, attempts, run.endpoint, error)
                 last_event_id = run.splitter.last_event_id
             finally:
                 run.resources.close()
@@ -318,8 +322,11 @@
                 now = steady_seconds()
                 attempts.note_events(now - latest_at)
                 latest_at = now
-                if not is_harmless and attempts.answered_seconds >= BEGIN_SECONDS:
-                    self._sending.quarantine.note_harmless(context)
+                if (
+                    not is_harmless
+                    and attempts.answered_seconds >= CRASH_WINDOW_SECONDS
+                ):
+                    self._sender.quarantine.note_harmless(context)
                     is_harmless = True
                 yield events
         if run.splitter.has_partial_event:
@@ -362,5 +369,5 @@
     return RequestRefusedError(
         "no_room",
         "No engine had free capacity for the request in time.",
-        retry_after=return_seconds(attempts.capacity_wait_forecast),
+        retry_after=retry_after_seconds(attempts.capacity_wait_forecast),
     )
--- a/src/jujubeslip/forwarding/_waiting.py
+++ b/src/jujubeslip/forwarding/_waiting.py
@@ -71,7 +71,7 @@
         with self._changed:
             while not self._is_next(ticket):
                 self._changed.wait(CLIENT_CHECK_SECONDS)
-                if context.gone():
+                if context.client_disconnected():
                     message = "The client closed its connection."
                     raise CallerGoneError(message, Ran.NO)
                 if limit.expired:
--- a/tests/admission/test_engine_follower.py
+++ b/tests/admission/test_engine_follower.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from jujubeslip.admission import _engine_follower
-from jujubeslip.admission._engine_follower import EngineReportPoller
+from jujubeslip.admission import _engine_report_poller
+from jujubeslip.admission._engine_report_poller import EngineReportPoller
 from jujubeslip.endpoints import AnswerCutError, EndpointUnreachableError
 from jujubeslip.interfaces import interfaces
 from jujubeslip.kernel import load_plugins
@@ -47,7 +47,7 @@
         broken = {key: value for key, value in REPORT.items() if key != "kvCapacity"}
         replies = [broken, broken, REPORT]
         monkeypatch.setattr(
-            _engine_follower,
+            _engine_report_poller,
             "ask_endpoint",
             lambda *_: (200, json.dumps(replies.pop(0)).encode()),
         )
@@ -88,7 +88,7 @@
     def poller(
         self, monkeypatch: pytest.MonkeyPatch, lost: list[str]
     ) -> EngineReportPoller:
-        monkeypatch.setattr(_engine_follower, "ask_endpoint", self.reply)
+        monkeypatch.setattr(_engine_report_poller, "ask_endpoint", self.reply)
         self.replies: list[object] = []
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
--- a/tests/admission/test_engine_memory.py
+++ b/tests/admission/test_engine_memory.py
@@ -7,7 +7,7 @@
 from bench.replay._clock import VirtualClock
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._lengths import lengths_of
-from jujubeslip.admission._models import Applicant, Grant, GrantedRequest
+from jujubeslip.admission._models import Grant, GrantedRequest, GrantRequest
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport, RunningAnswer
 from tests.fakes.engines import engine
@@ -48,9 +48,9 @@
 
     def _begin(self, request_id: str) -> None:
         grant_request = _applicant(request_id)
-        grant = Grant(self.memory.endpoint, 0.5, 0, reader=engine("reader"))
+        grant = Grant(self.memory.endpoint, 0.5, 0, prefill_engine=engine("reader"))
         self.memory.admit(GrantedRequest(grant_request, grant, self._clock.now))
-        self.memory.note_read(request_id, 1)
+        self.memory.note_prefilled(request_id, 1)
         self._decode_start_by_id[request_id] = self._clock.now
 
     def _running(self, at: float) -> list[RunningAnswer]:
@@ -70,8 +70,8 @@
         return EngineReport(CAPACITY, used_tokens, 0, running)
 
 
-def _applicant(request_id: str) -> Applicant:
-    return Applicant(
+def _applicant(request_id: str) -> GrantRequest:
+    return GrantRequest(
         request_id,
         1,
         PROMPT_TOKENS,
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -70,7 +70,7 @@
         book.take([engine("engine"), engine("reader", EndpointRole.PREFILL)])
         process: Any = ImmediateProcess()
         interface: Any = None
-        options = MemoryOptions(margin=0.05, caution=1.5)
+        options = MemoryOptions(margin=0.05, safety_deviations=1.5)
         home = AdmissionHome(
             process, book, interface, options, lambda: True, lambda: {"model"}
         )
@@ -104,7 +104,7 @@
         book.take([replace(engine("known"), service_name="named")])
         process: Any = ImmediateProcess()
         interface: Any = None
-        options = MemoryOptions(margin=0.05, caution=1.5)
+        options = MemoryOptions(margin=0.05, safety_deviations=1.5)
         home = AdmissionHome(
             process, book, interface, options, lambda: True, lambda: {"named"}
         )
@@ -134,7 +134,7 @@
         process,
         book,
         interface,
-        MemoryOptions(margin=0.05, caution=1.5),
+        MemoryOptions(margin=0.05, safety_deviations=1.5),
         lambda: True,
         lambda: {"model"},
         ordered_role,
--- a/tests/admission/test_memory_forecast.py
+++ b/tests/admission/test_memory_forecast.py
@@ -12,8 +12,8 @@
 from jujubeslip.routes import EngineReport, RunningAnswer
 
 EVENT_TOKENS, MAXIMUM_EVENTS = 65, 130
-NO_MARGIN = MemoryOptions(margin=0.0, caution=0.0)
-WITH_MARGIN = MemoryOptions(margin=0.05, caution=1.0)
+NO_MARGIN = MemoryOptions(margin=0.0, safety_deviations=0.0)
+WITH_MARGIN = MemoryOptions(margin=0.05, safety_deviations=1.0)
 
 
 def report(*running: RunningAnswer) -> EngineReport:
@@ -47,7 +47,7 @@
         """Guards against reserving memory that no answer could ever use."""
         lengths = lengths_of(1000)
         answers = [GrowingAnswer(5000, 0, 1, lengths) for _ in range(10)]
-        assert forecast_peak(answers, caution=3.0) <= 10 * 6000
+        assert forecast_peak(answers, safety_deviations=3.0) <= 10 * 6000
 
     def test_no_answers_need_nothing(self) -> None:
         assert forecast_peak([]) == 0
--- a/tests/admission/test_pool.py
+++ b/tests/admission/test_pool.py
@@ -12,7 +12,7 @@
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import (
     DEFAULT_WAITING,
-    Applicant,
+    GrantRequest,
     MissingResource,
     WaitingOptions,
 )
@@ -44,8 +44,8 @@
     reads_itself: bool = False,
     prompt_tokens: int = 4000,
     availability_zone: str = "zone-1",
-) -> Applicant:
-    return Applicant(
+) -> GrantRequest:
+    return GrantRequest(
         request_id,
         attempt,
         prompt_tokens=prompt_tokens,
@@ -76,7 +76,7 @@
 def pool_of(
     *engines: str, prefill_engines: tuple[str, ...] = ("reader",)
 ) -> EnginePool:
-    pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5))
+    pool = EnginePool("model", MemoryOptions(margin=0.05, safety_deviations=1.5))
     pool.set_engines(
         [engine(name) for name in engines], [engine(name) for name in prefill_engines]
     )
@@ -93,7 +93,11 @@
 
 def prefill_engine_of(decision: Decision) -> str:
     assert decision.grant is not None
-    return decision.grant.reader.endpoint_id if decision.grant.reader else ""
+    return (
+        decision.grant.prefill_engine.endpoint_id
+        if decision.grant.prefill_engine
+        else ""
+    )
 
 
 class Callers:
@@ -103,7 +107,9 @@
         self._pool = pool
         self._threads = ThreadPoolExecutor(8)
 
-    def ask(self, waiting_request: Applicant, wait: float = 30.0) -> Future[Decision]:
+    def ask(
+        self, waiting_request: GrantRequest, wait: float = 30.0
+    ) -> Future[Decision]:
         waiting = len(self._pool._waiting_by_id)
         future = self._threads.submit(
             self._pool.ask, waiting_request, (), Deadline.after(wait)
@@ -140,7 +146,7 @@
         for number in range(30):
             request_id = f"request-{number}"
             decision = ask_now(pool, request_id)
-            pool.note_read(request_id, 1)
+            pool.note_prefilled(request_id, 1)
             given += decision.grant is not None
         # Counting their prompts only, twenty-three would fit.
         assert 9 <= given <= 17
@@ -156,7 +162,7 @@
         for number in range(4):
             waiting_request = grant_request(f"request-{number}", reads_itself=True)
             decision = pool.ask(waiting_request, ("one",), already_expired())
-            pool.note_read(f"request-{number}", 1)
+            pool.note_prefilled(f"request-{number}", 1)
             assert endpoint_of(decision) == "two"
 
     def test_is_preferably_in_the_availability_zone_of_the_host(self) -> None:
@@ -191,7 +197,7 @@
         for request_id in ids:
             if ask_now(pool, request_id).grant:
                 given.append(request_id)
-            pool.note_read(request_id, 1)
+            pool.note_prefilled(request_id, 1)
         pool.take_report(
             "engine", engine_report(*[RunningAnswer(4000, 1, item) for item in given])
         )
@@ -210,10 +216,10 @@
         running = [RunningAnswer(9_000, 60, f"old-{n}") for n in range(8)]
         full_pool.take_report("engine", engine_report(*running))
         assert endpoint_of(earlier.result(10)) == "engine"
-        full_pool.note_read("earlier", 1)
+        full_pool.note_prefilled("earlier", 1)
         full_pool.take_report("engine", engine_report())
         assert endpoint_of(later.result(10)) == "engine"
-        full_pool.note_read("later", 1)
+        full_pool.note_prefilled("later", 1)
         assert endpoint_of(late.result(10)) == "engine"
 
     def test_request_of_a_lost_host_blocks_no_others(
@@ -289,7 +295,7 @@
         waiting = Callers(loaded_pool).ask(large)
         small = loaded_pool.ask(grant_request("early", target=6), (), already_expired())
         assert small.grant is not None
-        loaded_pool.note_read("early", 1)
+        loaded_pool.note_prefilled("early", 1)
         time.sleep(DEFAULT_WAITING.bypass_seconds)
         late = loaded_pool.ask(grant_request("late", target=6), (), already_expired())
         assert late.grant is None
@@ -341,7 +347,7 @@
     def test_next_attempt_gets_another_grant(self) -> None:
         pool = pool_of("one", "two")
         first = ask_now(pool, "a")
-        pool.note_read("a", 1)
+        pool.note_prefilled("a", 1)
         second = pool.ask(
             grant_request("a", attempt=2), (endpoint_of(first),), already_expired()
         )
@@ -358,8 +364,8 @@
         pool = pool_of("engine")
         given = [ask_now(pool, f"request-{n}").grant for n in range(4)]
         assert given[0] is not None and given[3] is None
-        pool.note_read("request-0", 1)
-        pool.note_read("request-1", 1)
+        pool.note_prefilled("request-0", 1)
+        pool.note_prefilled("request-1", 1)
         assert ask_now(pool, "next").grant is not None
 
     def test_are_granted_with_their_expected_prefill_time(self) -> None:
@@ -375,7 +381,7 @@
         If the decode engine reports first, it would prefill the prompt itself and pause
         all its answers meanwhile.
         """
-        pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5))
+        pool = EnginePool("model", MemoryOptions(margin=0.05, safety_deviations=1.5))
         pool.set_engines([engine("engine")], [engine("reader")])
         pool.take_report("engine", engine_report())
         waiting = Callers(pool).ask(grant_request("a"))
@@ -395,9 +401,9 @@
         """
         pool = pool_of("engine", prefill_engines=())
         first = ask_now(pool, "a")
-        assert first.grant is not None and first.grant.reader is None
+        assert first.grant is not None and first.grant.prefill_engine is None
         assert ask_now(pool, "b").grant is None
-        pool.note_read("a", 1)
+        pool.note_prefilled("a", 1)
         assert ask_now(pool, "c").grant is not None
 
     def test_that_are_long_are_not_prefilled_beside_other_answers(self) -> None:
@@ -434,7 +440,7 @@
     def granted_engine(self, pool: EnginePool, request_id: str) -> str:
         """Return where a request is granted; its prompt is prefilled at once."""
         decision = ask_now(pool, request_id)
-        pool.note_read(request_id, 1)
+        pool.note_prefilled(request_id, 1)
         return endpoint_of(decision)
 
     def announce(
@@ -478,7 +484,7 @@
         for number in range(4):
             decision = ask_now(pool, f"r-{number}")
             assert prefill_engine_of(decision) == "other"
-            pool.note_read(f"r-{number}", 1)
+            pool.note_prefilled(f"r-{number}", 1)
         self.announce(pool, "engine", prefill_engines=("ended",))
         pool.take_report("ended", PREFILL_REPORT)
         assert prefill_engine_of(ask_now(pool, "last")) == "ended"
@@ -542,8 +548,10 @@
     @pytest.fixture
     def pool(self) -> EnginePool:
         """Return a pool whose only prefill engine is busy."""
-        options = WaitingOptions(reader_seconds=0.1)
-        pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5), options)
+        options = WaitingOptions(prefill_wait_seconds=0.1)
+        pool = EnginePool(
+            "model", MemoryOptions(margin=0.05, safety_deviations=1.5), options
+        )
         pool.set_engines([engine("engine")], [engine("reader")])
         pool.take_report("engine", engine_report())
         pool.take_report("reader", PREFILL_REPORT)
@@ -562,7 +570,7 @@
         time.sleep(0.11)
         pool.look_again()
         decision = self.ask(pool, "waits")
-        assert decision.grant is not None and decision.grant.reader is None
+        assert decision.grant is not None and decision.grant.prefill_engine is None
 
     def test_two_are_not_prefilled_in_a_row(self, pool: EnginePool) -> None:
         """The two pauses would be one long pause and make all other answers late."""
@@ -571,7 +579,7 @@
         time.sleep(0.11)
         pool.look_again()
         assert self.ask(pool, "first").grant is not None
-        pool.note_read("first", 1)
+        pool.note_prefilled("first", 1)
         pool.look_again()
         assert self.ask(pool, "second").grant is None
         time.sleep(DECODE_SECONDS_BETWEEN_PREFILLS)
--- a/tests/admission/test_prompt_demand.py
+++ b/tests/admission/test_prompt_demand.py
@@ -31,11 +31,11 @@
         full_pool.take_report("engine", FULL)
         for number in range(4):
             granted = ask_now(granting_pool, f"request-{number}")
-            granting_pool.note_read(f"request-{number}", 1)
+            granting_pool.note_prefilled(f"request-{number}", 1)
             assert granted.grant is not None
             assert ask_now(full_pool, f"request-{number}").grant is None
-        assert full_pool.busy_readers == pytest.approx(
-            granting_pool.busy_readers, rel=0.05
+        assert full_pool.busy_prefill_engines == pytest.approx(
+            granting_pool.busy_prefill_engines, rel=0.05
         )
 
     def test_a_request_that_asks_again_counts_once(self) -> None:
@@ -46,12 +46,14 @@
         other_pool = pool_of("engine")
         other_pool.take_report("engine", FULL)
         ask_now(other_pool, "request")
-        assert pool.busy_readers == pytest.approx(other_pool.busy_readers, rel=0.05)
+        assert pool.busy_prefill_engines == pytest.approx(
+            other_pool.busy_prefill_engines, rel=0.05
+        )
 
     def test_a_request_that_needs_no_prefill_engine_does_not_count(self) -> None:
         pool = pool_of("engine")
         pool.ask(grant_request("request", reads_itself=True), (), already_expired())
-        assert pool.busy_readers == 0.0
+        assert pool.busy_prefill_engines == 0.0
 
 
 class TestDemand:
--- a/tests/admission/test_prompt_queue.py
+++ b/tests/admission/test_prompt_queue.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from jujubeslip.admission import _prompt_queue
+from jujubeslip.admission import _prefill_queue
 from jujubeslip.admission._lengths import lengths_of
-from jujubeslip.admission._models import USABLE_SECONDS, Applicant
-from jujubeslip.admission._prompt_queue import PrefillQueue
+from jujubeslip.admission._models import USABLE_SECONDS, GrantRequest
+from jujubeslip.admission._prefill_queue import PrefillQueue
 from jujubeslip.kernel import Deadline
 from tests.fakes.clock import Clock
 from tests.fakes.engines import engine
@@ -16,12 +16,12 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(_prompt_queue, "steady_seconds", clock.steady_seconds)
+    monkeypatch.setattr(_prefill_queue, "steady_seconds", clock.steady_seconds)
     return clock
 
 
-def prompt(request_id: str, tokens: int) -> Applicant:
-    return Applicant(
+def prompt(request_id: str, tokens: int) -> GrantRequest:
+    return GrantRequest(
         request_id,
         1,
         tokens,
@@ -40,7 +40,7 @@
         for number in range(60):
             queue.add(prompt(str(number), 5000))
             clock.now += 0.5
-            queue.note_read(str(number), 1)
+            queue.note_prefilled(str(number), 1)
         queue.add(prompt("next", 5000))
         assert 0.4 < queue.seconds_left < 0.55
 
@@ -55,8 +55,8 @@
             queue.add(prompt(f"{number}-a", 5000))
             queue.add(prompt(f"{number}-b", 5000))
             clock.now += 1.0
-            queue.note_read(f"{number}-a", 1)
-            queue.note_read(f"{number}-b", 1)
+            queue.note_prefilled(f"{number}-a", 1)
+            queue.note_prefilled(f"{number}-b", 1)
         queue.add(prompt("next", 5000))
         assert 0.35 < queue.seconds_left < 0.55
 
@@ -86,5 +86,5 @@
         assert not queue.usable
 
 
-def _report() -> _prompt_queue.EngineReport:
-    return _prompt_queue.EngineReport(100_000, 0, 0, (), reads_prompts=True)
+def _report() -> _prefill_queue.EngineReport:
+    return _prefill_queue.EngineReport(100_000, 0, 0, (), reads_prompts=True)
--- a/tests/admission/test_request_needs.py
+++ b/tests/admission/test_request_needs.py
@@ -40,8 +40,8 @@
             needs.note(EngineNeed(0.3, 0.6))
         mean = needs.mean
         assert mean is not None
-        assert mean.reading_seconds == pytest.approx(0.2)
-        assert mean.answering_seconds == pytest.approx(0.4)
+        assert mean.prefill_seconds == pytest.approx(0.2)
+        assert mean.decode_seconds == pytest.approx(0.4)
 
     def test_covers_only_the_latest_requests(self) -> None:
         needs = self.needs_with(MAXIMUM_REQUESTS, EngineNeed(0.1, 0.2))
@@ -49,7 +49,7 @@
             needs.note(EngineNeed(0.3, 0.6))
         mean = needs.mean
         assert mean is not None
-        assert mean.reading_seconds == pytest.approx(0.3)
+        assert mean.prefill_seconds == pytest.approx(0.3)
 
 
 class TestNeedOfWaitingRequests:
@@ -58,22 +58,22 @@
     def test_is_part_of_the_engine_use(self) -> None:
         pool = pool_of("engine")
         for number in range(MINIMUM_REQUESTS):
-            assert pool.use.usual_need is None
+            assert pool.use.mean_need is None
             ask_now(pool, f"request-{number}")
-        need = pool.use.usual_need
+        need = pool.use.mean_need
         assert need is not None
         # All lengths are equally likely; on average an answer holds half of its growth.
         events = (MAXIMUM_EVENTS + 1) / 2
         memory_share = (PROMPT_TOKENS + events * EVENT_TOKENS / 2) / CAPACITY
         expected_seconds = memory_share * events / 15
-        assert need.answering_seconds == pytest.approx(expected_seconds, rel=0.1)
-        assert need.reading_seconds == pytest.approx(PROMPT_TOKENS / 40_000, rel=0.1)
+        assert need.decode_seconds == pytest.approx(expected_seconds, rel=0.1)
+        assert need.prefill_seconds == pytest.approx(PROMPT_TOKENS / 40_000, rel=0.1)
 
     def test_counts_a_request_that_asks_again_once(self) -> None:
         pool = pool_of("engine")
         for attempt in range(1, MINIMUM_REQUESTS + 1):
             ask_now(pool, "request", attempt=attempt)
-        assert pool.use.usual_need is None
+        assert pool.use.mean_need is None
 
 
 class TestMeanLength:
--- a/tests/admission/test_room_search.py
+++ b/tests/admission/test_room_search.py
@@ -10,7 +10,7 @@
 from jujubeslip.admission._engines import OTHER_ZONE_COST, ServiceEngines
 from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._memory_forecast import MemoryOptions
-from jujubeslip.admission._models import Applicant, Grant
+from jujubeslip.admission._models import Grant, GrantRequest
 from jujubeslip.admission._pool import MAXIMUM_TRIED, EnginePool
 from jujubeslip.admission._room_changes import CapacityChanges
 from jujubeslip.admission._room_search import CapacitySearch
@@ -20,12 +20,12 @@
 
 CAPACITY = 34_000
 EVENT_TOKENS, MAXIMUM_EVENTS = 13, 130
-OPTIONS = MemoryOptions(margin=0.05, caution=1.5)
+OPTIONS = MemoryOptions(margin=0.05, safety_deviations=1.5)
 PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
 
 
-def grant_request(request_id: str, prompt_tokens: int = 3_200) -> Applicant:
-    return Applicant(
+def grant_request(request_id: str, prompt_tokens: int = 3_200) -> GrantRequest:
+    return GrantRequest(
         request_id,
         attempt=1,
         prompt_tokens=prompt_tokens,
@@ -97,7 +97,7 @@
         original_profile = _engine_memory.EngineMemory.profile
 
         def profile(
-            memory: _engine_memory.EngineMemory, waiting_request: Applicant
+            memory: _engine_memory.EngineMemory, waiting_request: GrantRequest
         ) -> _engine_memory.MemoryProfile:
             forecast_ids.append(memory.endpoint.start_id)
             return original_profile(memory, waiting_request)
--- a/tests/admission/test_starts.py
+++ b/tests/admission/test_starts.py
@@ -44,7 +44,7 @@
 
 
 def pool_at(engine_start: int, reader_start: int) -> EnginePool:
-    pool = EnginePool("model", MemoryOptions(margin=0.05, caution=1.5))
+    pool = EnginePool("model", MemoryOptions(margin=0.05, safety_deviations=1.5))
     set_starts(pool, engine_start, reader_start)
     return pool
 
@@ -96,7 +96,7 @@
         set_starts(pool, SECOND, SECOND)
         second = pool.ask(grant_request("a", attempt=2), (), already_expired())
         pool.end("a", 1)
-        pool.note_read("a", 1)
+        pool.note_prefilled("a", 1)
         again = pool.ask(grant_request("a", attempt=2), (), already_expired())
         assert again.grant is not None and again.grant == second.grant
 
@@ -107,9 +107,9 @@
         set_starts(pool, SECOND, SECOND)
         long = grant_request("a", attempt=2, prompt_tokens=9_000)
         assert prefill_engine_of(pool.ask(long, (), already_expired())) == "reader"
-        pool.note_read("a", 1)
+        pool.note_prefilled("a", 1)
         assert ask_now(pool, "b").grant is None
-        pool.note_read("a", 2)
+        pool.note_prefilled("a", 2)
         assert ask_now(pool, "c").grant is not None
 
     def test_avoided_start_does_not_exclude_the_next_one(self) -> None:
--- a/tests/admission/test_vain_waits.py
+++ b/tests/admission/test_vain_waits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jujubeslip.admission import waits_in_vain
+from jujubeslip.admission import is_wait_unservable
 
 
 class TestUnservableWait:
@@ -21,4 +21,4 @@
     def test_is_refused_only_if_certain(
         self, forecast: float, limit: float, refused: bool
     ) -> None:
-        assert waits_in_vain(forecast, limit) is refused
+        assert is_wait_unservable(forecast, limit) is refused
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -9,7 +9,7 @@
 
 from bench.replay._patterns import PATTERNS
 from bench.replay._play import Outcome, Play, Ways
-from jujubeslip.admission import MemoryOptions, WaitingOptions, _vain_waits
+from jujubeslip.admission import MemoryOptions, WaitingOptions, _unservable_waits
 from jujubeslip.kernel import ControlSettings
 
 PATTERN_BY_NAME = {pattern.name: pattern for pattern in PATTERNS}
@@ -19,8 +19,8 @@
     ControlSettings.memory_margin, ControlSettings.memory_caution
 )
 # A reader that is waited for for good, and a third of a second at most.
-WAITS = WaitingOptions(reader_seconds=60.0)
-READS_BESIDE = WaitingOptions(reader_seconds=0.3)
+WAITS = WaitingOptions(prefill_wait_seconds=60.0)
+READS_BESIDE = WaitingOptions(prefill_wait_seconds=0.3)
 
 
 def outcomes(name: str, ways: Ways) -> list[Outcome]:
@@ -60,16 +60,16 @@
     """
 
     @staticmethod
-    def played(caution: float) -> list[Outcome]:
-        memory = MemoryOptions(margin=0.05, caution=caution)
+    def played(safety_deviations: float) -> list[Outcome]:
+        memory = MemoryOptions(margin=0.05, safety_deviations=safety_deviations)
         return outcomes("engines lost in a burst", Ways(memory, READS_BESIDE))
 
     def test_serve_more_with_less_left_free(self) -> None:
-        careful, usual = self.played(2.5), self.played(DEFAULT_MEMORY.caution)
+        careful, usual = self.played(2.5), self.played(DEFAULT_MEMORY.safety_deviations)
         assert worth(usual) > worth(careful)
 
     def test_push_hardly_any_answer_out(self) -> None:
-        usual = self.played(DEFAULT_MEMORY.caution)
+        usual = self.played(DEFAULT_MEMORY.safety_deviations)
         pushed_out = sum(item.pushed_out for item in usual)
         assert pushed_out <= 0.01 * sum(item.asked for item in usual)
 
@@ -88,7 +88,7 @@
         self, name: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         ways = Ways(DEFAULT_MEMORY, READS_BESIDE)
-        monkeypatch.setattr(_vain_waits, "CERTAIN_TIMES", 1.0)
+        monkeypatch.setattr(_unservable_waits, "CERTAIN_TIMES", 1.0)
         before = outcomes(name, ways)
         monkeypatch.undo()
         now = outcomes(name, ways)
--- a/tests/control/test_balance_replay.py
+++ b/tests/control/test_balance_replay.py
@@ -238,7 +238,7 @@
             RoleShares(),
         )
         need = EngineNeed(
-            reading_seconds=0.1, answering_seconds=0.1 * self.DECODE_PER_PREFILL
+            prefill_seconds=0.1, decode_seconds=0.1 * self.DECODE_PER_PREFILL
         )
         served, asked_for, now, changed_at = 0.0, 0.0, 0.0, 0.0
         while now < self.BURST_SPAN[1]:
--- a/tests/control/test_endpoint_limit_keeper.py
+++ b/tests/control/test_endpoint_limit_keeper.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from jujubeslip.control import _endpoint_limit_keeper, _limit_keeper
-from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
+from jujubeslip.control import _endpoint_limit_manager, _limit_manager
+from jujubeslip.control._endpoint_limit_manager import EndpointLimitManager
 from jujubeslip.notices import KEPT_SECONDS
 from jujubeslip.peers import EndpointSpending
 from tests.fakes.clock import Clock
@@ -17,8 +17,8 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
     for name in (
-        _endpoint_limit_keeper.__name__,
-        _limit_keeper.__name__,
+        _endpoint_limit_manager.__name__,
+        _limit_manager.__name__,
         "jujubeslip.kernel._deadlines",
     ):
         monkeypatch.setattr(f"{name}.steady_seconds", clock.steady_seconds)
--- a/tests/control/test_machine.py
+++ b/tests/control/test_machine.py
@@ -10,7 +10,7 @@
 from jujubeslip.control._claims import ClaimsFull, ClaimTable
 from jujubeslip.control._commands import Command, make_entry
 from jujubeslip.control._configurations import ChangeIdReused
-from jujubeslip.control._engine_table import ORDER_MS
+from jujubeslip.control._engine_table import ORDER_EXPIRY_MS
 from jujubeslip.control._errors import StorageDamagedError
 from jujubeslip.control._machine import StateMachine
 from jujubeslip.control._snapshots import (
@@ -268,15 +268,15 @@
         applier = Applier()
         applier.apply(EngineOrder("e-1", EndpointRole.DECODE), 1000)
         table = applier.machine.engines
-        [record] = table.orders_at(1000 + ORDER_MS - 1)
+        [record] = table.orders_at(1000 + ORDER_EXPIRY_MS - 1)
         assert record.order.start_id == "e-1"
-        assert not table.orders_at(1000 + ORDER_MS)
+        assert not table.orders_at(1000 + ORDER_EXPIRY_MS)
 
     def test_expired_orders_are_removed(self) -> None:
         applier = Applier()
         for number in range(100):
             order = EngineOrder(f"e-{number}", EndpointRole.DECODE)
-            applier.apply(order, number * ORDER_MS)
+            applier.apply(order, number * ORDER_EXPIRY_MS)
         [part] = [part for part in applier.machine.parts() if part.orders or part.loads]
         assert [record.order.start_id for record in part.orders] == ["e-99"]
 
--- a/tests/control/test_orders_across_leads.py
+++ b/tests/control/test_orders_across_leads.py
@@ -15,10 +15,10 @@
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._engine_table import EngineTable
-from jujubeslip.control._given_orders import GivenOrders
+from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence, Leadership
 from jujubeslip.control._role_balance import SATURATED_SECONDS, EnginesByRole
-from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleKeeper
+from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleManager
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.endpoints import EndpointError
 from jujubeslip.interfaces import EndpointQuestion
@@ -53,9 +53,9 @@
         """Apply a command at this log time."""
         self.last_stamp_ms = stamp_ms
         if isinstance(command, EngineOrder):
-            self.engines.note_order(command, stamp_ms)
+            self.engines.add_order(command, stamp_ms)
         else:
-            self.engines.note_loads(command, stamp_ms)
+            self.engines.set_loads(command, stamp_ms)
 
 
 class Host:
@@ -76,7 +76,7 @@
         self.busy_prefill_engines = 0.0
         self.commit_seconds = 0.0
         self.has_lease = True
-        self.orders = GivenOrders()
+        self.orders = OutstandingOrders()
         self._log = log
         self._clock = clock
         self._leadership: Leadership | None = None
@@ -95,7 +95,7 @@
         watches: Any = SimpleNamespace(
             pressure_of=lambda _: pressure(waited=0, prompt_ms=0)
         )
-        self.manager = RoleKeeper(
+        self.manager = RoleManager(
             replica,
             EngineLog(replica),
             registry,
@@ -109,7 +109,7 @@
             lambda _: EngineUse(
                 self.busy_prefill_engines, 3 * self.busy_prefill_engines
             ),
-            reports_now=lambda item: item.endpoint_id not in crashed,
+            has_recent_report=lambda item: item.endpoint_id not in crashed,
             answer_count=lambda item: self.decodes_by_id.get(item.endpoint_id, 0),
         )
         self.manager._ask = self._ask  # type: ignore[method-assign]
@@ -123,13 +123,13 @@
         """Lose the leadership."""
         self._leadership = None
 
-    def look(self, seconds: float = 0.0) -> None:
+    def scan(self, seconds: float = 0.0) -> None:
         """Scan once, and then repeatedly for this many seconds."""
-        self.manager.look()
+        self.manager.scan()
         for _ in range(round(seconds / SCAN_INTERVAL_SECONDS)):
             self._clock.now += SCAN_INTERVAL_SECONDS
             self._announce_again()
-            self.manager.look()
+            self.manager.scan()
 
     def _announce_again(self) -> None:
         """Let all engines that are not leaving report now."""
@@ -199,7 +199,7 @@
         leader = hosts.new("control-1")
         leader.start_leading(1)
         leader.fake_engines.status = REFUSED
-        leader.look()
+        leader.scan()
         assert leader.fake_engines.orders == 1
         hosts.clock.now += ORDER_LEASE_SECONDS
         return leader
@@ -208,7 +208,7 @@
         self.refused(hosts).stop_leading()
         successor = hosts.new("control-2")
         successor.start_leading(2)
-        successor.look()
+        successor.scan()
         group = engines(0, 3).decode
         assert [successor.orders.role_of(item) for item in group].count(
             EndpointRole.PREFILL
@@ -219,17 +219,17 @@
     ) -> None:
         leader = self.refused(hosts)
         leader.has_lease = False
-        leader.look()
+        leader.scan()
         leader.has_lease = True
         leader.fake_engines.status = ACCEPTED
-        leader.look()
+        leader.scan()
         roles = map(leader.orders.role_of, engines(0, 3).decode)
         assert list(roles).count(EndpointRole.PREFILL) == leader.fake_engines.orders - 1
 
     def test_another_engine_may_be_ordered_to_prefill(self, hosts: Hosts) -> None:
         leader = self.refused(hosts)
         leader.fake_engines.status = ACCEPTED
-        leader.look()
+        leader.scan()
         assert leader.fake_engines.orders == 2
 
 
@@ -242,22 +242,22 @@
         hosts.announce(group)
         leader = hosts.new("control-1")
         leader.start_leading(1)
-        leader.look()
+        leader.scan()
         ordered = next(item for item in group.decode if leader.orders.role_of(item))
         hosts.registry.take([replace(ordered, leaving=True, sequence=2)])
         return leader
 
     def test_is_replaced_at_the_next_scan(self, hosts: Hosts) -> None:
         leader = self.leader(hosts)
-        leader.look(SCAN_INTERVAL_SECONDS)
+        leader.scan(SCAN_INTERVAL_SECONDS)
         assert leader.fake_engines.orders == 2
 
     def test_is_replaced_by_the_same_host_in_a_later_term(self, hosts: Hosts) -> None:
         leader = self.leader(hosts)
         leader.stop_leading()
-        leader.look(ORDER_LEASE_SECONDS)
+        leader.scan(ORDER_LEASE_SECONDS)
         leader.start_leading(3)
-        leader.look()
+        leader.scan()
         assert leader.fake_engines.orders == 2
 
 
@@ -280,7 +280,7 @@
         self.carried_out(hosts, group, EndpointRole.DECODE)
         successor = hosts.new("control-2")
         successor.start_leading(2)
-        successor.look()
+        successor.scan()
         assert successor.fake_engines.orders == 1
 
     @pytest.mark.parametrize("role", [EndpointRole.DECODE, EndpointRole.PREFILL])
@@ -296,7 +296,7 @@
         )
         monkeypatch.setattr(successor.manager, "_prefill_load", lambda _: load)
         successor.start_leading(2)
-        successor.look()
+        successor.scan()
         assert successor.fake_engines.orders >= 1
 
 
@@ -309,7 +309,7 @@
         leader.start_leading(1)
         leader.decodes_by_id = {"d-0": 4, "d-2": 5}
         hosts.crashed.add("d-1")
-        leader.look(2 * SCAN_INTERVAL_SECONDS)
+        leader.scan(2 * SCAN_INTERVAL_SECONDS)
         assert leader.fake_engines.orders == 1
 
 
@@ -325,7 +325,7 @@
         hosts.log.last_stamp_ms = LOG_AGE_MS
         successor = hosts.new("control-2")
         successor.start_leading(2)
-        successor.look(ORDER_LEASE_SECONDS - SCAN_INTERVAL_SECONDS)
+        successor.scan(ORDER_LEASE_SECONDS - SCAN_INTERVAL_SECONDS)
         assert successor.fake_engines.orders == 0
 
 
@@ -337,7 +337,7 @@
         successor = hosts.new("control-2")
         successor.start_leading(2)
         successor.busy_prefill_engines = 2.0
-        successor.look()
+        successor.scan()
         assert successor.fake_engines.orders == 0
 
     def test_orders_one_once_the_load_lasts(self, hosts: Hosts) -> None:
@@ -345,7 +345,7 @@
         successor = hosts.new("control-2")
         successor.start_leading(2)
         successor.busy_prefill_engines = 2.0
-        successor.look(SATURATED_SECONDS + SCAN_INTERVAL_SECONDS)
+        successor.scan(SATURATED_SECONDS + SCAN_INTERVAL_SECONDS)
         assert successor.fake_engines.orders >= 1
 
 
@@ -358,7 +358,7 @@
         hosts.announce(group)
         leader = hosts.new("control-1")
         leader.start_leading(1)
-        leader.look(60.0)
+        leader.scan(60.0)
         leader.stop_leading()
         prefill_engine = hosts.registry.find(group.prefill[0].endpoint_id)
         assert prefill_engine is not None
@@ -371,7 +371,7 @@
         )
         successor = hosts.new("control-2")
         successor.start_leading(2)
-        successor.look()
+        successor.scan()
         assert successor.fake_engines.orders == 1
 
 
@@ -384,13 +384,13 @@
         leader = hosts.new("control-1")
         leader.start_leading(1)
         leader.busy_prefill_engines = 1.5
-        leader.look(10.0)
+        leader.scan(10.0)
         return leader
 
     def test_is_forgotten_while_there_are_no_requests(self, hosts: Hosts) -> None:
         leader = self.loaded(hosts)
         leader.busy_prefill_engines = 0.0
-        leader.look(60.0)
+        leader.scan(60.0)
         leader.stop_leading()
         successor = hosts.new("control-2")
         successor.start_leading(2)
@@ -401,7 +401,7 @@
         for term in range(2, 12):
             successor = hosts.new(f"control-{term}")
             successor.start_leading(term)
-            successor.look(3.0)
+            successor.scan(3.0)
             successor.stop_leading()
         last = hosts.new("control-12")
         last.start_leading(12)
@@ -416,5 +416,5 @@
         leader = hosts.new("control-1")
         leader.start_leading(1)
         leader.commit_seconds = 0.4
-        leader.look(1.0)
+        leader.scan(1.0)
         assert leader.fake_engines.orders == 1
--- a/tests/control/test_role_balance.py
+++ b/tests/control/test_role_balance.py
@@ -6,9 +6,9 @@
 
 from jujubeslip.admission import EngineNeed, EngineUse
 from jujubeslip.control._role_balance import (
+    OBSERVATION_SECONDS,
     PREFILL_ENGINES_WITH_SPARE,
     SATURATED_SECONDS,
-    WATCHED_SECONDS,
     EnginesByRole,
     PrefillLoad,
     RoleShares,
@@ -54,7 +54,7 @@
     load = PrefillLoad()
     load.record(0.05, peak)
     load.record(0.1, 0.1)
-    load.record(WATCHED_SECONDS + 0.05, 0.1)
+    load.record(OBSERVATION_SECONDS + 0.05, 0.1)
     return load
 
 
@@ -85,7 +85,7 @@
         assert len(before[-1].decode) == 7
 
     def test_none_changes_before_the_load_was_observed(self) -> None:
-        early = [group for now, group in self.replay() if now < WATCHED_SECONDS]
+        early = [group for now, group in self.replay() if now < OBSERVATION_SECONDS]
         assert all(len(group.prefill) == 4 for group in early)
 
     def test_none_is_ordered_back(self) -> None:
@@ -108,7 +108,7 @@
         self, prefill: int, peak: float, left: int
     ) -> None:
         needed = needed_prefill_engines(
-            observed_load(peak), WATCHED_SECONDS + 0.2, False
+            observed_load(peak), OBSERVATION_SECONDS + 0.2, False
         )
         assert needed is not None
         assert prefill - len(idle_prefill_engines(engines(prefill, 5), needed)) == left
@@ -121,7 +121,7 @@
         waited 15 s for decode memory.
         """
         needed = needed_prefill_engines(
-            observed_load(peak), WATCHED_SECONDS + 0.2, True
+            observed_load(peak), OBSERVATION_SECONDS + 0.2, True
         )
         assert needed is not None
         assert 4 - len(idle_prefill_engines(engines(4, 5), needed)) == left
@@ -226,7 +226,7 @@
         load = PrefillLoad()
         load.record(0.0, 5.0)
         now = 0.5
-        while now < 3 * WATCHED_SECONDS:
+        while now < 3 * OBSERVATION_SECONDS:
             load.record(now, 0.0)
             now += bursts.STEP_SECONDS
         assert needed_prefill_engines(load, now, lacks_memory=False) is None
@@ -266,12 +266,12 @@
         assert RoleShares().useful_prefill_engines(engines(4, 5), 20.0) is None
 
     def test_follow_the_expected_needs_of_the_first_requests(self) -> None:
-        need = EngineNeed(reading_seconds=0.1, answering_seconds=0.4)
+        need = EngineNeed(prefill_seconds=0.1, decode_seconds=0.4)
         shares = self.shares(EngineUse(0.1, 0.0, need), seconds=1.0)
         assert shares.useful_prefill_engines(engines(24, 46), 1.0) == 14
 
     def test_follow_the_observed_use_once_known(self) -> None:
-        need = EngineNeed(reading_seconds=0.1, answering_seconds=0.4)
+        need = EngineNeed(prefill_seconds=0.1, decode_seconds=0.4)
         shares = self.shares(EngineUse(3.0, 3.0, need))
         assert shares.useful_prefill_engines(engines(24, 46), 20.0) == 35
 
--- a/tests/control/test_roles.py
+++ b/tests/control/test_roles.py
@@ -15,13 +15,16 @@
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog, PendingOrder
 from jujubeslip.control._engine_table import ORDER_EXPIRY_SECONDS
-from jujubeslip.control._given_orders import GivenOrders
+from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
-from jujubeslip.control._role_balance import MINIMUM_SHORTAGE_SECONDS, WATCHED_SECONDS
+from jujubeslip.control._role_balance import (
+    MINIMUM_SHORTAGE_SECONDS,
+    OBSERVATION_SECONDS,
+)
 from jujubeslip.control._roles import (
     BOOTSTRAP_MARGIN_SECONDS,
     EnginesByRole,
-    RoleKeeper,
+    RoleManager,
     choose_role_change,
 )
 from jujubeslip.discovery import Endpoint, EndpointBook
@@ -96,7 +99,7 @@
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         for changing in group.prefill:
             manager._orders.record(changing, EndpointRole.DECODE)
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
 
 
@@ -114,7 +117,7 @@
             {"model"},
             answer_count=lambda item: decodes_by_id[item.endpoint_id],
         )
-        manager.look()
+        manager.scan()
         assert manager._orders.role_of(group.decode[1]) is EndpointRole.PREFILL
 
 
@@ -216,7 +219,7 @@
         registry.take(engines(0, 3).decode)
         manager, fake_engines = role_manager(monkeypatch, registry, configured)
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == orders
 
 
@@ -232,10 +235,10 @@
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         fake_engines.report = {**REPORT, "seq": "0"}
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
         fake_engines.report = REPORT
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
 
 
@@ -244,10 +247,10 @@
     registry: EndpointBook,
     configured: set[str],
     notices: EndpointNotices | None = None,
-    reports_now: Callable[[Endpoint], bool] = lambda _: True,
+    has_recent_report: Callable[[Endpoint], bool] = lambda _: True,
     engine_log: FakeEngineLog | None = None,
     answer_count: Callable[[Endpoint], int] = lambda _: 0,
-) -> tuple[RoleKeeper, FakeEngines]:
+) -> tuple[RoleManager, FakeEngines]:
     """Return a role manager of these services, and the engines that it calls."""
     watches: Any = SimpleNamespace(pressure_of=lambda name: pressure())
     replica: Any = SimpleNamespace(
@@ -258,7 +261,7 @@
     interface: Any = SimpleNamespace(
         ask_report=ask_report, read_report=read_report, order_role=order_role
     )
-    manager = RoleKeeper(
+    manager = RoleManager(
         replica,
         engine_log or FakeEngineLog(),
         registry,
@@ -266,12 +269,12 @@
         interface,
         3.0,
         lambda: configured,
-        GivenOrders(),
+        OutstandingOrders(),
         lambda _: 0.0,
         lambda: None,
         lambda _: EngineUse(0.0, 0.0),
         notices,
-        reports_now,
+        has_recent_report,
         answer_count,
     )
     fake_engines = FakeEngines()
@@ -294,11 +297,11 @@
         monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
         leases = [Deadline.after(0.1), Deadline.after(10), Deadline.after(10)]
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, leases.pop(0)))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
 
 
@@ -321,7 +324,7 @@
         fake_engines.report = REPORT if reports is None else {**REPORT, "born": reports}
         monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == orders
 
 
@@ -334,7 +337,7 @@
 
     def manager(
         self, monkeypatch: pytest.MonkeyPatch, prefill: int
-    ) -> tuple[RoleKeeper, FakeEngines]:
+    ) -> tuple[RoleManager, FakeEngines]:
         """Return a manager of this many prefill engines, of which one is busy."""
         group = engines(prefill, 5)
         registry = EndpointBook()
@@ -350,7 +353,7 @@
     def test_are_ordered_once(self, monkeypatch: pytest.MonkeyPatch) -> None:
         manager, fake_engines = self.manager(monkeypatch, prefill=4)
         for _ in range(3):
-            manager.look()
+            manager.scan()
         assert fake_engines.orders == 2
 
     def test_are_ordered_again_after_a_refusal(
@@ -358,31 +361,31 @@
     ) -> None:
         manager, fake_engines = self.manager(monkeypatch, prefill=3)
         fake_engines.status = 409
-        manager.look()
+        manager.scan()
         fake_engines.status = 202
-        manager.look()
-        manager.look()
+        manager.scan()
+        manager.scan()
         assert fake_engines.orders == 2
 
     def test_are_ordered_few_at_a_time(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """An engine serves in neither role until it is known to have changed."""
         manager, fake_engines = self.manager(monkeypatch, prefill=6)
-        manager.look()
-        manager.look()
+        manager.scan()
+        manager.scan()
         assert fake_engines.orders == 2
 
     def test_more_are_ordered_once_the_first_have_changed(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         manager, fake_engines = self.manager(monkeypatch, prefill=6)
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 2
         group = engines(6, 5)
         for changed in group.prefill[:2]:
             manager._registry.take(
                 [replace(changed, role=EndpointRole.DECODE, sequence=9)]
             )
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 4
 
 
@@ -409,7 +412,7 @@
             record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: busy[0]
         )
         monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
         busy[0] = 0.0
         back = engine("back", EndpointRole.PREFILL)
@@ -419,7 +422,7 @@
                 item for item in group.decode if manager._orders.role_of(item)
             )
             registry.take([replace(ordered, role=EndpointRole.PREFILL, sequence=9)])
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == orders
 
 
@@ -438,14 +441,14 @@
             monkeypatch,
             registry,
             {"model"},
-            reports_now=lambda item: reports or item.start_id != crashed,
+            has_recent_report=lambda item: reports or item.start_id != crashed,
         )
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         load = SimpleNamespace(
             record=lambda *_: None, peak=lambda _: 1.0, sustained=lambda _: 0.0
         )
         monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == orders
 
 
@@ -472,12 +475,12 @@
             sustained=lambda _: sustained[0],
         )
         monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
         sustained[0] = 4.0
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 2
 
 
@@ -494,8 +497,8 @@
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         manager._prefill_load("model").record(0.0, 1.0)
         monkeypatch.setattr(manager._replica, "fence", lambda: None)
-        manager.look()
-        assert manager._prefill_load("model").peak(WATCHED_SECONDS) is None
+        manager.scan()
+        assert manager._prefill_load("model").peak(OBSERVATION_SECONDS) is None
         assert fake_engines.orders == 0
 
 
@@ -511,7 +514,7 @@
             notices.note_other_answer(leaving, head)
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"}, notices)
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
 
     def test_is_not_called(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -528,7 +531,7 @@
 
     def manager(
         self, monkeypatch: pytest.MonkeyPatch, group: EnginesByRole
-    ) -> tuple[RoleKeeper, FakeEngines]:
+    ) -> tuple[RoleManager, FakeEngines]:
         """Return a manager whose first prefill engine is ordered to decode."""
         registry = EndpointBook()
         registry.take([*group.prefill, *group.decode])
@@ -542,7 +545,7 @@
     ) -> None:
         manager, fake_engines = self.manager(monkeypatch, engines(1, 2))
         for _ in range(2):
-            manager.look()
+            manager.scan()
         assert fake_engines.orders == 1
 
     def test_another_one_is_ordered_when_prompts_need_it(
@@ -554,7 +557,7 @@
         )
         monkeypatch.setattr(manager, "_prefill_load", lambda _: load)
         for _ in range(2):
-            manager.look()
+            manager.scan()
         assert fake_engines.orders == 1
 
 
@@ -571,10 +574,10 @@
         now = steady_seconds()
         monkeypatch.setattr("jujubeslip.control._roles.steady_seconds", lambda: now)
         monkeypatch.setattr(manager, "_fence", lambda: None)
-        manager.look()
+        manager.scan()
         now += 2 * MINIMUM_SHORTAGE_SECONDS
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
 
 
@@ -583,7 +586,7 @@
 
     def manager(
         self, monkeypatch: pytest.MonkeyPatch, engine_log: FakeEngineLog
-    ) -> tuple[RoleKeeper, FakeEngines]:
+    ) -> tuple[RoleManager, FakeEngines]:
         """Return the manager of a new leader, with three decode engines."""
         registry = EndpointBook()
         registry.take(engines(0, 3).decode)
@@ -594,7 +597,7 @@
 
     def test_orders_at_its_first_scan(self, monkeypatch: pytest.MonkeyPatch) -> None:
         manager, fake_engines = self.manager(monkeypatch, FakeEngineLog())
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
 
     def test_skips_an_engine_that_was_ordered(
@@ -603,7 +606,7 @@
         until = Deadline.after(ORDER_EXPIRY_SECONDS)
         pending = PendingOrder("d-0", EndpointRole.PREFILL, Deadline.after(0), until)
         manager, fake_engines = self.manager(monkeypatch, FakeEngineLog([pending]))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
 
     def test_skips_it_even_if_it_has_the_role(
@@ -616,7 +619,7 @@
             for number in range(3)
         ]
         manager, fake_engines = self.manager(monkeypatch, FakeEngineLog(pending))
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
 
     def test_sends_no_order_that_is_not_in_the_log(
@@ -625,7 +628,7 @@
         engine_log = FakeEngineLog()
         engine_log.commits = False
         manager, fake_engines = self.manager(monkeypatch, engine_log)
-        manager.look()
+        manager.scan()
         assert engine_log.recorded and fake_engines.orders == 0
 
     def test_waits_after_the_log_was_bootstrapped(
@@ -634,10 +637,10 @@
         engine_log = FakeEngineLog()
         manager, fake_engines = self.manager(monkeypatch, engine_log)
         engine_log.age = 3.0
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 0
         engine_log.age = 3.0 + BOOTSTRAP_MARGIN_SECONDS
-        manager.look()
+        manager.scan()
         assert fake_engines.orders == 1
 
     def test_starts_with_the_load_of_the_previous_leader(
@@ -645,7 +648,7 @@
     ) -> None:
         load = EngineLoad("model", 0.7, 0.1, 1.9)
         manager, _ = self.manager(monkeypatch, FakeEngineLog(load=load))
-        manager.look()
+        manager.scan()
         now = steady_seconds()
         assert manager._prefill_load("model").peak(now) == load.busiest_readers
         assert manager._role_shares("model").prefill_share(now) == pytest.approx(
--- a/tests/control/test_spare_readers.py
+++ b/tests/control/test_spare_readers.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.admission import EngineNeed, EngineUse
 from jujubeslip.control._role_balance import (
-    WATCHED_SECONDS,
+    OBSERVATION_SECONDS,
     PrefillLoad,
     RoleShares,
     idle_prefill_engines,
@@ -85,9 +85,9 @@
 
     @pytest.mark.parametrize("use", [EngineUse(0.5, 0.0), EngineUse(0.0, 0.5)])
     def test_are_no_reason_to_give_up_the_spare_engine(self, use: EngineUse) -> None:
-        need = EngineNeed(reading_seconds=0.0, answering_seconds=0.4)
+        need = EngineNeed(prefill_seconds=0.0, decode_seconds=0.4)
         shares, load, now = RoleShares(), PrefillLoad(), 0.0
-        while now <= 2 * WATCHED_SECONDS:
+        while now <= 2 * OBSERVATION_SECONDS:
             shares.record(now, EngineUse(use.reading, use.answering, need))
             load.record(now, 0.5)
             now += 0.5
@@ -103,7 +103,7 @@
     def test_one_is_ordered_to_decode(self) -> None:
         load, group = PrefillLoad(), engines(2, 1)
         load.record(0.0, 0.5)
-        now = WATCHED_SECONDS + 0.1
+        now = OBSERVATION_SECONDS + 0.1
         load.record(now, 0.5)
         minimum = minimum_prefill_engines(
             CapacityModel(group.count, SHARE), 2 * 0.5, True
--- a/tests/control/test_watches.py
+++ b/tests/control/test_watches.py
@@ -77,7 +77,7 @@
     )
     def test_gets_everything_without_a_wait(self, watches: Watches, name: str) -> None:
         assert ask(watches, **{name: None}) == 1
-        assert not watches.wait_until_told(1, Deadline.after(0))
+        assert not watches.wait_until_confirmed(1, Deadline.after(0))
 
 
 class TestUnreportedHosts:
--- a/tests/forwarding/test_budget.py
+++ b/tests/forwarding/test_budget.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from jujubeslip.forwarding import _budget
-from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
+from jujubeslip.forwarding import _retry_budgets
+from jujubeslip.forwarding._retry_budgets import BudgetOptions, RetryBudgets
 
 OPTIONS = BudgetOptions(ratio=0.2, window_seconds=10.0, allowance=54.0)
 
@@ -13,14 +13,14 @@
 @pytest.fixture
 def now(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     current_time = [1000.0]
-    monkeypatch.setattr(_budget, "steady_seconds", lambda: current_time[0])
+    monkeypatch.setattr(_retry_budgets, "steady_seconds", lambda: current_time[0])
     return current_time
 
 
 def spend(budgets: RetryBudgets) -> int:
     """Return the number of retries left, and spend them."""
     count = 0
-    while budgets.take("service"):
+    while budgets.spend("service"):
         count += 1
     return count
 
--- a/tests/forwarding/test_engine_reports.py
+++ b/tests/forwarding/test_engine_reports.py
@@ -54,7 +54,7 @@
     ) -> None:
         engines: Any = FakeEngines()
         context: Any = SimpleNamespace(
-            gone=lambda: False, request=SimpleNamespace(request_id="r-1")
+            client_disconnected=lambda: False, request=SimpleNamespace(request_id="r-1")
         )
         reports = EngineReports(engines)
         with caplog.at_level(logging.INFO):
--- a/tests/forwarding/test_first_endpoints.py
+++ b/tests/forwarding/test_first_endpoints.py
@@ -13,7 +13,7 @@
 from jujubeslip.endpoints import CallerGoneError
 from jujubeslip.forwarding._first_endpoints import (
     WAIT_SECONDS,
-    FirstEndpoints,
+    InitialDiscovery,
 )
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import EndpointRole
@@ -21,13 +21,15 @@
 
 
 def context(
-    seconds: float = 14.0, service_name: str = "model", gone: bool = False
+    seconds: float = 14.0,
+    service_name: str = "model",
+    client_disconnected: bool = False,
 ) -> Any:
     return SimpleNamespace(
         request=SimpleNamespace(request_id="r-1", arrived=Deadline.after(0)),
         service_name=service_name,
         end_by=Deadline.after(seconds),
-        gone=lambda: gone,
+        client_disconnected=lambda: client_disconnected,
     )
 
 
@@ -39,7 +41,7 @@
     threading.Thread(target=announce, daemon=True).start()
 
 
-def waited(discovery: FirstEndpoints, request_context: Any) -> float:
+def waited(discovery: InitialDiscovery, request_context: Any) -> float:
     began = time.monotonic()
     discovery.wait_for(request_context)
     return time.monotonic() - began
@@ -58,35 +60,35 @@
     def test_requests_wait_for_an_endpoint(self, role: EndpointRole) -> None:
         registry = EndpointBook()
         announce_after(registry, 0.3, role)
-        assert 0.2 < waited(FirstEndpoints(registry), context()) < WAIT_SECONDS
+        assert 0.2 < waited(InitialDiscovery(registry), context()) < WAIT_SECONDS
 
     def test_a_prefill_engine_does_not_end_the_wait(self) -> None:
         registry = EndpointBook()
         registry.take([engine("p-1", EndpointRole.PREFILL)])
         announce_after(registry, 0.3, EndpointRole.DECODE)
-        assert 0.2 < waited(FirstEndpoints(registry), context()) < WAIT_SECONDS
+        assert 0.2 < waited(InitialDiscovery(registry), context()) < WAIT_SECONDS
 
     def test_wait_is_bounded(self) -> None:
-        seconds = waited(FirstEndpoints(EndpointBook()), context())
+        seconds = waited(InitialDiscovery(EndpointBook()), context())
         assert WAIT_SECONDS <= seconds < WAIT_SECONDS + 0.3
 
     def test_most_of_the_time_is_left_for_the_answer(self) -> None:
-        assert waited(FirstEndpoints(EndpointBook()), context(seconds=0.6)) < 0.4
+        assert waited(InitialDiscovery(EndpointBook()), context(seconds=0.6)) < 0.4
 
     def test_disconnect_ends_the_wait(self) -> None:
         with pytest.raises(CallerGoneError):
-            FirstEndpoints(EndpointBook()).wait_for(context(gone=True))
+            InitialDiscovery(EndpointBook()).wait_for(context(client_disconnected=True))
 
     def test_requests_do_not_wait_if_an_endpoint_is_known(self) -> None:
         registry = EndpointBook()
         registry.take([engine("e-1", EndpointRole.DECODE)])
-        assert waited(FirstEndpoints(registry), context()) < 0.1
+        assert waited(InitialDiscovery(registry), context()) < 0.1
 
 
 class TestLongRunningHost:
     """Requests of a service without endpoints are refused at once."""
 
     def test_requests_do_not_wait(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        discovery = FirstEndpoints(EndpointBook())
+        discovery = InitialDiscovery(EndpointBook())
         monkeypatch.setattr(discovery, "_unknown_until", Deadline.after(0))
         assert waited(discovery, context()) < 0.1
--- a/tests/forwarding/test_grants.py
+++ b/tests/forwarding/test_grants.py
@@ -49,7 +49,7 @@
         request=SimpleNamespace(
             request_id="r-1", prompt="a prompt", arrived=Deadline.after(0)
         ),
-        came_back=False,
+        is_client_retry=False,
         end_by=Deadline.after(10),
         target_by=Deadline.after(1),
     )
@@ -79,7 +79,7 @@
         registry.take([prefill_engine(leaving=True), decode_engine()])
         grant = find(registry, leader)
         assert grant is not None and grant.endpoint.endpoint_id == "engine"
-        assert grant.reader is None
+        assert grant.prefill_engine is None
 
     @pytest.mark.parametrize("missing", ["reader", "engine"])
     def test_that_is_not_known_is_not_used(self, missing: str) -> None:
@@ -93,14 +93,14 @@
         )
         grant = find(registry, leader)
         assert grant is None if missing == "engine" else grant is not None
-        assert grant is None or grant.reader is None
+        assert grant is None or grant.prefill_engine is None
 
     def test_of_engines_that_stay_is_used(self) -> None:
         registry, leader = EndpointBook(), Leader()
         registry.take([prefill_engine(), decode_engine()])
         grant = find(registry, leader)
-        assert grant is not None and grant.reader == registry.find("reader")
-        assert grant.read_seconds == 0.1
+        assert grant is not None and grant.prefill_engine == registry.find("reader")
+        assert grant.prefill_seconds == 0.1
 
 
 class TestLimitOfWaiting:
@@ -114,13 +114,13 @@
 
     CLIENT_TIMEOUT_SECONDS = 3.6
 
-    def limit(self, attempts: Attempts, came_back: bool = False) -> float:
+    def limit(self, attempts: Attempts, is_client_retry: bool = False) -> float:
         """Return how long a request that arrived 1.2 s ago waits."""
         arrived = Deadline.after(-1.2)
         context: Any = SimpleNamespace(
             request=SimpleNamespace(arrived=arrived),
             route=SimpleNamespace(patience_ms=int(1000 * self.CLIENT_TIMEOUT_SECONDS)),
-            came_back=came_back,
+            is_client_retry=is_client_retry,
             end_by=Deadline.after(12),
             target_by=Deadline(arrived.instant + 0.9),
         )
@@ -139,5 +139,5 @@
         assert self.limit(Attempts(granted_ms=20)) == pytest.approx(2.0, abs=0.1)
 
     def test_of_a_retry_counts_from_its_start(self) -> None:
-        waits = self.limit(Attempts(), came_back=True)
+        waits = self.limit(Attempts(), is_client_retry=True)
         assert waits == pytest.approx(2.0, abs=0.1)
--- a/tests/forwarding/test_large_configuration.py
+++ b/tests/forwarding/test_large_configuration.py
@@ -82,14 +82,14 @@
         self, packed: PackedConfiguration, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         follower = self.follower(monkeypatch, packed)
-        follower.take(News("control-1", VERSION, 1))
+        follower.apply_update(News("control-1", VERSION, 1))
         assert follower.table is not None
         assert (follower.version, len(follower.table.routes)) == (VERSION, ROUTES)
 
     def test_is_ignored_if_damaged(self, monkeypatch: pytest.MonkeyPatch) -> None:
         damaged = PackedConfiguration(VERSION, b"no compressed text")
         follower = self.follower(monkeypatch, damaged)
-        follower.take(News("control-1", VERSION, 1))
+        follower.apply_update(News("control-1", VERSION, 1))
         assert follower.table is None
 
     @staticmethod
--- a/tests/forwarding/test_leader_contact.py
+++ b/tests/forwarding/test_leader_contact.py
@@ -61,7 +61,7 @@
     update: Any = SimpleNamespace(
         address="10.0.0.2:7000", leader_address=LEADER, leader_term=0
     )
-    contact.take(update)
+    contact.apply_update(update)
     peer.contact = contact
     return contact
 
@@ -173,7 +173,7 @@
     update: Any = SimpleNamespace(
         address=sender, leader_address=leader, leader_term=term
     )
-    contact.take(update)
+    contact.apply_update(update)
 
 
 class TestElectionDuringACallToThePreviousLeader:
@@ -191,7 +191,7 @@
         def call_within(_: object, timeout: float) -> str:
             peer.calls += 1
             if is_elected:
-                contact.take(update)
+                contact.apply_update(update)
             raise PeerUnavailableError("No answer.")
 
         peer.call_within = call_within  # type: ignore[assignment]
--- a/tests/forwarding/test_orders_of_the_next_leader.py
+++ b/tests/forwarding/test_orders_of_the_next_leader.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from jujubeslip.control._role_balance import WATCHED_SECONDS
+from jujubeslip.control._role_balance import OBSERVATION_SECONDS
 from tests.fakes.platform_system import (
     PROMPT,
     PlatformSystem,
@@ -123,7 +123,7 @@
             replies = pool.submit(
                 offer, lambda _: ask(system), LOAD_SECONDS, [0] * CLIENTS, PAUSE_SECONDS
             )
-            time.sleep(WATCHED_SECONDS + ORDER_SECONDS)
+            time.sleep(OBSERVATION_SECONDS + ORDER_SECONDS)
             assert not system.logged("engine ordered")
             killed = leader_of(system)
             before = latest_election(system)["term"]
--- a/tests/forwarding/test_refused_prompts.py
+++ b/tests/forwarding/test_refused_prompts.py
@@ -17,7 +17,7 @@
 from jujubeslip.forwarding._grants import Grant
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import PromptReader
+from jujubeslip.forwarding._prompts import Prefiller
 from jujubeslip.forwarding._stream_path import StreamPath
 from jujubeslip.kernel import Deadline, load_plugins
 from jujubeslip.peers import EndpointRole
@@ -52,7 +52,7 @@
         budgets = RetryBudgets(BudgetOptions(0.0, 10.0, budget), lambda: 1)
         registry = registry_of(engine("engine"), *prefill_engines)
         sender = replace(build_sender(registry), budgets=budgets)
-        prompts = PromptReader(sender, True, Pressures())
+        prompts = Prefiller(sender, True, Pressures())
         self.asked: list[str] = []
         self.granted: list[str] = []
 
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -24,7 +24,7 @@
 from tests.forwarding.test_starts import build_sender
 
 OWN_ZONE, OTHER_ZONE = "zone-1", "zone-2"
-OPTIONS = MemoryOptions(margin=0.05, caution=1.0)
+OPTIONS = MemoryOptions(margin=0.05, safety_deviations=1.0)
 PROMPT = PromptShape(prompt_tokens=100, maximum_output_tokens=20)
 
 
@@ -66,7 +66,7 @@
         request=SimpleNamespace(request_id="r-1"),
         service_name="model",
         target_by=Deadline.after(0.9),
-        gone=lambda: False,
+        client_disconnected=lambda: False,
     )
     engine_service = EngineService(slots=8, reservation_ms=2000)
     limit = Deadline.after(seconds)
--- a/tests/forwarding/test_return_times.py
+++ b/tests/forwarding/test_return_times.py
@@ -12,7 +12,7 @@
     MAXIMUM_SECONDS,
     MINIMUM_SECONDS,
     SPREAD_SHARE,
-    return_seconds,
+    retry_after_seconds,
 )
 from jujubeslip.forwarding._stream_path import no_capacity_refusal
 
@@ -31,13 +31,15 @@
 
     def test_clients_retry_one_after_another(self) -> None:
         positions = random.Random(1)
-        times = [return_seconds(forecast, positions.random()) for forecast in FORECASTS]
+        times = [
+            retry_after_seconds(forecast, positions.random()) for forecast in FORECASTS
+        ]
         retries_by_tenth = Counter(int(seconds * 10) for seconds in times)
         assert max(retries_by_tenth.values()) <= 11
 
     def test_refusal_takes_the_time_from_the_forecast(self) -> None:
         attempts = Attempts()
-        attempts.note_no_room("no grant in time", 4.0)
+        attempts.note_no_capacity("no grant in time", 4.0)
         seconds = no_capacity_refusal(attempts).retry_after
         assert seconds is not None
         assert abs(seconds - 4.0) <= 4.0 * SPREAD_SHARE
@@ -56,12 +58,12 @@
     def test_follow_the_forecast_within_bounds(
         self, forecast: float, middle: float
     ) -> None:
-        assert return_seconds(forecast, 0.5) == middle
-        assert return_seconds(forecast, 0.0) == middle * (1 - SPREAD_SHARE)
-        assert return_seconds(forecast, 1.0) == middle * (1 + SPREAD_SHARE)
+        assert retry_after_seconds(forecast, 0.5) == middle
+        assert retry_after_seconds(forecast, 0.0) == middle * (1 - SPREAD_SHARE)
+        assert retry_after_seconds(forecast, 1.0) == middle * (1 + SPREAD_SHARE)
 
     def test_show_that_the_client_is_retrying(self) -> None:
         """The time lost by then is more than a short client timeout explains."""
         timeout_seconds = 14.0
-        earliest = return_seconds(0.0, 0.0)
+        earliest = retry_after_seconds(0.0, 0.0)
         assert earliest >= CLIENT_RETRY_SHARE * timeout_seconds
--- a/tests/forwarding/test_starts.py
+++ b/tests/forwarding/test_starts.py
@@ -15,7 +15,7 @@
 from jujubeslip.forwarding._admissions import AdmissionAnswer
 from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._choice import Chooser, LeastCost
-from jujubeslip.forwarding._crashes import CrashWatch
+from jujubeslip.forwarding._crashes import CrashDetector
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._grants import Grant
@@ -23,10 +23,10 @@
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import PromptLocation, PromptReader
+from jujubeslip.forwarding._prompts import Prefiller, PromptLocation
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._reservations import Reservation, Reservations
-from jujubeslip.forwarding._sending import Sending
+from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.forwarding._shared_charges import SharedCharges
 from jujubeslip.forwarding._stream_path import StreamPath
 from jujubeslip.interfaces import EndpointCall, interfaces
@@ -61,18 +61,18 @@
     return registry
 
 
-def build_sender(registry: EndpointBook) -> Sending:
+def build_sender(registry: EndpointBook) -> EndpointSender:
     health = EndpointHealth()
     crash_book, harmless = CrashBook(), HarmlessContents()
     contact = LeaderContact(PeerIdentity("host", 1, "secret"), lambda _: False)
     charges = SharedCharges(contact, HostSpending(ENDPOINT_BOUNDS, lambda: 1, 0.0))
-    return Sending(
+    return EndpointSender(
         interfaces.get("platform"),
         ConnectionPool(),
         Chooser(registry, health, LeastCost(health, "zone-1"), 10.0),
         health,
         RetryBudgets(BudgetOptions(0.1, 10.0, 100), lambda: 1),
-        CrashWatch(registry, crash_book, harmless, lambda: None),
+        CrashDetector(registry, crash_book, harmless, lambda: None),
         Quarantine(crash_book, harmless),
         EndpointLimits(charges, "host", lambda: 1),
     )
@@ -140,9 +140,10 @@
             registry = registry_of(earlier)
             if known:
                 registry.take([start(SECOND, address=worker.address)])
-            options = MemoryOptions(margin=0.05, caution=1.5)
+            options = MemoryOptions(margin=0.05, safety_deviations=1.5)
             context: Any = SimpleNamespace(
-                request=SimpleNamespace(request_id="r"), gone=lambda: False
+                request=SimpleNamespace(request_id="r"),
+                client_disconnected=lambda: False,
             )
             reservations = Reservations(build_sender(registry), options, "zone-1")
             reservations.release(context, Reservation(earlier, "r1"))
@@ -157,7 +158,7 @@
         with worker:
             earlier = start(FIRST, address=worker.address)
             kept = EngineReports(build_sender(registry_of(earlier)))
-            context: Any = SimpleNamespace(gone=lambda: False)
+            context: Any = SimpleNamespace(client_disconnected=lambda: False)
             taken = kept.get(context, earlier)
             assert (taken is None) is (reports == SECOND)
 
@@ -228,7 +229,7 @@
         later = start(SECOND, EndpointRole.PREFILL, endpoint_id="reader")
         registry = registry_of(prefill_engine, start(FIRST))
         sender = build_sender(registry)
-        prompts = PromptReader(sender, True, Pressures())
+        prompts = Prefiller(sender, True, Pressures())
         monkeypatch.setattr(
             prompts, "prefill", lambda *_: PromptLocation(prefill_engine, "h1")
         )
@@ -289,7 +290,7 @@
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
         registry = registry_of(prefill_engine, earlier)
         sender = build_sender(registry)
-        prompts = PromptReader(sender, True, Pressures())
+        prompts = Prefiller(sender, True, Pressures())
 
         def prefill(*_: object) -> PromptLocation:
             registry.take([later])
--- a/tests/forwarding/test_targets.py
+++ b/tests/forwarding/test_targets.py
@@ -48,7 +48,7 @@
     def test_have_the_whole_target(self, waits_ms: int) -> None:
         asked = context(waits_ms)
         assert target_ms(asked) == TARGET_MS
-        assert not asked.came_back
+        assert not asked.is_client_retry
 
     def test_have_it_without_a_deadline(self) -> None:
         assert target_ms(context(None)) == TARGET_MS
@@ -66,4 +66,4 @@
         asked = context(TIMEOUT_MS - passed_ms)
         assert passed_ms > CLIENT_RETRY_SHARE * TIMEOUT_MS
         assert target_ms(asked) == TARGET_MS - passed_ms
-        assert asked.came_back
+        assert asked.is_client_retry
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -91,7 +91,7 @@
 
     def __init__(self) -> None:
         self.book = EndpointBook()
-        watches: Any = SimpleNamespace(wait_until_told=lambda *_: True)
+        watches: Any = SimpleNamespace(wait_until_confirmed=lambda *_: True)
         client: Any = None
         self._app = ControlApp(LeaderGateway(client, self.book, watches))
         self.status = 0
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from jujubeslip.forwarding._crashes import BEGIN_SECONDS, CrashWatch
+from jujubeslip.forwarding._crashes import CRASH_WINDOW_SECONDS, CrashDetector
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.kernel import Deadline, RequestRefusedError
@@ -31,7 +31,7 @@
 # Between two crashes, and from the first event of a stream to the end of its endpoint,
 # in seconds.
 PAUSE_SECONDS = 0.6
-ANSWERED_SECONDS = BEGIN_SECONDS / 2
+ANSWERED_SECONDS = CRASH_WINDOW_SECONDS / 2
 CLOCKS = (
     "jujubeslip.kernel._deadlines",
     "jujubeslip.quarantine._book",
@@ -68,7 +68,7 @@
         endpoints: Any = EndedEndpoints()
         self.book = CrashBook()
         self._harmless = HarmlessContents()
-        self.crashes = CrashWatch(endpoints, self.book, self._harmless, lambda: None)
+        self.crashes = CrashDetector(endpoints, self.book, self._harmless, lambda: None)
         self.quarantine = Quarantine(self.book, self._harmless)
 
     def refuses(self, content: str) -> bool:
@@ -89,7 +89,7 @@
     attempts: Attempts = field(default_factory=Attempts)
 
     def begin_answer(self) -> None:
-        self.attempts.answered_from = Deadline.after(0)
+        self.attempts.answer_started = Deadline.after(0)
 
     def go_on(self) -> None:
         """Let a further event come, or the end of the answer."""
@@ -97,7 +97,9 @@
 
     def cut(self) -> None:
         endpoint: Any = SimpleNamespace(start_id=self.start_id, address="")
-        self.host.crashes.note_cut(context_of(self.content), self.attempts, endpoint)
+        self.host.crashes.record_cut_off(
+            context_of(self.content), self.attempts, endpoint
+        )
 
 
 class Hosts:
@@ -137,7 +139,7 @@
         """Let one host see a stream that is answered for longer than a crash needs."""
         run = Run(self.all[number], content, f"start-{next(self._starts)}")
         run.begin_answer()
-        self.clock.now += 2 * BEGIN_SECONDS
+        self.clock.now += 2 * CRASH_WINDOW_SECONDS
         run.go_on()
 
     def tell_all(self) -> None:
