--- a/bench/admission/calls.py
+++ b/bench/admission/calls.py
@@ -25,8 +25,8 @@
     engine,
     full,
 )
+from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._memory_forecast import MemoryOptions
-from jujubeslip.admission._pool import EnginePool
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineReport
--- a/bench/admission/measure.py
+++ b/bench/admission/measure.py
@@ -14,10 +14,10 @@
 
 import click
 
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._answer_lengths import lengths_of
+from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import GrantRequest
-from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
--- a/bench/replay/_play.py
+++ b/bench/replay/_play.py
@@ -15,11 +15,11 @@
 from bench.replay._patterns import Loss, Pattern, Workload
 from bench.replay._roles import ReplayedRoles
 from jujubeslip.admission import MemoryOptions, WaitingOptions, lengths_of
+from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._models import Grant, GrantRequest
-from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
 from jujubeslip.forwarding._pressure import MIN_WAIT_SECONDS
-from jujubeslip.forwarding._return_times import retry_after_seconds
+from jujubeslip.forwarding._retry_after import retry_after_seconds
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineReport
--- a/bench/replay/_roles.py
+++ b/bench/replay/_roles.py
@@ -9,13 +9,13 @@
 
 from returns.result import Result, Success
 
+from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._home import RECENT_REPORT_SECONDS
-from jujubeslip.admission._pool import EnginePool
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._engine_table import EngineTable
-from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
-from jujubeslip.control._roles import RoleManager
+from jujubeslip.control._outstanding_orders import OutstandingOrders
+from jujubeslip.control._role_manager import RoleManager
 from jujubeslip.discovery import Endpoint
 from jujubeslip.forwarding._pressure import Pressures
 from jujubeslip.interfaces import EndpointQuestion, RoleOrder
--- a/src/jujubeslip/admission/__init__.py
+++ b/src/jujubeslip/admission/__init__.py
@@ -5,8 +5,8 @@
 the requests of all hosts in one queue.
 """
 
+from jujubeslip.admission._answer_lengths import AnswerLengths, lengths_of
 from jujubeslip.admission._home import AdmissionHome
-from jujubeslip.admission._lengths import AnswerLengths, lengths_of
 from jujubeslip.admission._memory_forecast import (
     GrowingAnswer,
     MemoryOptions,
@@ -14,8 +14,8 @@
     growth_of,
 )
 from jujubeslip.admission._models import EngineNeed, EngineUse, WaitingOptions
+from jujubeslip.admission._unservable_waits import is_wait_unservable
 from jujubeslip.admission._urgency import urgency
-from jujubeslip.admission._vain_waits import is_wait_unservable
 
 __all__ = [
     "AdmissionHome",
--- a/src/jujubeslip/admission/_engine_demand.py
+++ b/src/jujubeslip/admission/_engine_demand.py
@@ -7,8 +7,8 @@
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import EngineNeed, EngineUse, GrantRequest
+from jujubeslip.admission._prefill_queue import INITIAL_TOKENS_PER_SECOND
 from jujubeslip.admission._prompt_demand import PromptDemand
-from jujubeslip.admission._prompt_queue import INITIAL_TOKENS_PER_SECOND
 from jujubeslip.admission._request_needs import RequestNeeds
 from jujubeslip.kernel import steady_seconds
 
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from jujubeslip.admission._contact import EngineReachability
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._answer_lengths import lengths_of
+from jujubeslip.admission._engine_reachability import EngineReachability
 from jujubeslip.admission._memory_forecast import (
     GrowingAnswer,
     MemoryProfile,
--- a/src/jujubeslip/admission/_pool.py
+++ b/src/jujubeslip/admission/_engine_pool.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from jujubeslip.admission._engines import ServiceEngines
+from jujubeslip.admission._capacity_search import CapacitySearch
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import (
     DEFAULT_WAITING,
@@ -18,9 +18,9 @@
     MissingResource,
     WaitingOptions,
 )
-from jujubeslip.admission._order import QueueEntry, WaitingQueue
-from jujubeslip.admission._room_search import CapacitySearch
-from jujubeslip.admission._vain_waits import is_wait_unservable
+from jujubeslip.admission._service_engines import ServiceEngines
+from jujubeslip.admission._unservable_waits import is_wait_unservable
+from jujubeslip.admission._waiting_queue import QueueEntry, WaitingQueue
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.routes import EngineReport
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Protocol
 
-from jujubeslip.admission._engine_follower import EngineReportPoller
+from jujubeslip.admission._engine_pool import Decision, EnginePool
+from jujubeslip.admission._engine_report_poller import EngineReportPoller
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._meters import AdmissionMeters
 from jujubeslip.admission._models import (
@@ -17,7 +18,6 @@
     WaitingOptions,
     grant_request_of,
 )
-from jujubeslip.admission._pool import Decision, EnginePool
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.interfaces import Interface
 from jujubeslip.kernel import Deadline, Process, steady_seconds
--- a/src/jujubeslip/admission/_memory_forecast.py
+++ b/src/jujubeslip/admission/_memory_forecast.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from jujubeslip.admission._lengths import AnswerLengths, lengths_of
+from jujubeslip.admission._answer_lengths import AnswerLengths, lengths_of
 from jujubeslip.routes import EngineReport
 
 # Number of points of a forecast, which are spread evenly up to the longest answer.
--- a/src/jujubeslip/admission/_meters.py
+++ b/src/jujubeslip/admission/_meters.py
@@ -4,7 +4,7 @@
 
 from opentelemetry import metrics
 
-from jujubeslip.admission._pool import Decision
+from jujubeslip.admission._engine_pool import Decision
 
 # Histogram bucket boundaries for shares of an engine's memory.
 SHARE_BUCKETS = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95)
--- a/src/jujubeslip/admission/_models.py
+++ b/src/jujubeslip/admission/_models.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from jujubeslip.admission._lengths import AnswerLengths, lengths_of
+from jujubeslip.admission._answer_lengths import AnswerLengths, lengths_of
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import AdmissionRequest
--- a/src/jujubeslip/admission/_readers_now.py
+++ b/src/jujubeslip/admission/_prefill_candidates.py
@@ -8,7 +8,7 @@
 from functools import cached_property
 from typing import NamedTuple
 
-from jujubeslip.admission._prompt_queue import PrefillQueue
+from jujubeslip.admission._prefill_queue import PrefillQueue
 
 
 @dataclass(frozen=True)
--- a/src/jujubeslip/admission/_prompt_queue.py
+++ b/src/jujubeslip/admission/_prefill_queue.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from jujubeslip.admission._contact import EngineReachability
+from jujubeslip.admission._engine_reachability import EngineReachability
 from jujubeslip.admission._models import USABLE_SECONDS, GrantRequest
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import steady_seconds
--- a/src/jujubeslip/admission/_engines.py
+++ b/src/jujubeslip/admission/_service_engines.py
@@ -8,6 +8,8 @@
 from dataclasses import replace
 from typing import NamedTuple, TypeVar
 
+from jujubeslip.admission._capacity_changes import CapacityChanges
+from jujubeslip.admission._capacity_search import CapacitySearch
 from jujubeslip.admission._engine_demand import EngineDemand
 from jujubeslip.admission._engine_memory import EngineMemory
 from jujubeslip.admission._memory_forecast import MemoryOptions, MemoryProfile
@@ -18,10 +20,8 @@
     GrantRequest,
     MissingResource,
 )
-from jujubeslip.admission._prompt_queue import PrefillQueue
-from jujubeslip.admission._readers_now import PrefillCandidates
-from jujubeslip.admission._room_changes import CapacityChanges
-from jujubeslip.admission._room_search import CapacitySearch
+from jujubeslip.admission._prefill_candidates import PrefillCandidates
+from jujubeslip.admission._prefill_queue import PrefillQueue
 from jujubeslip.discovery import Endpoint
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import EngineReport
--- a/src/jujubeslip/control/_account_keeper.py
+++ b/src/jujubeslip/control/_account_limit_manager.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from jujubeslip.accounts import ClientAccounts, LedgerAnswer, LimitBounds, RateLimit
-from jujubeslip.control._limit_keeper import NOT_LIMITED, LimitManager
+from jujubeslip.control._limit_manager import NOT_LIMITED, LimitManager
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.peers import AccountSpending, AccountState, AccountUse
 
--- a/src/jujubeslip/control/_fresh_election.py
+++ b/src/jujubeslip/control/_cold_start_election.py
@@ -14,9 +14,9 @@
 from collections.abc import Callable, Mapping
 from concurrent.futures import ThreadPoolExecutor
 
-from jujubeslip.control._members import other_voters
-from jujubeslip.control._peers import ReplicaClients
+from jujubeslip.control._membership import other_voters
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.kernel import PeerUnavailableError
 from jujubeslip.peers import Member, PeerRefusal, VoteReply
 
--- a/src/jujubeslip/control/_election.py
+++ b/src/jujubeslip/control/_election.py
@@ -7,12 +7,12 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from jujubeslip.control._fresh_election import ColdStartElection
+from jujubeslip.control._cold_start_election import ColdStartElection
 from jujubeslip.control._leadership import Role
-from jujubeslip.control._members import VoteQuorum, other_voters, vote_quorum
-from jujubeslip.control._peers import ReplicaClients
+from jujubeslip.control._membership import VoteQuorum, other_voters, vote_quorum
 from jujubeslip.control._receiver import WRONG_REPLICA
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import (
     Member,
--- a/src/jujubeslip/control/_endpoint_limit_keeper.py
+++ b/src/jujubeslip/control/_endpoint_limit_manager.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from jujubeslip.accounts import ENDPOINT_BOUNDS, RateLimit, endpoint_limit
-from jujubeslip.control._limit_keeper import LimitManager
+from jujubeslip.control._limit_manager import LimitManager
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.notices import NamedLimit
 from jujubeslip.peers import EndpointLimitState, EndpointSpending
--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -6,13 +6,13 @@
 from typing import Any
 
 from jujubeslip.admission import AdmissionHome
-from jujubeslip.control._account_keeper import AccountLimitManager
-from jujubeslip.control._changes import MembershipChanges
+from jujubeslip.control._account_limit_manager import AccountLimitManager
 from jujubeslip.control._claims import ClaimsFull
 from jujubeslip.control._commands import NoOp
 from jujubeslip.control._configurations import ChangeIdReused
-from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
+from jujubeslip.control._endpoint_limit_manager import EndpointLimitManager
 from jujubeslip.control._joining import own_description
+from jujubeslip.control._membership_changes import MembershipChanges
 from jujubeslip.control._receiver import Receiver
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._validation import (
--- a/src/jujubeslip/control/_joining.py
+++ b/src/jujubeslip/control/_joining.py
@@ -6,8 +6,8 @@
 import secrets
 
 from jujubeslip.control._commands import make_entry
-from jujubeslip.control._peers import ReplicaClients
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import (
     Member,
--- a/src/jujubeslip/control/_leadership.py
+++ b/src/jujubeslip/control/_leadership.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from jujubeslip.control._errors import LeadershipLostError
-from jujubeslip.control._machine import Outcome
-from jujubeslip.control._members import quorum_size, voters
+from jujubeslip.control._membership import quorum_size, voters
+from jujubeslip.control._state_machine import Outcome
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import Member, Membership
 
--- a/src/jujubeslip/control/_loading.py
+++ b/src/jujubeslip/control/_loading.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from jujubeslip.control._entries import EntryLog
-from jujubeslip.control._machine import StateMachine
-from jujubeslip.control._members import NO_MEMBERSHIP, MembershipLog
+from jujubeslip.control._entry_log import EntryLog
+from jujubeslip.control._membership import NO_MEMBERSHIP, MembershipLog
 from jujubeslip.control._snapshots import SnapshotFile, load_machine
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.control._storage import Storage
 
 
--- a/src/jujubeslip/control/_changes.py
+++ b/src/jujubeslip/control/_membership_changes.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from jujubeslip.control._members import (
+from jujubeslip.control._membership import (
     find_member,
     members_of_host,
     voters,
@@ -14,8 +14,8 @@
     without_host,
     without_replica,
 )
+from jujubeslip.control._membership_planner import MembershipPlanner, is_surplus_voter
 from jujubeslip.control._replica import Replica
-from jujubeslip.control._succession import MembershipPlanner, is_surplus_voter
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import (
     Member,
--- a/src/jujubeslip/control/_succession.py
+++ b/src/jujubeslip/control/_membership_planner.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from jujubeslip.control._leadership import Progress
-from jujubeslip.control._members import (
+from jujubeslip.control._membership import (
     is_voter,
     members_of_host,
     quorum_size,
--- a/src/jujubeslip/control/_receiver.py
+++ b/src/jujubeslip/control/_receiver.py
@@ -7,14 +7,14 @@
 from contextlib import contextmanager
 
 from jujubeslip.control._leadership import LeaderContact, Role
-from jujubeslip.control._machine import StateMachine
-from jujubeslip.control._members import MembershipLog
+from jujubeslip.control._membership import MembershipLog
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._snapshots import (
     SnapshotFile,
     SnapshotReceiver,
     remove_older_snapshots,
 )
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import (
     AppendReply,
--- a/src/jujubeslip/control/_removal_log.py
+++ b/src/jujubeslip/control/_removal_log.py
@@ -7,8 +7,8 @@
 
 from jujubeslip.control._client import ControlClient
 from jujubeslip.control._commands import command_of
-from jujubeslip.control._machine import StateMachine
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.discovery import (
     EndpointBook,
     Removal,
--- a/src/jujubeslip/control/_replica.py
+++ b/src/jujubeslip/control/_replica.py
@@ -20,8 +20,8 @@
 from jujubeslip.control._errors import LeadershipLostError, StorageFailedError
 from jujubeslip.control._leadership import Fence, LeaderContact, Leadership, Role
 from jujubeslip.control._loading import load_state
-from jujubeslip.control._machine import Outcome
-from jujubeslip.control._members import is_voter, voters, without_lost
+from jujubeslip.control._membership import is_voter, voters, without_lost
+from jujubeslip.control._state_machine import Outcome
 from jujubeslip.control._storage import Storage
 from jujubeslip.kernel import ControlSettings, Deadline, Process, new_incarnation
 from jujubeslip.peers import (
--- a/src/jujubeslip/control/_replication.py
+++ b/src/jujubeslip/control/_replication.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from jujubeslip.control._leadership import Leadership, Progress
-from jujubeslip.control._peers import ReplicaClients
 from jujubeslip.control._replica import MILLISECONDS, Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.control._snapshots import SnapshotReader
 from jujubeslip.kernel import Deadline, PeerUnavailableError, steady_seconds
 from jujubeslip.peers import (
--- a/src/jujubeslip/control/_role_balance.py
+++ b/src/jujubeslip/control/_role_balance.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from jujubeslip.admission import EngineNeed, EngineUse
-from jujubeslip.control._spare_readers import (
+from jujubeslip.control._spare_prefill_engines import (
     PREFILL_ENGINES_WITH_SPARE,
     CapacityModel,
     minimum_prefill_engines,
--- a/src/jujubeslip/control/_roles.py
+++ b/src/jujubeslip/control/_role_manager.py
@@ -13,10 +13,10 @@
 from returns.result import Failure
 
 from jujubeslip.admission import EngineUse
+from jujubeslip.control._balance_log import BalanceInputs, BalanceLog, NoOrderReason
 from jujubeslip.control._engine_log import EngineLog
-from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
-from jujubeslip.control._order_log import BalanceInputs, BalanceLog, NoOrderReason
+from jujubeslip.control._outstanding_orders import OutstandingOrders
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._role_balance import (
     EnginesByRole,
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -13,28 +13,28 @@
     MemoryOptions,
     WaitingOptions,
 )
-from jujubeslip.control._account_keeper import AccountLimitManager
-from jujubeslip.control._changes import MembershipChanges
+from jujubeslip.control._account_limit_manager import AccountLimitManager
+from jujubeslip.control._active_routes import ActiveRoutes
 from jujubeslip.control._client import ControlClient
 from jujubeslip.control._disk_probe import PROBE_SECONDS, DiskProbe
 from jujubeslip.control._election import Elections
-from jujubeslip.control._endpoint_limit_keeper import EndpointLimitManager
+from jujubeslip.control._endpoint_limit_manager import EndpointLimitManager
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._gateway import LeaderGateway
-from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._handler import ControlHandler
 from jujubeslip.control._joining import Joining
+from jujubeslip.control._log_maintenance import LogMaintenance
+from jujubeslip.control._membership_changes import MembershipChanges
 from jujubeslip.control._meters import observe_replica
-from jujubeslip.control._peers import ReplicaClients
+from jujubeslip.control._outstanding_orders import OutstandingOrders
 from jujubeslip.control._receiver import Receiver
 from jujubeslip.control._removal_log import RemovalLog
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.control._replication import Replication
-from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleManager
-from jujubeslip.control._routes_in_force import ActiveRoutes
+from jujubeslip.control._role_manager import SCAN_INTERVAL_SECONDS, RoleManager
 from jujubeslip.control._stopping import prepare_to_stop
 from jujubeslip.control._storage import Storage
-from jujubeslip.control._upkeep import LogMaintenance
 from jujubeslip.control._watches import Watches
 from jujubeslip.discovery import ControlFollowers, EndpointBook, News
 from jujubeslip.http_server import HttpServer, HttpServerOptions
--- a/src/jujubeslip/control/_snapshots.py
+++ b/src/jujubeslip/control/_snapshots.py
@@ -10,7 +10,6 @@
 from pathlib import Path
 
 from jujubeslip.control._errors import StorageDamagedError
-from jujubeslip.control._machine import StateMachine
 from jujubeslip.control._records import (
     decode,
     frame,
@@ -22,6 +21,7 @@
     to_bytes,
     write_all,
 )
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.peers import SnapshotHeader, SnapshotPart, SnapshotPiece
 
 SNAPSHOT_PREFIX = "snapshot-"
--- a/src/jujubeslip/control/_stopping.py
+++ b/src/jujubeslip/control/_stopping.py
@@ -4,9 +4,9 @@
 
 import logging
 
-from jujubeslip.control._peers import ReplicaClients
+from jujubeslip.control._membership_planner import is_surplus_voter
 from jujubeslip.control._replica import Replica
-from jujubeslip.control._succession import is_surplus_voter
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import Member, NotLeader, PeerRefusal
 
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -14,21 +14,21 @@
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._admissions import Admissions
 from jujubeslip.forwarding._app import ForwardApp, OpenRequests, ReadyApp
-from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._choice import Chooser, policies
-from jujubeslip.forwarding._crash_news import CrashReporter
-from jujubeslip.forwarding._crashes import CrashDetector
+from jujubeslip.forwarding._crash_detector import CrashDetector
+from jujubeslip.forwarding._crash_reporter import CrashReporter
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
-from jujubeslip.forwarding._first_endpoints import InitialDiscovery
 from jujubeslip.forwarding._grants import Grants
 from jujubeslip.forwarding._health import EndpointHealth
+from jujubeslip.forwarding._initial_discovery import InitialDiscovery
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._meters import ForwardMeters, HostState, observe_host
 from jujubeslip.forwarding._plain_path import PlainPath
+from jujubeslip.forwarding._prefill import Prefiller
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import Prefiller
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._reservations import Reservations
+from jujubeslip.forwarding._retry_budgets import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._routes_follower import RoutesFollower
 from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.forwarding._service import ForwardService
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -20,7 +20,7 @@
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.forwarding._sender import EndpointSender
-from jujubeslip.forwarding._waiting import WaitingQueue
+from jujubeslip.forwarding._waiting_queue import WaitingQueue
 from jujubeslip.kernel import Deadline, Ran
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineService, PromptShape
--- a/src/jujubeslip/forwarding/_sending.py
+++ b/src/jujubeslip/forwarding/_sender.py
@@ -21,14 +21,14 @@
     Interrupted,
     never_interrupted,
 )
-from jujubeslip.forwarding._budget import RetryBudgets
 from jujubeslip.forwarding._choice import Chooser
-from jujubeslip.forwarding._crashes import CrashDetector
+from jujubeslip.forwarding._crash_detector import CrashDetector
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._exchange import Exchange
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.forwarding._models import Attempts, ForwardContext, refusal_of
 from jujubeslip.forwarding._quarantine import Quarantine
+from jujubeslip.forwarding._retry_budgets import RetryBudgets
 from jujubeslip.interfaces import EndpointQuestion, Interface, ask_endpoint
 from jujubeslip.kernel import Deadline, RequestRefusedError
 from jujubeslip.notices import EndpointNotices, Hold, HoldReason, ServiceHolds
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -9,8 +9,8 @@
 
 from jujubeslip.endpoints import CallerGoneError, Interrupted
 from jujubeslip.forwarding._account_limits import AccountLimits
-from jujubeslip.forwarding._first_endpoints import InitialDiscovery
 from jujubeslip.forwarding._identification import check_account, identify
+from jujubeslip.forwarding._initial_discovery import InitialDiscovery
 from jujubeslip.forwarding._meters import ForwardMeters
 from jujubeslip.forwarding._models import (
     CLIENT_RETRY_SHARE,
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -16,8 +16,8 @@
     EndpointRoleError,
     EndpointUnreachableError,
 )
-from jujubeslip.forwarding._crashes import CRASH_WINDOW_SECONDS
-from jujubeslip.forwarding._events import EventSplitter
+from jujubeslip.forwarding._crash_detector import CRASH_WINDOW_SECONDS
+from jujubeslip.forwarding._event_splitter import EventSplitter
 from jujubeslip.forwarding._exchange import SUCCESS, Exchange
 from jujubeslip.forwarding._grants import Grant, Grants
 from jujubeslip.forwarding._models import (
@@ -27,8 +27,8 @@
     StreamedAnswer,
     WholeAnswer,
 )
-from jujubeslip.forwarding._prompts import NOT_PREFILLED, Prefiller, PromptLocation
-from jujubeslip.forwarding._return_times import retry_after_seconds
+from jujubeslip.forwarding._prefill import NOT_PREFILLED, Prefiller, PromptLocation
+from jujubeslip.forwarding._retry_after import retry_after_seconds
 from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.interfaces import EndpointCall, EndpointHead
 from jujubeslip.kernel import (
--- a/tests/admission/test_room_search.py
+++ b/tests/admission/test_capacity_search.py
@@ -7,13 +7,13 @@
 import pytest
 
 from jujubeslip.admission import _engine_memory
-from jujubeslip.admission._engines import OTHER_ZONE_COST, ServiceEngines
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._answer_lengths import lengths_of
+from jujubeslip.admission._capacity_changes import CapacityChanges
+from jujubeslip.admission._capacity_search import CapacitySearch
+from jujubeslip.admission._engine_pool import MAXIMUM_TRIED, EnginePool
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import Grant, GrantRequest
-from jujubeslip.admission._pool import MAXIMUM_TRIED, EnginePool
-from jujubeslip.admission._room_changes import CapacityChanges
-from jujubeslip.admission._room_search import CapacitySearch
+from jujubeslip.admission._service_engines import OTHER_ZONE_COST, ServiceEngines
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport, RunningAnswer
 from tests.fakes.engines import engine
--- a/tests/admission/test_engine_memory.py
+++ b/tests/admission/test_engine_memory.py
@@ -5,8 +5,8 @@
 import pytest
 
 from bench.replay._clock import VirtualClock
+from jujubeslip.admission._answer_lengths import lengths_of
 from jujubeslip.admission._engine_memory import EngineMemory
-from jujubeslip.admission._lengths import lengths_of
 from jujubeslip.admission._models import Grant, GrantedRequest, GrantRequest
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport, RunningAnswer
--- a/tests/admission/test_pool.py
+++ b/tests/admission/test_engine_pool.py
@@ -7,8 +7,9 @@
 
 import pytest
 
+from jujubeslip.admission._answer_lengths import lengths_of
 from jujubeslip.admission._engine_memory import DECODE_SECONDS_BETWEEN_PREFILLS
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._engine_pool import Decision, EnginePool
 from jujubeslip.admission._memory_forecast import MemoryOptions
 from jujubeslip.admission._models import (
     DEFAULT_WAITING,
@@ -16,7 +17,6 @@
     MissingResource,
     WaitingOptions,
 )
-from jujubeslip.admission._pool import Decision, EnginePool
 from jujubeslip.kernel import Deadline
 from jujubeslip.routes import EngineReport, RunningAnswer
 from tests.fakes.engines import engine
--- a/tests/admission/test_starts.py
+++ b/tests/admission/test_engine_restarts.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from jujubeslip.admission._engine_follower import EngineReportPoller
+from jujubeslip.admission._engine_pool import EnginePool
+from jujubeslip.admission._engine_report_poller import EngineReportPoller
 from jujubeslip.admission._memory_forecast import MemoryOptions
-from jujubeslip.admission._pool import EnginePool
 from jujubeslip.discovery import Endpoint
 from jujubeslip.interfaces import interfaces
 from jujubeslip.kernel import load_plugins
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineReport, RunningAnswer
-from tests.admission.test_pool import (
+from tests.admission.test_engine_pool import (
     CAPACITY,
     FULL,
     PREFILL_REPORT,
--- a/tests/admission/test_prompt_queue.py
+++ b/tests/admission/test_prefill_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jujubeslip.admission import _prefill_queue
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._answer_lengths import lengths_of
 from jujubeslip.admission._models import USABLE_SECONDS, GrantRequest
 from jujubeslip.admission._prefill_queue import PrefillQueue
 from jujubeslip.kernel import Deadline
--- a/tests/admission/test_prompt_demand.py
+++ b/tests/admission/test_prompt_demand.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jujubeslip.admission._prompt_demand import DEMAND_SECONDS, PromptDemand
-from tests.admission.test_pool import (
+from tests.admission.test_engine_pool import (
     FULL,
     already_expired,
     ask_now,
--- a/tests/admission/test_request_needs.py
+++ b/tests/admission/test_request_needs.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from jujubeslip.admission._lengths import lengths_of
+from jujubeslip.admission._answer_lengths import lengths_of
 from jujubeslip.admission._models import EngineNeed
 from jujubeslip.admission._request_needs import (
     MAXIMUM_REQUESTS,
     MINIMUM_REQUESTS,
     RequestNeeds,
 )
-from tests.admission.test_pool import (
+from tests.admission.test_engine_pool import (
     CAPACITY,
     EVENT_TOKENS,
     MAXIMUM_EVENTS,
--- a/tests/admission/test_order.py
+++ b/tests/admission/test_waiting_queue.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jujubeslip.admission._order import QueueEntry, WaitingQueue
+from jujubeslip.admission._waiting_queue import QueueEntry, WaitingQueue
 
 NOW = 100.0
 
--- a/tests/control/test_account_keeper.py
+++ b/tests/control/test_account_limit_manager.py
@@ -8,7 +8,7 @@
 import pytest
 
 from jujubeslip.accounts import LimitBounds, RateLimit
-from jujubeslip.control._account_keeper import AccountLimitManager
+from jujubeslip.control._account_limit_manager import AccountLimitManager
 from jujubeslip.peers import AccountSpending
 
 LIMIT = RateLimit(per_second=0.001, burst=500.0)
--- a/tests/control/test_routes_in_force.py
+++ b/tests/control/test_active_routes.py
@@ -5,8 +5,8 @@
 import json
 from typing import Any
 
+from jujubeslip.control._active_routes import ActiveRoutes
 from jujubeslip.control._configurations import ConfigurationTable
-from jujubeslip.control._routes_in_force import ActiveRoutes
 from jujubeslip.peers import VersionedCommand
 from jujubeslip.platform._configurations import read_routes
 from tests.fakes.platform_system import ENGINE, PLAIN, configuration
--- a/tests/control/test_order_log.py
+++ b/tests/control/test_balance_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jujubeslip.control._order_log import BalanceInputs, BalanceLog, NoOrderReason
+from jujubeslip.control._balance_log import BalanceInputs, BalanceLog, NoOrderReason
 
 INPUTS = BalanceInputs(2, 1, 0, 2, 2, 2, 0.5, 0.1, 0.2, True, 5)
 
--- a/tests/control/test_promises.py
+++ b/tests/control/test_durable_replies.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from jujubeslip.control._changes import MembershipChanges
 from jujubeslip.control._commands import NoOp, make_entry
-from jujubeslip.control._members import is_voter, with_learner
+from jujubeslip.control._membership import is_voter, with_learner
+from jujubeslip.control._membership_changes import MembershipChanges
 from jujubeslip.control._receiver import Receiver
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._storage import Storage
--- a/tests/control/test_leaving.py
+++ b/tests/control/test_leaving.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from jujubeslip.control._commands import make_entry
-from jujubeslip.control._peers import ReplicaClients
 from jujubeslip.control._replica import Replica
+from jujubeslip.control._replica_clients import ReplicaClients
 from jujubeslip.control._stopping import leave
 from jujubeslip.control._storage import Storage
 from jujubeslip.kernel import ControlSettings, Deadline, Process
--- a/tests/control/test_lost_voters.py
+++ b/tests/control/test_lost_voters.py
@@ -10,7 +10,7 @@
 
 from jujubeslip.control._commands import make_entry
 from jujubeslip.control._election import Elections
-from jujubeslip.control._members import (
+from jujubeslip.control._membership import (
     MembershipLog,
     VoteQuorum,
     vote_quorum,
--- a/tests/control/test_succession.py
+++ b/tests/control/test_membership_planner.py
@@ -8,14 +8,14 @@
 import pytest
 
 from jujubeslip.control._commands import make_entry
-from jujubeslip.control._members import find_member, voters
-from jujubeslip.control._replica import Replica
-from jujubeslip.control._storage import Storage
-from jujubeslip.control._succession import (
+from jujubeslip.control._membership import find_member, voters
+from jujubeslip.control._membership_planner import (
     GRACE_SECONDS,
     MembershipPlanner,
     is_surplus_voter,
 )
+from jujubeslip.control._replica import Replica
+from jujubeslip.control._storage import Storage
 from jujubeslip.kernel import ControlSettings, Process, steady_seconds
 from jujubeslip.peers import Member, Membership, ReplicaMetadata
 
--- a/tests/control/test_orders_across_leads.py
+++ b/tests/control/test_orders_across_leaders.py
@@ -15,10 +15,10 @@
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog
 from jujubeslip.control._engine_table import EngineTable
-from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence, Leadership
+from jujubeslip.control._outstanding_orders import OutstandingOrders
 from jujubeslip.control._role_balance import SATURATED_SECONDS, EnginesByRole
-from jujubeslip.control._roles import SCAN_INTERVAL_SECONDS, RoleManager
+from jujubeslip.control._role_manager import SCAN_INTERVAL_SECONDS, RoleManager
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.endpoints import EndpointError
 from jujubeslip.interfaces import EndpointQuestion
@@ -32,7 +32,7 @@
 )
 from jujubeslip.platform._endpoint_answers import read_report
 from jujubeslip.platform._endpoint_calls import ask_report, order_role
-from tests.control.test_roles import FakeEngines, engines, pressure
+from tests.control.test_role_manager import FakeEngines, engines, pressure
 
 ORDER_LEASE_SECONDS = 3.0
 LEASE_SECONDS = 0.6
--- a/tests/control/test_removal_table.py
+++ b/tests/control/test_removal_table.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.control import _removal_table
 from jujubeslip.control._commands import make_entry
-from jujubeslip.control._machine import StateMachine
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.peers import EndpointRemoval, RemovalScope
 
 START = 1_700_000_000_000
--- a/tests/control/test_role_balance.py
+++ b/tests/control/test_role_balance.py
@@ -22,7 +22,7 @@
     prefill_engines_to_keep,
 )
 from jujubeslip.peers import EndpointRole, ServicePressure
-from tests.control.loads import bursts_of_prompts as bursts
+from tests.control.loads import prompt_bursts as bursts
 from tests.fakes.engines import engine
 
 ZONES = ("zone-1", "zone-2", "zone-3")
--- a/tests/control/test_roles.py
+++ b/tests/control/test_role_manager.py
@@ -15,13 +15,13 @@
 from jujubeslip.admission import EngineUse
 from jujubeslip.control._engine_log import EngineLog, PendingOrder
 from jujubeslip.control._engine_table import ORDER_EXPIRY_SECONDS
-from jujubeslip.control._given_orders import OutstandingOrders
 from jujubeslip.control._leadership import Fence
+from jujubeslip.control._outstanding_orders import OutstandingOrders
 from jujubeslip.control._role_balance import (
     MINIMUM_SHORTAGE_SECONDS,
     OBSERVATION_SECONDS,
 )
-from jujubeslip.control._roles import (
+from jujubeslip.control._role_manager import (
     BOOTSTRAP_MARGIN_SECONDS,
     EnginesByRole,
     RoleManager,
@@ -572,7 +572,9 @@
         registry.take([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         now = steady_seconds()
-        monkeypatch.setattr("jujubeslip.control._roles.steady_seconds", lambda: now)
+        monkeypatch.setattr(
+            "jujubeslip.control._role_manager.steady_seconds", lambda: now
+        )
         monkeypatch.setattr(manager, "_fence", lambda: None)
         manager.scan()
         now += 2 * MINIMUM_SHORTAGE_SECONDS
--- a/tests/control/test_spare_readers.py
+++ b/tests/control/test_spare_prefill_engines.py
@@ -13,7 +13,7 @@
     needed_prefill_engines,
     prefill_engines_to_keep,
 )
-from jujubeslip.control._spare_readers import (
+from jujubeslip.control._spare_prefill_engines import (
     PREFILL_ENGINES_WITH_SPARE,
     CapacityModel,
     minimum_prefill_engines,
--- a/tests/control/test_machine.py
+++ b/tests/control/test_state_machine.py
@@ -12,13 +12,13 @@
 from jujubeslip.control._configurations import ChangeIdReused
 from jujubeslip.control._engine_table import ORDER_EXPIRY_MS
 from jujubeslip.control._errors import StorageDamagedError
-from jujubeslip.control._machine import StateMachine
 from jujubeslip.control._snapshots import (
     SnapshotReceiver,
     load_machine,
     newest_snapshot,
     write_snapshot,
 )
+from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.peers import (
     AbandonCommand,
     ApplyReply,
--- a/tests/forwarding/test_starts.py
+++ b/tests/forwarding/test_endpoint_starts.py
@@ -13,19 +13,19 @@
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.endpoints import ConnectionPool, EndpointUnreachableError
 from jujubeslip.forwarding._admissions import AdmissionAnswer
-from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._choice import Chooser, LeastCost
-from jujubeslip.forwarding._crashes import CrashDetector
+from jujubeslip.forwarding._crash_detector import CrashDetector
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._grants import Grant
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._models import Attempts
+from jujubeslip.forwarding._prefill import Prefiller, PromptLocation
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import Prefiller, PromptLocation
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._reservations import Reservation, Reservations
+from jujubeslip.forwarding._retry_budgets import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.forwarding._shared_charges import SharedCharges
 from jujubeslip.forwarding._stream_path import StreamPath
--- a/tests/forwarding/test_first_endpoints.py
+++ b/tests/forwarding/test_initial_discovery.py
@@ -11,7 +11,7 @@
 
 from jujubeslip.discovery import EndpointBook
 from jujubeslip.endpoints import CallerGoneError
-from jujubeslip.forwarding._first_endpoints import (
+from jujubeslip.forwarding._initial_discovery import (
     WAIT_SECONDS,
     InitialDiscovery,
 )
--- a/tests/forwarding/test_refused_prompts.py
+++ b/tests/forwarding/test_refused_prefills.py
@@ -13,16 +13,16 @@
     EndpointError,
     EndpointRefusedError,
 )
-from jujubeslip.forwarding._budget import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._grants import Grant
 from jujubeslip.forwarding._models import Attempts
+from jujubeslip.forwarding._prefill import Prefiller
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.forwarding._prompts import Prefiller
+from jujubeslip.forwarding._retry_budgets import BudgetOptions, RetryBudgets
 from jujubeslip.forwarding._stream_path import StreamPath
 from jujubeslip.kernel import Deadline, load_plugins
 from jujubeslip.peers import EndpointRole
 from tests.fakes.engines import engine
-from tests.forwarding.test_starts import build_sender, registry_of
+from tests.forwarding.test_endpoint_starts import build_sender, registry_of
 
 REFUSES = EndpointRefusedError(503, "changes its role", may_have_run=False)
 CUT = AnswerCutError("closed without answer")
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -21,7 +21,7 @@
 from jujubeslip.routes import EngineService, PromptShape
 from tests.fakes.engines import engine
 from tests.fakes.platform_worker import PlatformWorker
-from tests.forwarding.test_starts import build_sender
+from tests.forwarding.test_endpoint_starts import build_sender
 
 OWN_ZONE, OTHER_ZONE = "zone-1", "zone-2"
 OPTIONS = MemoryOptions(margin=0.05, safety_deviations=1.0)
--- a/tests/forwarding/test_return_times.py
+++ b/tests/forwarding/test_retry_after.py
@@ -8,7 +8,7 @@
 import pytest
 
 from jujubeslip.forwarding._models import CLIENT_RETRY_SHARE, Attempts
-from jujubeslip.forwarding._return_times import (
+from jujubeslip.forwarding._retry_after import (
     MAXIMUM_SECONDS,
     MINIMUM_SECONDS,
     SPREAD_SHARE,
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from jujubeslip.forwarding._crashes import CRASH_WINDOW_SECONDS, CrashDetector
+from jujubeslip.forwarding._crash_detector import CRASH_WINDOW_SECONDS, CrashDetector
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.kernel import Deadline, RequestRefusedError
@@ -37,7 +37,7 @@
     "jujubeslip.quarantine._book",
     "jujubeslip.quarantine._harmless",
     "jujubeslip.quarantine._records",
-    "jujubeslip.forwarding._crashes",
+    "jujubeslip.forwarding._crash_detector",
 )
 
 
