--- a/src/jujubeslip/homes/__init__.py
+++ b/src/jujubeslip/homes/__init__.py
@@ -1,4 +1,4 @@
-"""Homes: for each service and zone one entry host grants the endpoints' capacity."""
+"""Homes: one entry host per service and locality grants the endpoints' capacity."""
 
 from jujubeslip.homes._estimates import Estimates
 from jujubeslip.homes._homes import Homes
--- a/src/jujubeslip/homes/_grants.py
+++ b/src/jujubeslip/homes/_grants.py
@@ -1,27 +1,27 @@
-"""The grants of one pool, counted at the endpoints that they use."""
+"""The grants of one pool, recorded at the endpoints that they use."""
 
 from __future__ import annotations
 
 from jujubeslip.homes._records import URGENT, EndpointRecord, GrantRecord
 from jujubeslip.kernel import steady_seconds
 
-# How long a released grant's attempt is remembered: statuses that were read before
-# the release still list it, and would show a slot in use that is free.
+# How long the attempt of a released grant is remembered, in seconds. A status that was
+# read before the release still lists the attempt, and would make a free slot look used.
 RELEASED_SECONDS = 5.0
 
 
-class GrantBook:
-    """Grants by id; every method is called under the pool's lock."""
+class GrantRegistry:
+    """Grants by id; every method must be called with the pool's lock held."""
 
     def __init__(self, record_by_id: dict[str, EndpointRecord]) -> None:
         self.record_by_id = record_by_id
         self.by_id: dict[str, GrantRecord] = {}
-        # How many of them are for urgent requests.
+        # The number of grants for urgent requests.
         self.urgent = 0
         self._known_until_by_key: dict[tuple[str, int], float] = {}
 
     def add(self, grant: GrantRecord) -> None:
-        """Count a grant at its endpoints."""
+        """Add a grant and record it at its endpoints."""
         self.by_id[grant.grant_id] = grant
         self._known_until_by_key[grant.key] = float("inf")
         if grant.request.priority == URGENT:
@@ -35,20 +35,20 @@
             decode.decode_grants[grant.grant_id] = grant
 
     def finish_prefill(self, grant: GrantRecord) -> None:
-        """Give the prefill endpoint's turn back."""
+        """Mark the prefill finished, and remove it from its endpoint's backlog."""
         grant.prefill_finished = True
         record = self.record_by_id.get(grant.prefill_id)
         if record is not None:
             record.prefill_grants.pop(grant.grant_id, None)
 
     def finish_transfer(self, grant: GrantRecord) -> None:
-        """Give the prefill endpoint's link back."""
+        """Release the prefill endpoint's link."""
         record = self.record_by_id.get(grant.prefill_id)
         if record is not None:
             record.transfer_grants.pop(grant.grant_id, None)
 
     def remove(self, grant: GrantRecord) -> None:
-        """Give everything back."""
+        """Remove a grant and release all its capacity."""
         if self.by_id.pop(grant.grant_id, None) is None:
             return
         self.finish_prefill(grant)
@@ -60,21 +60,21 @@
             self.urgent -= 1
         self._known_until_by_key[grant.key] = steady_seconds() + RELEASED_SECONDS
 
-    def count_strangers(self, record: EndpointRecord) -> None:
-        """Count what an endpoint holds that this home did not grant.
+    def count_foreign_requests(self, record: EndpointRecord) -> None:
+        """Count the requests that an endpoint holds without a grant of this home.
 
-        It was granted by an earlier home, or by one beyond a network partition, and
-        takes a slot until the endpoint's own list shows that it is gone.
+        They were granted by a previous home, or by one on the other side of a network
+        partition, and each uses a slot until the endpoint's status no longer lists it.
         """
         held = record.status.held if record.status else ()
-        record.strangers = sum(
+        record.foreign_requests = sum(
             1
             for item in held
             if (item.request_id, item.attempt) not in self._known_until_by_key
         )
 
-    def forget_released(self) -> None:
-        """Forget attempts whose release is long past."""
+    def prune_released(self) -> None:
+        """Remove attempts that were released more than RELEASED_SECONDS ago."""
         now = steady_seconds()
         for key, until in list(self._known_until_by_key.items()):
             if until < now:
--- a/src/jujubeslip/homes/_homes.py
+++ b/src/jujubeslip/homes/_homes.py
@@ -1,4 +1,4 @@
-"""The pools that this host is the home of, by service and place."""
+"""The pools that this host keeps as home or standby, by service and locality."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Homes:
-    """Pools by service and place; one is opened by the first thing said about it."""
+    """Pools by service and locality (a zone or region), created on first use."""
 
     def __init__(
         self,
@@ -36,22 +36,22 @@
         self._process = process
         self._options = options
         self._sweeps = sweeps
-        self._pool_by_place: dict[tuple[str, str], Pool] = {}
+        self._pool_by_locality: dict[tuple[str, str], Pool] = {}
         self._tracked: set[tuple[str, int]] = set()
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Start the task that moves the queues on."""
+        """Start the periodic task that processes the queues."""
         self._process.repeat(TICK_SECONDS, self._tick)
 
-    def pool(self, service_name: str, place: str) -> Pool:
-        """Return the pool of a service in a zone or region."""
-        key = (service_name, place)
+    def pool(self, service_name: str, locality: str) -> Pool:
+        """Return the pool of a service in a locality, creating it if necessary."""
+        key = (service_name, locality)
         with self._lock:
-            pool = self._pool_by_place.get(key)
+            pool = self._pool_by_locality.get(key)
             if pool is None:
-                pool = Pool(service_name, place, self._options)
-                self._pool_by_place[key] = pool
+                pool = Pool(service_name, locality, self._options)
+                self._pool_by_locality[key] = pool
             return pool
 
     def pools_of(self, service_name: str) -> list[Pool]:
@@ -59,12 +59,12 @@
         with self._lock:
             return [
                 pool
-                for (name, _), pool in self._pool_by_place.items()
+                for (name, _), pool in self._pool_by_locality.items()
                 if name == service_name
             ]
 
     def announce(self, announcement: Announcement) -> None:
-        """Take an endpoint's announcement and track it from now on."""
+        """Record an endpoint's announcement and start to track the endpoint."""
         pool = self.pool(announcement.service_name, announcement.place)
         record = pool.announce(announcement)
         tracked = (record.endpoint_id, record.announcement.incarnation)
@@ -79,24 +79,24 @@
 
     def _track(self, tracker: EndpointTracker, tracked: tuple[str, int]) -> None:
         try:
-            tracker.step(self._process)
+            tracker.poll(self._process)
             tracker.run(self._process)
         finally:
             with self._lock:
                 self._tracked.discard(tracked)
 
     def reserve(self, request: ReserveRequest) -> ReserveReply:
-        """Answer from the queue of the request's service and place."""
+        """Return the reply of the pool of the request's service and locality."""
         return self.pool(request.service_name, request.place).reserve(request)
 
     def withdraw(self, request: ReserveRequest) -> None:
-        """Take a request out of the queue of its service and place."""
+        """Remove a request from the queue of its service and locality."""
         self.pool(request.service_name, request.place).withdraw(request)
 
     def progress(self, progress: GrantProgress) -> None:
-        """Pass progress on to the pool that made the grant."""
+        """Pass a progress report on to the pool that made the grant."""
         with self._lock:
-            pools = list(self._pool_by_place.values())
+            pools = list(self._pool_by_locality.values())
         for pool in pools:
             if progress.grant_id in pool.scheduler.grants.by_id:
                 pool.progress(progress)
@@ -105,11 +105,11 @@
     def statuses(self) -> list[PoolStatus]:
         """Return the counts of every pool, for operators."""
         with self._lock:
-            pools = list(self._pool_by_place.values())
+            pools = list(self._pool_by_locality.values())
         return [pool.status() for pool in pools]
 
     def _tick(self) -> None:
         with self._lock:
-            pools = list(self._pool_by_place.values())
+            pools = list(self._pool_by_locality.values())
         for pool in pools:
             pool.tick()
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -1,4 +1,4 @@
-"""One service's endpoints in one zone or region, with the queue for them."""
+"""The endpoints of one service in one zone or region, and their request queue."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from jujubeslip.endpoints import CacheEvent, EndpointStatus
 from jujubeslip.homes._forecast import Forecast
-from jujubeslip.homes._progress import note_progress
+from jujubeslip.homes._progress import apply_progress
 from jujubeslip.homes._records import (
     ANNOUNCEMENT_LIFETIME,
     EndpointRecord,
@@ -29,28 +29,31 @@
     ReserveStatus,
 )
 
-# A reserve call answers PENDING after this time, in seconds, and is asked again; so a
-# connection that went silent is found within one call.
+# A reserve call replies PENDING after this time, in seconds, and the entry host calls
+# again, so an unresponsive connection is detected within one call.
 POLL_SECONDS = 0.25
-# A waiting request whose entry host stopped asking is dropped after this time.
-ASKED_LIFETIME = 2.0
-# A grant that neither moved on nor shows on its endpoints is dropped after this time.
+# A waiting request whose entry host stopped polling is dropped after this time, in
+# seconds.
+POLLING_LIFETIME = 2.0
+# A grant that reports no progress and is not held by its endpoints is dropped after
+# this time, in seconds.
 GRANT_SILENCE_SECONDS = 3.0
 NO_ENDPOINT_WAIT_SECONDS = 3600.0
-# A home that has just taken over hears of all its endpoints within this time, since
-# they announce themselves each second; until then it can't say that there are none.
-LEARNING_SECONDS = 2.5
+# A new home receives the announcements of all its endpoints within this time, in
+# seconds, since they announce themselves every second. Until then, it must not refuse
+# requests for lack of endpoints.
+DISCOVERY_SECONDS = 2.5
 
 
 class Pool:
-    """Grants an endpoint's capacity in order of priority, then deadline."""
+    """Grants the capacity of its endpoints by priority, then by deadline."""
 
     def __init__(
-        self, service_name: str, place: str, options: SchedulerOptions
+        self, service_name: str, locality: str, options: SchedulerOptions
     ) -> None:
         self.service_name = service_name
-        self.place = place
-        self.learned_by = Deadline.after(LEARNING_SECONDS)
+        self.locality = locality
+        self.discovered_by = Deadline.after(DISCOVERY_SECONDS)
         self.queue_wait_ms = 0
         self.load = 0.0
         self.scheduler = Scheduler(options)
@@ -62,11 +65,11 @@
     # Endpoints
 
     def announce(self, announcement: Announcement) -> EndpointRecord:
-        """Enter or renew an endpoint; leaving is final for an incarnation."""
+        """Add or refresh an endpoint; once leaving, an incarnation stays leaving."""
         with self._lock:
             known = self.scheduler.record_by_id.get(announcement.endpoint_id)
             if known is None or announcement.incarnation > known.incarnation:
-                return self._enter_endpoint(announcement)
+                return self._add_endpoint(announcement)
             if announcement.incarnation < known.incarnation:
                 return known
             if known.announcement.leaving:
@@ -77,17 +80,17 @@
                 self.scheduler.endpoints_changed()
             return known
 
-    def _enter_endpoint(self, announcement: Announcement) -> EndpointRecord:
+    def _add_endpoint(self, announcement: Announcement) -> EndpointRecord:
         record = EndpointRecord(announcement)
         self.scheduler.record_by_id[record.endpoint_id] = record
-        self.scheduler.prefixes.forget_endpoint(record.endpoint_id)
+        self.scheduler.prefixes.remove_endpoint(record.endpoint_id)
         self.scheduler.endpoints_changed()
         return record
 
     def observe(
         self, endpoint_id: str, status: EndpointStatus, asked_at: float
     ) -> None:
-        """Take over an endpoint's status and drop grants that it disproves."""
+        """Record an endpoint's status and drop the grants that it contradicts."""
         with self._lock:
             record = self.scheduler.record_by_id.get(endpoint_id)
             if record is None:
@@ -96,34 +99,37 @@
             record.observe(status, asked_at)
             if before != (record.usable, record.role):
                 self.scheduler.endpoints_changed()
-            self.scheduler.grants.count_strangers(record)
-            self._drop_silent_grants(record)
+            self.scheduler.grants.count_foreign_requests(record)
+            self._drop_stale_grants(record)
             self._dispatch()
 
-    def note_events(self, endpoint_id: str, events: Sequence[CacheEvent]) -> None:
-        """Take over an endpoint's cache events."""
+    def apply_cache_events(
+        self, endpoint_id: str, events: Sequence[CacheEvent]
+    ) -> None:
+        """Apply the cache events of an endpoint to the prefix index."""
         with self._lock:
-            self.scheduler.prefixes.apply(endpoint_id, events)
+            self.scheduler.prefixes.apply_events(endpoint_id, events)
 
-    def forget(self, record: EndpointRecord) -> None:
-        """Drop an endpoint that announces itself no more, but no later incarnation."""
+    def remove_endpoint(self, record: EndpointRecord) -> None:
+        """Remove an endpoint that stopped announcing itself, unless it was replaced."""
         with self._lock:
             record_by_id = self.scheduler.record_by_id
             if record_by_id.get(record.endpoint_id) is record:
                 del record_by_id[record.endpoint_id]
-                self.scheduler.prefixes.forget_endpoint(record.endpoint_id)
+                self.scheduler.prefixes.remove_endpoint(record.endpoint_id)
                 self.scheduler.endpoints_changed()
 
-    def _drop_silent_grants(self, record: EndpointRecord) -> None:
-        """Drop grants whose release was lost, as when their entry host died.
+    def _drop_stale_grants(self, record: EndpointRecord) -> None:
+        """Drop grants whose release report was lost, for example with their entry host.
 
-        Such a grant would hold a slot that the engine has long freed. It is dropped
-        once both endpoints, asked later than its last progress, don't hold it.
+        Such a grant would use a slot that the engine has already freed. It is dropped
+        once the statuses of both endpoints, requested after its last progress report,
+        no longer list it.
         """
         grants = [*record.prefill_grants.values(), *record.decode_grants.values()]
         for grant in grants:
-            silent = record.status_asked_at - grant.progressed_at
-            if silent >= GRANT_SILENCE_SECONDS and not self._is_held(grant):
+            silent_seconds = record.status_asked_at - grant.progressed_at
+            if silent_seconds >= GRANT_SILENCE_SECONDS and not self._is_held(grant):
                 self.scheduler.grants.remove(grant)
 
     def _is_held(self, grant: GrantRecord) -> bool:
@@ -141,18 +147,18 @@
     # Requests
 
     def reserve(self, request: ReserveRequest) -> ReserveReply:
-        """Return a grant, a refusal, or PENDING if neither came in POLL_SECONDS."""
-        waiter = self._enter(request)
+        """Return a grant, a refusal, or PENDING if there is neither in POLL_SECONDS."""
+        waiter = self._find_or_add_waiter(request)
         waiter.answered.wait(min(POLL_SECONDS, waiter.wait_until.remaining() + 0.01))
         with self._lock:
             if waiter.reply is None and waiter.wait_until.expired:
-                self._refuse_late(waiter)
+                self._refuse_expired(waiter)
             reply = waiter.reply or ReserveReply(ReserveStatus.PENDING, None, "", 0)
             reply.queue_wait_ms = self.queue_wait_ms
             reply.load = self.load
             return reply
 
-    def _enter(self, request: ReserveRequest) -> Waiter:
+    def _find_or_add_waiter(self, request: ReserveRequest) -> Waiter:
         key = (request.request_id, request.attempt)
         with self._lock:
             waiter = self._waiter_by_key.get(key)
@@ -160,24 +166,24 @@
                 waiter = Waiter(request)
                 self._waiter_by_key[key] = waiter
                 self._admit(waiter)
-            waiter.asked_until = Deadline.after(ASKED_LIFETIME)
+            waiter.polled_until = Deadline.after(POLLING_LIFETIME)
             return waiter
 
     def _admit(self, waiter: Waiter) -> None:
-        self.scheduler.note_arrival(waiter)
+        self.scheduler.record_arrival(waiter)
         if self.scheduler.options.priority_order:
             bisect.insort(self._queue, waiter, key=lambda item: item.order)
         else:
             self._queue.append(waiter)
         self._dispatch()
         if waiter.reply is None:
-            self._refuse_new_if_hopeless(waiter)
+            self._refuse_new_if_unservable(waiter)
 
     def withdraw(self, request: ReserveRequest) -> None:
-        """Forget a request whose caller is gone, and a grant that it never heard of.
+        """Remove a request whose caller has disconnected, and its unused grant if any.
 
-        Otherwise it would keep its place in the queue until it is found silent, and
-        what it is granted meanwhile would be held for nobody.
+        Otherwise the request would stay in the queue until its polling lifetime ends,
+        and a grant made in that time would hold capacity for no caller.
         """
         with self._lock:
             waiter = self._waiter_by_key.get((request.request_id, request.attempt))
@@ -191,38 +197,38 @@
             self._dispatch()
 
     def progress(self, progress: GrantProgress) -> None:
-        """Note what became of a grant, learn from it, and grant what came free."""
+        """Apply a progress report to its grant, then grant capacity that became free."""
         with self._lock:
             grant = self.scheduler.grants.by_id.get(progress.grant_id)
             if progress.failed_endpoint_id:
-                self._note_failure(progress.failed_endpoint_id)
+                self._record_failure(progress.failed_endpoint_id)
             if grant is not None:
-                note_progress(self.scheduler, grant, progress)
+                apply_progress(self.scheduler, grant, progress)
             self._dispatch()
 
-    def _note_failure(self, endpoint_id: str) -> None:
+    def _record_failure(self, endpoint_id: str) -> None:
         record = self.scheduler.record_by_id.get(endpoint_id)
         if record is not None:
-            record.failed()
+            record.record_failure()
             self.scheduler.endpoints_changed()
 
     # Queue
 
     def tick(self) -> None:
-        """Drop and refuse what can't be served any more; grant what can."""
+        """Drop abandoned requests, refuse unservable ones, and grant free capacity."""
         with self._lock:
             for waiter in list(self._waiter_by_key.values()):
-                if waiter.asked_until.expired:
+                if waiter.polled_until.expired:
                     self._remove(waiter)
                 elif waiter.reply is None and waiter.wait_until.expired:
-                    self._refuse_late(waiter)
-            self._refuse_hopeless()
+                    self._refuse_expired(waiter)
+            self._refuse_unservable()
             self._dispatch()
-            self.scheduler.grants.forget_released()
-            self._publish()
+            self.scheduler.grants.prune_released()
+            self._update_load()
 
-    def _publish(self) -> None:
-        """Refresh the forecast that rules ask about."""
+    def _update_load(self) -> None:
+        """Update the queue wait and the load that rules evaluate."""
         self.queue_wait_ms = int(1000 * self._forecast_wait())
         slots = self._usable_slots()
         grants = len(self.scheduler.grants.by_id)
@@ -241,7 +247,7 @@
             if choice is not None:
                 self._grant(waiter, choice)
                 continue
-            # Others may pass only one that waits for a particular endpoint.
+            # Later requests may overtake only a request that avoids some endpoints.
             if not waiter.request.avoid_endpoint_ids:
                 return
 
@@ -266,43 +272,43 @@
         )
         waiter.answer(ReserveReply(ReserveStatus.GRANTED, grant, "", 0))
 
-    def _refuse_hopeless(self) -> None:
-        """Refuse at once what would miss its first-token target."""
+    def _refuse_unservable(self) -> None:
+        """Refuse queued requests that would miss their first token target."""
         if not self._queue or not self.scheduler.options.early_refusal:
             return
         forecast = Forecast(self.scheduler, self._is_plain())
-        if not forecast.possible:
+        if not forecast.has_endpoints:
             for waiter in list(self._queue):
                 self._refuse_without_endpoints(waiter)
             return
-        for waiter, instant in forecast.first_tokens(list(self._queue)):
-            self._refuse_if_late(waiter, instant, forecast)
+        for waiter, first_token_at in forecast.first_token_times(list(self._queue)):
+            self._refuse_if_late(waiter, first_token_at, forecast)
 
-    def _refuse_new_if_hopeless(self, waiter: Waiter) -> None:
-        """Refuse a request on its arrival if its first token would be late."""
+    def _refuse_new_if_unservable(self, waiter: Waiter) -> None:
+        """Refuse a new request if its first token would be late."""
         if not self.scheduler.options.early_refusal:
             return
         forecast = Forecast(self.scheduler, self._is_plain())
-        if not forecast.possible:
+        if not forecast.has_endpoints:
             self._refuse_without_endpoints(waiter)
             return
         ahead = itertools.takewhile(lambda item: item is not waiter, self._queue)
-        instant = forecast.first_token(waiter, ahead)
-        self._refuse_if_late(waiter, instant, forecast)
+        first_token_at = forecast.first_token_time(waiter, ahead)
+        self._refuse_if_late(waiter, first_token_at, forecast)
 
     def _refuse_if_late(
-        self, waiter: Waiter, first_token: float, forecast: Forecast
+        self, waiter: Waiter, first_token_at: float, forecast: Forecast
     ) -> None:
-        late = first_token - waiter.first_token_by.instant
+        late = first_token_at - waiter.first_token_by.instant
         if late > 0:
             retry = forecast.retry_seconds(waiter, late)
             self._refuse(waiter, "the first token would be late", retry)
 
     def _refuse_without_endpoints(self, waiter: Waiter) -> None:
-        if self.learned_by.expired:
+        if self.discovered_by.expired:
             self._refuse(waiter, "no endpoint is usable", 1.0)
 
-    def _refuse_late(self, waiter: Waiter) -> None:
+    def _refuse_expired(self, waiter: Waiter) -> None:
         forecast = Forecast(self.scheduler, self._is_plain())
         retry = forecast.retry_seconds(waiter, 0.0)
         self._refuse(waiter, "the wait limit has passed", retry)
@@ -333,7 +339,7 @@
     def _forecast_wait(self) -> float:
         """Return the forecast wait of a short standard request, in seconds."""
         forecast = Forecast(self.scheduler, self._is_plain())
-        if not forecast.possible:
+        if not forecast.has_endpoints:
             return NO_ENDPOINT_WAIT_SECONDS
         request = ReserveRequest(
             request_id="",
@@ -347,8 +353,8 @@
             avoid_endpoint_ids=[],
             prefill_endpoint_id="",
         )
-        instant = forecast.first_token(Waiter(request), self._queue)
-        return max(0.0, instant - steady_seconds())
+        first_token_at = forecast.first_token_time(Waiter(request), self._queue)
+        return max(0.0, first_token_at - steady_seconds())
 
     def status(self) -> PoolStatus:
         """Return counts for operators."""
--- a/src/jujubeslip/homes/_progress.py
+++ b/src/jujubeslip/homes/_progress.py
@@ -1,4 +1,4 @@
-"""What a home learns from the progress of its grants."""
+"""Progress reports of grants, and the speeds that a home learns from them."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from jujubeslip.peers import GrantProgress
 
 
-def note_progress(
+def apply_progress(
     scheduler: Scheduler, grant: GrantRecord, progress: GrantProgress
 ) -> None:
-    """Move a grant on, and learn the speeds of its endpoints from it."""
+    """Update a grant from a progress report, and the speed estimates with it."""
     now = steady_seconds()
     if progress.prefill_finished and not grant.prefill_finished:
-        _note_prefill(scheduler, grant, progress.prefill_tokens, now)
+        _apply_prefill_finished(scheduler, grant, progress.prefill_tokens, now)
     if progress.transfer_finished and not grant.transfer_finished_at:
-        _note_transfer(scheduler, grant, now)
+        _apply_transfer_finished(scheduler, grant, now)
     if progress.released:
-        _note_release(scheduler, grant, progress, now)
+        _apply_release(scheduler, grant, progress, now)
     grant.progressed_at = now
 
 
-def _note_prefill(
+def _apply_prefill_finished(
     scheduler: Scheduler, grant: GrantRecord, computed_tokens: int, now: float
 ) -> None:
     scheduler.grants.finish_prefill(grant)
@@ -32,11 +32,13 @@
     started = max(grant.granted_at, record.last_prefill_finished_at)
     record.last_prefill_finished_at = now
     record.prefill_seconds.add(computed_tokens, now - started)
-    scheduler.prefixes.note_prefill(grant.prefill_id, grant.request.prefix_hashes)
-    record.succeeded()
+    scheduler.prefixes.record_prefill(grant.prefill_id, grant.request.prefix_hashes)
+    record.record_success()
 
 
-def _note_transfer(scheduler: Scheduler, grant: GrantRecord, now: float) -> None:
+def _apply_transfer_finished(
+    scheduler: Scheduler, grant: GrantRecord, now: float
+) -> None:
     grant.transfer_finished_at = now
     scheduler.grants.finish_transfer(grant)
     estimates = scheduler.estimates
@@ -47,7 +49,7 @@
     grant.releases = Deadline(now + hold)
 
 
-def _note_release(
+def _apply_release(
     scheduler: Scheduler, grant: GrantRecord, progress: GrantProgress, now: float
 ) -> None:
     scheduler.grants.remove(grant)
@@ -64,4 +66,4 @@
         estimates.urgent_seconds.add(now - grant.granted_at)
     record = scheduler.record_by_id.get(grant.decode_id)
     if record is not None:
-        record.succeeded()
+        record.record_success()
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -1,4 +1,4 @@
-"""What a home keeps for each endpoint, each grant and each waiting request."""
+"""The records of a home for endpoints, grants and waiting requests."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     ReserveRequest,
 )
 
-# The priority that is served first.
+# The highest priority, served first.
 URGENT = 0
-# A status is relied on for this long, in seconds. A leaving endpoint must get no new
-# work after 3 s even when nobody tells its home, so this stays below that.
+# How long a status is valid, in seconds. A leaving endpoint must get no new requests
+# after 3 s even if its home is not notified, so the lifetime is shorter than that.
 STATUS_LIFETIME = 2.0
 ANNOUNCEMENT_LIFETIME = 5.0
-# A failed endpoint is passed over for this long, doubled on each further failure.
+# How long a failed endpoint is skipped, in seconds; doubled on each further failure.
 EJECTION_SECONDS = 0.5
 MAXIMUM_EJECTION_SECONDS = 10.0
 OVERDUE_SHARE = 0.25
@@ -31,7 +31,7 @@
 
 
 class EndpointRecord:
-    """One endpoint as its home knows it; changed under the pool's lock only."""
+    """The state of one endpoint at its home; changed only with the pool's lock held."""
 
     def __init__(self, announcement: Announcement) -> None:
         self.announcement = announcement
@@ -42,11 +42,11 @@
         self.prefill_seconds = LinearEstimate(START_PREFILL_SECONDS_PER_TOKEN)
         self.last_prefill_finished_at = 0.0
         self.prefill_grants: dict[str, GrantRecord] = {}
-        # Those whose KV cache has not left this prefill endpoint yet.
+        # Grants whose KV cache has not been transferred from this prefill endpoint yet.
         self.transfer_grants: dict[str, GrantRecord] = {}
         self.decode_grants: dict[str, GrantRecord] = {}
-        # What it holds that no grant of this home accounts for.
-        self.strangers = 0
+        # The number of requests that the endpoint holds without a grant of this home.
+        self.foreign_requests = 0
         self.failures = 0
         self.ejected_until = Deadline.after(0)
 
@@ -62,43 +62,43 @@
 
     @property
     def role(self) -> EndpointRole:
-        """Return the role that the endpoint itself last reported."""
+        """Return the last reported role, or the announced one without a status."""
         return self.status.role if self.status else self.announcement.role
 
     @property
     def slots(self) -> int:
-        """Return how many requests the endpoint's memory has room for."""
+        """Return how many requests fit into the endpoint's memory."""
         return self.status.slots if self.status else self.announcement.slots
 
     @property
     def reference(self) -> EndpointRef:
-        """Return what an entry host needs to call the endpoint."""
+        """Return the reference with which an entry host calls the endpoint."""
         return EndpointRef(
             self.endpoint_id, self.announcement.incarnation, self.announcement.address
         )
 
     @property
     def in_use(self) -> bool:
-        """Say whether the endpoint holds anything, by its own word or by grants."""
+        """Return whether the endpoint holds requests, by its status or by grants."""
         held = self.status.held if self.status else ()
         return bool(held or self.decode_grants or self.transfer_grants)
 
     @property
     def usable(self) -> bool:
-        """Say whether new work may go there now."""
+        """Return whether the endpoint may get new requests now."""
         return self.is_usable(steady_seconds())
 
     def is_usable(self, now: float) -> bool:
-        """Say whether new work may go there at an instant.
+        """Return whether the endpoint may get new requests at the time `now`.
 
-        The endpoint itself must have said so lately: an old announcement that arrives
-        after the endpoint left can't bring it back, since its status says "leaving"
-        or there is none.
+        This requires a recent status of the endpoint itself. An old announcement that
+        arrives after the endpoint left does not make it usable again, since its status
+        is "leaving" or missing.
         """
         return not self.announcement.leaving and self.usable_until.instant > now
 
     def prefill_backlog(self, now: float) -> float:
-        """Return the seconds until the granted prefills are forecast to end."""
+        """Return the forecast seconds until the granted prefills end."""
         if not self.prefill_grants:
             return 0.0
         latest = max(
@@ -106,24 +106,26 @@
         )
         return max(0.0, latest - now)
 
-    def link_free_instant(self, now: float) -> float:
-        """Return when the endpoint's link is forecast to have sent what is granted."""
+    def link_free_time(self, now: float) -> float:
+        """Return the forecast time at which the link has sent all granted KV caches."""
         free = now
         grants = self.transfer_grants.values()
         for grant in sorted(grants, key=lambda item: item.prefill_ends):
-            free = max(free, grant.prefill_ends.instant) + grant.transfer_left(now)
+            free = max(
+                free, grant.prefill_ends.instant
+            ) + grant.remaining_transfer_seconds(now)
         return free
 
     def free_slots_at(self, instant: float, now: float) -> int:
-        """Return how many slots are forecast to be free at an instant."""
-        used = self.strangers
+        """Return the forecast number of free slots at the time `instant`."""
+        used = self.foreign_requests
         for grant in self.decode_grants.values():
-            if grant.release_instant(now) > instant:
+            if grant.release_time(now) > instant:
                 used += 1
         return self.slots - used
 
     def observe(self, status: EndpointStatus, asked_at: float) -> None:
-        """Take over a status; its lifetime counts from when it was asked for."""
+        """Record a status; its lifetime starts when it was requested."""
         self.status = status
         self.status_asked_at = asked_at
         if status.leaving or status.incarnation != self.announcement.incarnation:
@@ -131,20 +133,20 @@
             return
         self.usable_until = Deadline(asked_at + STATUS_LIFETIME)
 
-    def failed(self) -> None:
-        """Pass the endpoint over for a while; longer after each failure in a row."""
+    def record_failure(self) -> None:
+        """Skip the endpoint for some time; longer after each consecutive failure."""
         self.failures += 1
         seconds = EJECTION_SECONDS * 2 ** (self.failures - 1)
         self.ejected_until = Deadline.after(min(seconds, MAXIMUM_EJECTION_SECONDS))
 
-    def succeeded(self) -> None:
-        """Forget one failure; the way back is as gradual as the way out."""
+    def record_success(self) -> None:
+        """Remove one failure, so that recovery is as gradual as ejection."""
         self.failures = max(0, self.failures - 1)
 
 
 @dataclass
 class GrantRecord:
-    """Capacity given to one attempt; instants are of the monotonic clock."""
+    """Capacity granted to one attempt; times are of the monotonic clock."""
 
     grant_id: str
     request: ReserveRequest
@@ -158,16 +160,17 @@
     granted_at: float = field(default_factory=steady_seconds)
     progressed_at: float = field(default_factory=steady_seconds)
 
-    def transfer_left(self, now: float) -> float:
-        """Return the seconds that the transfer still takes once it has begun."""
+    def remaining_transfer_seconds(self, now: float) -> float:
+        """Return the forecast seconds that the transfer still needs."""
         if not self.prefill_finished:
             return self.transfer_seconds
         return max(0.0, self.progressed_at + self.transfer_seconds - now)
 
-    def release_instant(self, now: float) -> float:
-        """Return when the decode slot is forecast to be free.
+    def release_time(self, now: float) -> float:
+        """Return the forecast time at which the decode slot becomes free.
 
-        A grant that passed its forecast is expected to last a share longer, each time.
+        A grant that exceeded its forecast is expected to last longer by a fixed share
+        of its planned duration, counted from `now` at each call.
         """
         if self.releases.instant > now:
             return self.releases.instant
@@ -176,12 +179,12 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return the attempt that the grant is for."""
+        """Return the request id and attempt that the grant is for."""
         return (self.request.request_id, self.request.attempt)
 
 
 class Waiter:
-    """A request in the home's queue, and the reply once there is one."""
+    """A request in the home's queue, with its reply once there is one."""
 
     def __init__(self, request: ReserveRequest) -> None:
         self.request = request
@@ -189,14 +192,14 @@
             request.first_token_remaining_ms
         )
         self.wait_until = Deadline.from_remaining_ms(request.wait_remaining_ms)
-        self.asked_until = Deadline.after(0)
+        self.polled_until = Deadline.after(0)
         self.arrived_at = steady_seconds()
         self.reply: ReserveReply | None = None
         self.answered = threading.Event()
 
     @property
     def order(self) -> tuple[int, float, float]:
-        """Return the place in the queue: priority, then deadline, then arrival."""
+        """Return the sort key of the queue: priority, then deadline, then arrival."""
         return (
             self.request.priority,
             self.first_token_by.instant,
@@ -204,6 +207,6 @@
         )
 
     def answer(self, reply: ReserveReply) -> None:
-        """Set the reply and wake the task that waits for it."""
+        """Set the reply and wake the thread that waits for it."""
         self.reply = reply
         self.answered.set()
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -1,4 +1,4 @@
-"""The choice of endpoints for a waiting request."""
+"""Selection of endpoints for waiting requests."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 from jujubeslip.homes._demand import Demand
 from jujubeslip.homes._estimates import Estimates
-from jujubeslip.homes._grants import GrantBook
+from jujubeslip.homes._grants import GrantRegistry
 from jujubeslip.homes._prefixes import PrefixIndex
 from jujubeslip.homes._records import URGENT, EndpointRecord, Waiter
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
 
-# A prefill endpoint gets its next turn when the current ones end within this time,
-# so that it does not idle for the round trip between them.
-NEXT_TURN_SECONDS = 0.05
-MAXIMUM_TURNS = 16
-# How long a computed prompt may wait for the link of its prefill endpoint.
+# A prefill endpoint gets its next prompt when its granted ones are forecast to end
+# within this time, in seconds, so that it does not idle for the round trip in between.
+MAXIMUM_BACKLOG_SECONDS = 0.05
+MAXIMUM_OPEN_PREFILLS = 16
+# How long a computed prompt may wait for the link of its prefill endpoint, in seconds.
 LINK_WAIT_SECONDS = 0.1
-# Among more candidates than this a sample is looked at first; all of them only if the
-# sample has no room. The cost of a choice then hardly grows with the pool.
+# With more candidates than this, a sample of this size is examined first, and all
+# candidates only if the sample has no free capacity. The cost of a choice then hardly
+# grows with the pool.
 SAMPLE_SIZE = 16
-# How long a list of usable endpoints is kept, in seconds, unless one of them changes.
+# How long a list of usable endpoints is cached, in seconds, unless one of them changes.
 CANDIDATES_LIFETIME = 0.05
 
 
 @dataclass(frozen=True)
 class SchedulerOptions:
-    """Each decision can be switched off, to be measured on and off."""
+    """Switches for each scheduling decision, so that its effect can be measured."""
 
     reserve_decode_slot: bool = True
     priority_order: bool = True
@@ -42,9 +43,9 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The endpoints for a request and when each part is forecast to end.
+    """The endpoints for a request, with the forecast end of each phase.
 
-    A plain service's request has no prefill; its endpoint stands as `decode`.
+    A request to a plain service has no prefill; its endpoint is in `decode`.
     """
 
     prefill: EndpointRecord | None
@@ -56,7 +57,7 @@
 
 
 class Scheduler:
-    """Chooses for one pool; every method is called under the pool's lock."""
+    """Chooses endpoints of one pool; methods are called with the pool's lock held."""
 
     def __init__(self, options: SchedulerOptions) -> None:
         self.options = options
@@ -64,7 +65,7 @@
         self.prefixes = PrefixIndex()
         self.demand = Demand()
         self.record_by_id: dict[str, EndpointRecord] = {}
-        self.grants = GrantBook(self.record_by_id)
+        self.grants = GrantRegistry(self.record_by_id)
         self._usable_by_role: dict[EndpointRole, tuple[float, list[EndpointRecord]]]
         self._usable_by_role = {}
         self._ejected_until = 0.0
@@ -76,14 +77,14 @@
     def candidates(
         self, role: EndpointRole, avoid: Collection[str] = ()
     ) -> list[EndpointRecord]:
-        """Return the usable endpoints of a role, without failing ones if others do."""
+        """Return the usable endpoints of a role; failing ones only if no others remain."""
         now = steady_seconds()
         usable = self._usable(role, now)
         if not avoid and not self._any_ejected(now):
             return usable
         wanted = [record for record in usable if record.endpoint_id not in avoid]
         healthy = [record for record in wanted if record.ejected_until.instant <= now]
-        # Never all: a pool whose endpoints all failed lately is tried all the same.
+        # If all endpoints failed recently, they are used nevertheless.
         return healthy or wanted or usable
 
     def _usable(self, role: EndpointRole, now: float) -> list[EndpointRecord]:
@@ -95,13 +96,13 @@
             for record in self.record_by_id.values()
             if record.role == role and record.is_usable(now)
         ]
-        # In no order, so that any slice of it is a sample.
+        # Shuffled, so that any slice of the list is a random sample.
         random.shuffle(records)
         self._usable_by_role[role] = (now + CANDIDATES_LIFETIME, records)
         return records
 
     def endpoints_changed(self) -> None:
-        """Forget the lists of usable endpoints, since one joined, left or failed."""
+        """Clear the cached lists of usable endpoints; one joined, left or failed."""
         self._usable_by_role.clear()
         self._ejected_until = max(
             (record.ejected_until.instant for record in self.record_by_id.values()),
@@ -114,14 +115,14 @@
     def prefill_seconds(
         self, record: EndpointRecord, waiter: Waiter, cached_by_id: dict[str, int]
     ) -> float:
-        """Return how long the endpoint computes for the request's prompt."""
+        """Return the forecast prefill time of the request at an endpoint, in seconds."""
         if record.endpoint_id == waiter.request.prefill_endpoint_id:
             return 0.0
         cached = cached_by_id.get(record.endpoint_id, 0)
-        return record.prefill_seconds.of(waiter.request.prompt_tokens - cached)
+        return record.prefill_seconds.seconds_for(waiter.request.prompt_tokens - cached)
 
     def cached_tokens(self, waiter: Waiter) -> dict[str, int]:
-        """Return how much of the request's prompt each endpoint has cached."""
+        """Return the cached tokens of the request's prompt by endpoint id."""
         if not self.options.prefix_affinity:
             return {}
         return self.prefixes.cached_tokens(waiter.request.prefix_hashes)
@@ -129,7 +130,7 @@
     # Choice
 
     def choose(self, waiter: Waiter) -> Choice | None:
-        """Return endpoints that can take the request now, or None to let it wait."""
+        """Return endpoints that can serve the request now, or None if it must wait."""
         now = steady_seconds()
         avoid = waiter.request.avoid_endpoint_ids
         if waiter.request.plain:
@@ -140,8 +141,10 @@
             return None
         seconds = self.prefill_seconds(prefill, waiter, cached_by_id)
         ends = now + prefill.prefill_backlog(now) + seconds
-        transfer = self.estimates.transfer_seconds.of(waiter.request.prompt_tokens)
-        link_free = prefill.link_free_instant(now)
+        transfer = self.estimates.transfer_seconds.seconds_for(
+            waiter.request.prompt_tokens
+        )
+        link_free = prefill.link_free_time(now)
         ready = self.transfer_ends(waiter, ends, link_free, transfer)
         decode = self._choose_decode(waiter, ready, now)
         if decode is None:
@@ -153,20 +156,20 @@
         )
 
     def is_paced(self, waiter: Waiter) -> bool:
-        """Say whether the request's transfer waits for those before it on the link.
+        """Return whether the request's transfer waits for earlier ones on the link.
 
-        Urgent prompts are short and share the link with a long transfer instead.
+        Urgent prompts are short, and share the link with a long transfer instead.
         """
         return self.options.link_pacing and waiter.request.priority != URGENT
 
     def transfer_ends(
-        self, waiter: Waiter, computed: float, link_free: float, seconds: float
+        self, waiter: Waiter, prefill_ends: float, link_free: float, seconds: float
     ) -> float:
-        """Return the instant at which a KV cache has arrived at its decode endpoint."""
+        """Return the forecast time at which a KV cache is at its decode endpoint."""
         if self.is_paced(waiter):
-            return max(computed, link_free) + seconds
-        shared = 2 if link_free > computed else 1
-        return computed + shared * seconds
+            return max(prefill_ends, link_free) + seconds
+        shared = 2 if link_free > prefill_ends else 1
+        return prefill_ends + shared * seconds
 
     def _choose_plain(
         self, candidates: list[EndpointRecord], now: float
@@ -186,9 +189,9 @@
         )
         earlier = self.record_by_id.get(waiter.request.prefill_endpoint_id)
         if earlier is not None and earlier in candidates:
-            # The KV cache of an earlier attempt is still there: it needs no turn.
+            # It still holds the KV cache of an earlier attempt; no prefill is needed.
             return earlier
-        free = self._with_turn(candidates, cached_by_id, now)
+        free = self._accepting_prefills(candidates, cached_by_id, now)
         free = [
             item
             for item in free
@@ -211,31 +214,31 @@
         cached_by_id: dict[str, int],
         now: float,
     ) -> bool:
-        """Say whether the endpoint's link can take the KV cache soon after prefill.
+        """Return whether the link can transfer the KV cache soon after the prefill.
 
-        A computed prompt that waits for the link is soon evicted, and its prefill is
-        wasted.
+        A computed prompt that waits for the link is soon evicted, which wastes its
+        prefill.
         """
         if not self.is_paced(waiter) or not record.transfer_grants:
             return True
         seconds = self.prefill_seconds(record, waiter, cached_by_id)
         ends = now + record.prefill_backlog(now) + seconds
-        return record.link_free_instant(now) - ends <= LINK_WAIT_SECONDS
+        return record.link_free_time(now) - ends <= LINK_WAIT_SECONDS
 
-    def _with_turn(
+    def _accepting_prefills(
         self,
         candidates: list[EndpointRecord],
         cached_by_id: dict[str, int],
         now: float,
     ) -> list[EndpointRecord]:
-        """Return prefill endpoints with a turn to give; of many, a sample."""
+        """Return prefill endpoints that accept a prompt; of many, those in a sample."""
         if len(candidates) > SAMPLE_SIZE:
             sample = _sample(candidates)
             sample.extend(self._usable_among(cached_by_id, now))
-            free = [record for record in sample if _has_turn(record, now)]
+            free = [record for record in sample if _accepts_prefill(record, now)]
             if len(free) > 1:
                 return free
-        return [record for record in candidates if _has_turn(record, now)]
+        return [record for record in candidates if _accepts_prefill(record, now)]
 
     def _usable_among(
         self, endpoint_ids: Iterable[str], now: float
@@ -251,10 +254,10 @@
         candidates: list[EndpointRecord],
         free: list[EndpointRecord],
     ) -> bool:
-        """Keep one prefill endpoint free of prompts that an urgent one can't outwait.
+        """Return whether the last free prefill endpoint is kept for urgent requests.
 
-        An engine does not interrupt a prefill: if all of them compute long prompts,
-        an urgent request that arrives then misses its first-token target.
+        An engine does not interrupt a prefill. If all prefill endpoints compute long
+        prompts, an urgent request that arrives then misses its first token target.
         """
         if not self.options.urgent_headroom or waiter.request.priority == URGENT:
             return False
@@ -275,26 +278,26 @@
             return min(candidates, key=lambda record: len(record.decode_grants))
         headroom = self._headroom_for(waiter)
         if len(candidates) > SAMPLE_SIZE and headroom == 0:
-            best, free = _emptiest(_sample(candidates), ready, now)
+            best, free = _most_free_slots(_sample(candidates), ready, now)
             if free > 0:
                 return best
-        best, free = _emptiest(candidates, ready, now)
+        best, free = _most_free_slots(candidates, ready, now)
         return best if free > headroom else None
 
     def _headroom_for(self, waiter: Waiter) -> int:
-        """Return how many decode slots a request must leave free for urgent ones."""
+        """Return how many decode slots a request has to leave free for urgent ones."""
         if not self.options.urgent_headroom or waiter.request.priority == URGENT:
             return 0
         if self._urgent_interval == 0.0:
             return 0
-        quiet = max(self._urgent_interval, steady_seconds() - self._last_urgent_at)
-        expected = self.estimates.urgent_seconds.value / quiet
+        interval = max(self._urgent_interval, steady_seconds() - self._last_urgent_at)
+        expected = self.estimates.urgent_seconds.value / interval
         return max(0, round(expected) - self.grants.urgent)
 
-    def note_arrival(self, waiter: Waiter) -> None:
-        """Learn how much is asked for, and how long urgent requests can wait."""
+    def record_arrival(self, waiter: Waiter) -> None:
+        """Update the demand, and the interval and target of urgent requests."""
         hold = self.estimates.hold_seconds(waiter.request.output_tokens)
-        self.demand.note(waiter.request.priority, hold)
+        self.demand.add(waiter.request.priority, hold)
         if waiter.request.priority != URGENT:
             return
         now = steady_seconds()
@@ -308,25 +311,25 @@
 
 
 def _sample(records: list[EndpointRecord]) -> list[EndpointRecord]:
-    """Return SAMPLE_SIZE records from a random place of a shuffled list."""
+    """Return SAMPLE_SIZE records from a random position of a shuffled list."""
     start = random.randrange(len(records) - SAMPLE_SIZE + 1)
     return records[start : start + SAMPLE_SIZE]
 
 
-def _has_turn(record: EndpointRecord, now: float) -> bool:
-    """Say whether a prefill endpoint can be given another prompt now."""
+def _accepts_prefill(record: EndpointRecord, now: float) -> bool:
+    """Return whether a prefill endpoint accepts another prompt now."""
     open_grants = len(record.prefill_grants)
     if open_grants == 0:
         return True
-    if open_grants >= MAXIMUM_TURNS:
+    if open_grants >= MAXIMUM_OPEN_PREFILLS:
         return False
-    return record.prefill_backlog(now) <= NEXT_TURN_SECONDS
+    return record.prefill_backlog(now) <= MAXIMUM_BACKLOG_SECONDS
 
 
-def _emptiest(
+def _most_free_slots(
     records: list[EndpointRecord], ready: float, now: float
 ) -> tuple[EndpointRecord, int]:
-    """Return the endpoint with the most free slots, and the free slots of all."""
+    """Return the endpoint with the most free slots, and the sum of free slots."""
     best = records[0]
     most = None
     total = 0
--- a/src/jujubeslip/homes/_tracker.py
+++ b/src/jujubeslip/homes/_tracker.py
@@ -1,4 +1,4 @@
-"""One task for each endpoint: asks for its status and sweeps its orphans."""
+"""One task per endpoint that polls its status and cancels orphaned requests."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 logger = logging.getLogger(__name__)
 
 STATUS_INTERVAL = 0.5
-QUIET_STATUS_INTERVAL = 1.0
+IDLE_STATUS_INTERVAL = 1.0
 EVENTS_INTERVAL = 1.0
 STATUS_TIMEOUT = 1.0
-# What is younger than this, in milliseconds, is not asked about: its entry host may
-# only just have opened it.
+# Younger requests than this, in milliseconds, are not checked: their entry host may not
+# have recorded them yet.
 SWEEP_AGE_MS = 1500
 SWEEP_INTERVAL = 1.0
 OWNER_TIMEOUT = 0.6
 CONNECT_TIMEOUT = 0.5
-# An owner that is silent for this long, in seconds, is taken for ended. If it was
-# only cut off, its streams are resumed elsewhere.
-ABSENT_SECONDS = 30.0
+# An owner that does not respond for this long, in seconds, is considered ended. If it
+# was only partitioned, its streams are resumed elsewhere.
+OWNER_ABSENCE_SECONDS = 30.0
 CANCEL_TIMEOUT = 1.0
 
 
 class EndpointTracker:
-    """Keeps one endpoint's record fresh while it announces itself here."""
+    """Keeps the record of one endpoint current while it announces itself here."""
 
     def __init__(
         self,
@@ -57,40 +57,40 @@
         self._sweeps = sweeps
         self._next_sweep = Deadline.after(0)
         self._sweep_task: Future[None] | None = None
-        self._absent_until_by_owner: dict[str, Deadline] = {}
+        self._absence_limit_by_owner: dict[str, Deadline] = {}
         self._next_event = 0
         self._events_due = Deadline.after(0)
         self._monitor = EndpointMonitor(record.announcement.address)
 
     def run(self, process: Process) -> None:
-        """Ask until the endpoint stops announcing itself, or the process stops."""
-        while not process.stopped.wait(self._interval()):
+        """Poll until the endpoint stops announcing itself or the process stops."""
+        while not process.stopped.wait(self._status_interval()):
             if self._record.announced_until.expired:
                 break
-            self.step(process)
+            self.poll(process)
         self._monitor.close()
-        self._pool.forget(self._record)
+        self._pool.remove_endpoint(self._record)
 
-    def _interval(self) -> float:
-        """Return the pause between statuses, longer where nothing depends on it.
+    def _status_interval(self) -> float:
+        """Return the interval between polls, longer where an older status suffices.
 
-        Asking is most of a home's own cost. A standby's view may be older, and that
-        of an endpoint that holds nothing too.
+        Polling is most of a home's own cost. An older status suffices at a standby, and
+        for an endpoint that holds no requests.
         """
-        home = self._directory.home_of(self._pool.service_name, self._pool.place)
+        home = self._directory.home_of(self._pool.service_name, self._pool.locality)
         is_home = home.host_id == self._directory.own.host_id
         if is_home and self._record.in_use:
             return STATUS_INTERVAL
-        return QUIET_STATUS_INTERVAL
+        return IDLE_STATUS_INTERVAL
 
-    def step(self, process: Process) -> None:
-        """Ask once; an endpoint that doesn't answer is used no more when it's due."""
+    def poll(self, process: Process) -> None:
+        """Poll once; without an answer, the endpoint is unusable when its status expires."""
         asked_at = steady_seconds()
         monitor = self._monitor_of_address()
         try:
             status = monitor.status(Deadline.after(STATUS_TIMEOUT))
         except EndpointError as error:
-            logger.debug("no status", extra={"error": str(error)})
+            logger.debug("endpoint status request failed", extra={"error": str(error)})
             return
         if status.endpoint_id != self._record.endpoint_id:
             logger.warning(
@@ -103,7 +103,7 @@
         self._start_sweep(process, EngineAdapter(monitor.address), status)
 
     def _monitor_of_address(self) -> EndpointMonitor:
-        """Return the monitor of the address that the endpoint last announced."""
+        """Return a monitor of the address that the endpoint last announced."""
         address = self._record.announcement.address
         if self._monitor.address != address:
             self._monitor.close()
@@ -119,16 +119,16 @@
             events, self._next_event = monitor.events(self._next_event, deadline)
         except EndpointError:
             return
-        self._pool.note_events(self._record.endpoint_id, events)
+        self._pool.apply_cache_events(self._record.endpoint_id, events)
 
     def _start_sweep(
         self, process: Process, adapter: EngineAdapter, status: EndpointStatus
     ) -> None:
-        """Sweep in a task of its own, one at a time.
+        """Start a sweep in a separate task, unless one is running.
 
-        An owner that is cut off or frozen answers late. If the tracker waited for
-        it, the endpoint's status would age beyond its lifetime, and the endpoint
-        would be lost to every other entry host.
+        An owner that is partitioned or frozen answers late. If the tracker waited for
+        it, the endpoint's status would expire, and the endpoint would be unusable for
+        every other entry host.
         """
         running = self._sweep_task is not None and not self._sweep_task.done()
         if not self._sweeps or running or not self._next_sweep.expired:
@@ -137,11 +137,11 @@
         self._sweep_task = process.start_task(self._sweep, adapter, status)
 
     def _sweep(self, adapter: EngineAdapter, status: EndpointStatus) -> None:
-        """Free what the engine holds for entry processes that serve it no more.
+        """Cancel requests in the engine whose entry process no longer serves them.
 
-        An entry process that is killed can't cancel what it started, and the engine
-        would hold its memory for good. The home asks each living owner; what a dead
-        incarnation owned, or what the owner does not know, is cancelled.
+        An entry process that is killed cannot cancel its requests, and the engine would
+        hold their memory forever. The home asks each live owner; the requests that the
+        owner does not know, and those of a dead incarnation, are cancelled.
         """
         held_by_owner: dict[str, list[HeldItem]] = defaultdict(list)
         for item in status.held:
@@ -171,33 +171,36 @@
                 OWNER_TIMEOUT,
             )
         except (PeerUnavailableError, PeerRefusal):
-            # Suspicion is not enough: its callers may be living ones.
+            # A suspected owner is not enough: its callers may still be connected.
             return requests if dead and self._has_ended(owner, address) else []
         return closed
 
     def _has_ended(self, owner: str, address: str) -> bool:
-        """Say whether a host that is taken for dead has surely ended.
+        """Return whether a host that is considered dead has certainly ended.
 
-        A host that is cut off from the others, but not from the engines, takes all
-        others for dead. If it swept what they own, it would cancel the requests of
-        living callers. A process that has ended refuses connections at once; one
-        beyond a cut is silent, and is given ABSENT_SECONDS.
+        A host that is partitioned from the others, but not from the engines, considers
+        all others dead. If it cancelled their requests, it would cut off connected
+        callers. An ended process refuses connections at once; one behind a partition
+        does not respond, and is considered ended after OWNER_ABSENCE_SECONDS.
         """
         if _refuses_connections(address):
             return True
-        limit = Deadline.after(ABSENT_SECONDS)
-        return self._absent_until_by_owner.setdefault(owner, limit).expired
+        limit = Deadline.after(OWNER_ABSENCE_SECONDS)
+        return self._absence_limit_by_owner.setdefault(owner, limit).expired
 
     def _cancel(self, adapter: EngineAdapter, request: HeldRequest) -> None:
         extra = {"request_id": request.request_id, "attempt": request.attempt}
-        logger.info("cancelling an orphaned request", extra=extra)
+        logger.info("cancelling orphaned request", extra=extra)
         try:
             adapter.cancel(
                 request.request_id, request.attempt, Deadline.after(CANCEL_TIMEOUT)
             )
         except EndpointError as error:
-            # It is still in the engine's list, so the next sweep asks again.
-            logger.info("cancel failed", extra={**extra, "error": str(error)})
+            # The request is still in the engine's status; the next sweep tries again.
+            logger.info(
+                "cancelling orphaned request failed",
+                extra={**extra, "error": str(error)},
+            )
 
 
 def _refuses_connections(address: str) -> bool:
--- a/tests/homes/__init__.py
+++ b/tests/homes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the homes' decisions."""
+"""Tests of the scheduling decisions of homes."""
--- a/tests/homes/test_pool.py
+++ b/tests/homes/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of a pool: what it grants, what it lets wait, what it refuses."""
+"""Tests of a pool: grants, waiting requests and refusals."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _answer_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def _reply_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pool_module, "POLL_SECONDS", 0.0)
 
 
@@ -110,23 +110,23 @@
 
 class TestReservation:
     def test_no_prefill_begins_without_a_decode_slot(self) -> None:
-        """A prompt is computed and no decode slot takes it: the prefill is wasted.
+        """Guards against a wasted prefill of a prompt that gets no decode slot.
 
-        Two prefill endpoints idle; the only decode slot is taken for half a minute.
+        Two prefill endpoints are idle; the only decode slot is used for 30 s.
         """
         pool = make_pool("p1", "p2", "d1")
         first = granted(reserve(pool, "a"))
         pool.progress(GrantProgress(first.grant_id, True, True, False, 100, 0, ""))
         record = pool.scheduler.grants.by_id[first.grant_id]
-        record.releases = _in_half_a_minute()
+        record.releases = _in_30_seconds()
         assert reserve(pool, "b").status == ReserveStatus.PENDING
         release(pool, first)
         granted(reserve(pool, "b"))
 
-    def test_memory_that_an_earlier_home_granted_counts(self) -> None:
-        """A home dies; the next one knows no grants, but the engine's slots are full.
+    def test_slots_granted_by_previous_home_count_as_used(self) -> None:
+        """A home dies; the next one knows no grants, but the engine's slots are in use.
 
-        Granting them again would send prompts to a decode endpoint without room.
+        Granting them again would send prompts to a decode endpoint without capacity.
         """
         pool = make_pool("p1", "d1")
         held = HeldItem("old", 1, "host/1", "decode", 10, 5000)
@@ -135,8 +135,8 @@
         observe(pool, "d1")
         granted(reserve(pool, "a"))
 
-    def test_a_status_from_before_a_release_takes_no_slot(self) -> None:
-        """The engine's list was read before the release arrived and still names it."""
+    def test_status_read_before_release_uses_no_slot(self) -> None:
+        """The status was read before the release arrived and still lists the request."""
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
         release(pool, first)
@@ -144,15 +144,15 @@
         granted(reserve(pool, "b"))
 
     def test_the_same_attempt_gets_the_same_grant(self) -> None:
-        """The reply with the grant was lost, and the entry host asks again."""
+        """The reply with the grant was lost, and the entry host calls again."""
         pool = make_pool("p1", "d1", slots=2)
         first = granted(reserve(pool, "a"))
         assert granted(reserve(pool, "a")).grant_id == first.grant_id
 
-    def test_a_withdrawn_request_holds_nothing(self) -> None:
-        """A caller closes while its request waits, and the grant comes just then.
+    def test_withdrawn_request_releases_its_grant(self) -> None:
+        """A caller disconnects while its request waits, just before the grant is made.
 
-        Nobody hears of the grant, and its slot would be held for nobody.
+        The grant reaches no entry host, and its slot would stay in use.
         """
         pool = make_pool("p1", "d1")
         granted(reserve(pool, "a"))
@@ -162,9 +162,9 @@
     def test_a_grant_whose_owner_died_is_dropped(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """An entry host is killed after its grant; no release ever comes.
+        """An entry host is killed after it got a grant, and never reports a release.
 
-        The slot would be lost for good, while the engine's list does not show it.
+        The slot would stay in use although the engine does not list the request.
         """
         monkeypatch.setattr(pool_module, "GRANT_SILENCE_SECONDS", 0.0)
         pool = make_pool("p1", "d1")
@@ -175,10 +175,10 @@
 
 
 class TestOrder:
-    def test_urgent_requests_pass_those_that_wait(self) -> None:
+    def test_urgent_requests_overtake_waiting_ones(self) -> None:
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_half_a_minute()
+        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
         assert reserve(pool, "bulk", BULK).status == ReserveStatus.PENDING
         assert reserve(pool, "urgent", URGENT).status == ReserveStatus.PENDING
         release(pool, first)
@@ -188,7 +188,7 @@
     def test_the_earlier_deadline_is_first_within_a_class(self) -> None:
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_half_a_minute()
+        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
         reserve(pool, "late", first_token_ms=600_000)
         reserve(pool, "soon", first_token_ms=300_000)
         release(pool, first)
@@ -196,39 +196,39 @@
 
 
 class TestRefusal:
-    def test_what_would_be_late_is_refused_at_once(self) -> None:
-        """A caller waits for a first token that can't come in time any more."""
+    def test_request_that_would_be_late_is_refused_immediately(self) -> None:
+        """Guards against callers that wait for a first token that cannot be in time."""
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_half_a_minute()
+        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
         reply = reserve(pool, "b", first_token_ms=1000)
         assert reply.status == ReserveStatus.REFUSED
-        # 29 s late, while two requests in 5 s ask for 40% of the slot.
+        # The first token is 29 s late, and two requests in 5 s demand 40% of the slot.
         assert 45_000 < reply.retry_after_ms < 50_000
 
-    def test_a_home_that_has_just_begun_does_not_say_there_is_nothing(self) -> None:
-        """A home takes over and has not heard of its endpoints yet."""
+    def test_new_home_does_not_refuse_for_lack_of_endpoints(self) -> None:
+        """A home takes over and has no announcements of its endpoints yet."""
         pool = make_pool()
         assert reserve(pool, "a").status == ReserveStatus.PENDING
-        pool.learned_by = Deadline.after(0)
+        pool.discovered_by = Deadline.after(0)
         assert reserve(pool, "b").status == ReserveStatus.REFUSED
 
 
 class TestLeaving:
-    def test_a_leaving_endpoint_gets_nothing(self) -> None:
+    def test_leaving_endpoint_gets_no_requests(self) -> None:
         pool = make_pool("p1", "d1", "d2")
         announce(pool, "d1", leaving=True)
         assert granted(reserve(pool, "a")).decode.endpoint_id == "d2"
 
-    def test_an_old_announcement_does_not_bring_it_back(self) -> None:
-        """A delayed "alive" arrives after "leaving", and work goes to what is gone."""
+    def test_late_announcement_does_not_revoke_leaving(self) -> None:
+        """A delayed announcement arrives after "leaving" and must not revoke it."""
         pool = make_pool("p1", "d1")
         announce(pool, "d1", leaving=True)
         announce(pool, "d1", leaving=False)
         assert reserve(pool, "a").status == ReserveStatus.PENDING
 
-    def test_an_announcement_alone_gives_no_work(self) -> None:
-        """A new home gets a delayed "alive" of an endpoint that it never heard leave.
+    def test_endpoint_without_status_gets_no_requests(self) -> None:
+        """A new home gets a delayed announcement of an endpoint that has since left.
 
         Only the endpoint's own status makes it usable, and that says "leaving".
         """
@@ -247,21 +247,21 @@
 
 
 class TestFailures:
-    def test_a_failing_endpoint_is_passed_over(self) -> None:
+    def test_failing_endpoint_is_skipped(self) -> None:
         pool = make_pool("p1", "d1", "d2")
         first = granted(reserve(pool, "a"))
         release(pool, first, failed=first.decode.endpoint_id)
         second = granted(reserve(pool, "b"))
         assert second.decode.endpoint_id != first.decode.endpoint_id
 
-    def test_never_all_are_passed_over(self) -> None:
-        """Every endpoint failed a moment ago, by a switch; now nobody is served."""
+    def test_endpoints_are_used_if_all_have_failed(self) -> None:
+        """A network fault makes every endpoint fail; requests must still be served."""
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
         release(pool, first, failed="d1")
         granted(reserve(pool, "b"))
 
-    def test_a_retry_gets_the_endpoint_that_has_its_prompt(self) -> None:
+    def test_retry_uses_endpoint_that_computed_its_prompt(self) -> None:
         pool = make_pool("p1", "p2", "p3", "d1", slots=8)
         grant = granted(reserve(pool, "a", prefill_endpoint_id="p2"))
         assert grant.prefill is not None
@@ -269,7 +269,7 @@
 
 
 class TestAffinity:
-    def test_a_cached_prefix_draws_the_request(self) -> None:
+    def test_request_goes_to_endpoint_with_cached_prefix(self) -> None:
         pool = make_pool("p1", "p2", "d1", slots=8)
         first = granted(reserve(pool, "a", prefix_hashes=["h"], prompt_tokens=5000))
         release(pool, first)
@@ -284,7 +284,7 @@
 
 class TestConcurrency:
     def test_slots_are_never_granted_twice(self) -> None:
-        """Many entry hosts ask at once for the last slots."""
+        """Many entry hosts request the last slots concurrently."""
         pool = make_pool("p1", "p2", "d1", "d2", slots=3)
 
         def ask(number: int) -> bool:
@@ -298,6 +298,5 @@
             assert record.free_slots_at(now, now) >= 0
 
 
-def _in_half_a_minute() -> Deadline:
-
+def _in_30_seconds() -> Deadline:
     return Deadline.after(30)
