--- a/src/jujubeslip/homes/_forecast.py
+++ b/src/jujubeslip/homes/_forecast.py
@@ -45,7 +45,7 @@
         ]
         heapq.heapify(self._slots)
         heapq.heapify(self._prefill_free_times)
-        # The endpoints of a pool have similar speeds; the median represents all of them.
+        # The endpoints of a pool have similar speeds; the median represents them all.
         prefills.sort(key=lambda item: item.prefill_seconds.seconds_per_token)
         self._median_prefill = prefills[len(prefills) // 2] if prefills else None
 
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -197,7 +197,7 @@
             self._dispatch()
 
     def progress(self, progress: GrantProgress) -> None:
-        """Apply a progress report to its grant, then grant capacity that became free."""
+        """Apply a progress report to its grant, then grant the capacity freed by it."""
         with self._lock:
             grant = self.scheduler.grants.by_id.get(progress.grant_id)
             if progress.failed_endpoint_id:
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -111,9 +111,7 @@
         free = now
         grants = self.transfer_grants.values()
         for grant in sorted(grants, key=lambda item: item.prefill_ends):
-            free = max(
-                free, grant.prefill_ends.instant
-            ) + grant.remaining_transfer_seconds(now)
+            free = max(free, grant.prefill_ends.instant) + grant.transfer_left(now)
         return free
 
     def free_slots_at(self, instant: float, now: float) -> int:
@@ -160,8 +158,8 @@
     granted_at: float = field(default_factory=steady_seconds)
     progressed_at: float = field(default_factory=steady_seconds)
 
-    def remaining_transfer_seconds(self, now: float) -> float:
-        """Return the forecast seconds that the transfer still needs."""
+    def transfer_left(self, now: float) -> float:
+        """Return the forecast transfer seconds that remain once it has begun."""
         if not self.prefill_finished:
             return self.transfer_seconds
         return max(0.0, self.progressed_at + self.transfer_seconds - now)
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -77,7 +77,7 @@
     def candidates(
         self, role: EndpointRole, avoid: Collection[str] = ()
     ) -> list[EndpointRecord]:
-        """Return the usable endpoints of a role; failing ones only if no others remain."""
+        """Return the usable endpoints of a role; failing ones only if all fail."""
         now = steady_seconds()
         usable = self._usable(role, now)
         if not avoid and not self._any_ejected(now):
@@ -115,7 +115,7 @@
     def prefill_seconds(
         self, record: EndpointRecord, waiter: Waiter, cached_by_id: dict[str, int]
     ) -> float:
-        """Return the forecast prefill time of the request at an endpoint, in seconds."""
+        """Return the forecast prefill time of a request at an endpoint, in seconds."""
         if record.endpoint_id == waiter.request.prefill_endpoint_id:
             return 0.0
         cached = cached_by_id.get(record.endpoint_id, 0)
--- a/src/jujubeslip/homes/_tracker.py
+++ b/src/jujubeslip/homes/_tracker.py
@@ -84,7 +84,7 @@
         return IDLE_STATUS_INTERVAL
 
     def poll(self, process: Process) -> None:
-        """Poll once; without an answer, the endpoint is unusable when its status expires."""
+        """Poll once; without an answer, the endpoint's last status expires."""
         asked_at = steady_seconds()
         monitor = self._monitor_of_address()
         try:
--- a/src/jujubeslip/routing/__init__.py
+++ b/src/jujubeslip/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Where a request goes: policies, limits of client accounts, retry budgets."""
+"""Request routing: policies, limits of client accounts and retry budgets."""
 
 from jujubeslip.routing._home_policies import home_policies, scheduler_options
 from jujubeslip.routing._home_router import HomeRouter
--- a/src/jujubeslip/routing/_home_policies.py
+++ b/src/jujubeslip/routing/_home_policies.py
@@ -1,6 +1,6 @@
-"""The policy of grants at the endpoint's home, and it with one decision left out.
+"""The home policy, and variants of it with one scheduling decision disabled.
 
-The variants exist to be measured against the whole (docs/design/decisions.md).
+The variants exist to measure the effect of each decision (docs/design/decisions.md).
 """
 
 from __future__ import annotations
@@ -22,5 +22,5 @@
 
 
 def scheduler_options(policy: str) -> SchedulerOptions:
-    """Return the options of a home policy; a local one uses none of them."""
+    """Return the scheduler options of a policy; local policies do not use them."""
     return home_policies.by_name.get(policy, SchedulerOptions())
--- a/src/jujubeslip/routing/_home_router.py
+++ b/src/jujubeslip/routing/_home_router.py
@@ -1,4 +1,4 @@
-"""Routing by grants from the home of the service's endpoints."""
+"""Routing with grants from the homes of the service's endpoints."""
 
 from __future__ import annotations
 
@@ -30,24 +30,25 @@
     Forecast,
     Reservation,
     ReservationRequest,
-    to_message,
+    to_reserve_request,
 )
 
 logger = logging.getLogger(__name__)
 
-# A home answers within its poll time; beyond this the connection is taken for silent.
+# A home replies within its poll time; after this timeout, in seconds, the home is
+# considered unavailable.
 RESERVE_TIMEOUT = 0.8
 REPORT_TIMEOUT = 1.0
 REPORT_TRIES = 3
 ANNOUNCE_TIMEOUT = 0.8
 FORECAST_LIFETIME = 2.0
 RETRY_SECONDS = 1.0
-# The pause before homes that did not answer are asked again.
+# The pause before homes that did not reply are called again, in seconds.
 UNAVAILABLE_PAUSE = 0.05
 
 
 class HomeRouter:
-    """Asks the home of the nearest place first, then the others that may serve."""
+    """Reserves at the home of the nearest locality, then at other allowed ones."""
 
     def __init__(
         self,
@@ -67,10 +68,10 @@
     def reserve(
         self, request: ReservationRequest, interrupted: Callable[[], bool]
     ) -> Reservation:
-        """Return the grant of the first place that gives one."""
+        """Return the grant of the first locality that makes one."""
         refusal: ReserveReply | None = None
-        for place in self._places(request):
-            reply, home = self._ask_until_answered(request, place, interrupted)
+        for locality in self._localities(request):
+            reply, home = self._reserve_at_locality(request, locality, interrupted)
             if reply.status == ReserveStatus.GRANTED:
                 return Reservation(reply.grant, home.address)
             if refusal is None or reply.retry_after_ms < refusal.retry_after_ms:
@@ -83,7 +84,7 @@
             retry_after=refusal.retry_after_ms / 1000,
         )
 
-    def _places(self, request: ReservationRequest) -> Iterator[str]:
+    def _localities(self, request: ReservationRequest) -> Iterator[str]:
         own = self._directory.own
         if request.service.pooling is Spread.REGION:
             yield own.region
@@ -98,20 +99,20 @@
         }
         yield from sorted(zones - {own.availability_zone})
 
-    def _ask_until_answered(
+    def _reserve_at_locality(
         self,
         request: ReservationRequest,
-        place: str,
+        locality: str,
         interrupted: Callable[[], bool],
     ) -> tuple[ReserveReply, HostState]:
-        """Ask the home until it grants or refuses; a home that moved is asked anew."""
+        """Poll until the home grants or refuses; look up the home for each call."""
         while True:
-            reply, home = self._ask_homes(request, place)
-            self._note_forecast(request.service.name, reply)
+            reply, home = self._reserve_at_homes(request, locality)
+            self._store_forecast(request.service.name, reply)
             if reply.status != ReserveStatus.PENDING:
                 return reply, home
             if interrupted():
-                self._process.start_task(self._withdraw, request, place, home)
+                self._process.start_task(self._withdraw, request, locality, home)
                 raise CallerGoneError("The client closed its connection.")
             if request.wait_until.expired:
                 reason = "the home of the endpoints does not answer"
@@ -119,30 +120,32 @@
                 refusal = ReserveReply(ReserveStatus.REFUSED, None, reason, retry_ms)
                 return refusal, home
 
-    def _ask_homes(
-        self, request: ReservationRequest, place: str
+    def _reserve_at_homes(
+        self, request: ReservationRequest, locality: str
     ) -> tuple[ReserveReply, HostState]:
-        """Ask the home, and the standby at once if the home does not answer.
+        """Call the home, and the standby immediately if the home does not reply.
 
-        A home that dies is found out by membership within seconds; until then urgent
-        requests would all be late. The standby hears each announcement as well and
-        reads what the endpoints hold, so it can grant. Should both grant for a moment,
-        an endpoint's memory is overcommitted and the engine lets the import wait.
+        Membership detects a dead home within seconds, and until then all urgent
+        requests would be late. The standby receives each announcement too and polls
+        the statuses of the endpoints, so it can make grants. If both grant for a
+        moment, an endpoint's memory is overcommitted and its engine delays the import.
         """
-        homes = self._directory.homes_of(request.service.name, place)
+        homes = self._directory.homes_of(request.service.name, locality)
         for home in homes:
             try:
-                return self._ask(home, to_message(request, self._owner, place)), home
+                return self._reserve_at(
+                    home, to_reserve_request(request, self._owner, locality)
+                ), home
             except (PeerUnavailableError, PeerRefusal) as error:
                 extra = {"home": home.host_id, "error": str(error)}
-                logger.info("home unavailable", extra=extra)
+                logger.info("reserve request to home failed", extra=extra)
         time.sleep(UNAVAILABLE_PAUSE)
         return ReserveReply(ReserveStatus.PENDING, None, "", 0, 0, 0.0), homes[0]
 
     def _withdraw(
-        self, request: ReservationRequest, place: str, home: HostState
+        self, request: ReservationRequest, locality: str, home: HostState
     ) -> None:
-        message = to_message(request, self._owner, place)
+        message = to_reserve_request(request, self._owner, locality)
         if home.host_id == self._directory.own.host_id:
             self._homes.withdraw(message)
             return
@@ -150,10 +153,12 @@
             client = self._clients.get(home.address)
             client.call(lambda peer: peer.withdraw(message), REPORT_TIMEOUT)
         except (PeerUnavailableError, PeerRefusal) as error:
-            # The home finds out by itself that nobody asks for the request any more.
-            logger.info("withdrawal failed", extra={"error": str(error)})
+            # The home drops the request itself once it is no longer polled.
+            logger.info(
+                "withdrawing request at home failed", extra={"error": str(error)}
+            )
 
-    def _ask(self, home: HostState, message: ReserveRequest) -> ReserveReply:
+    def _reserve_at(self, home: HostState, message: ReserveRequest) -> ReserveReply:
         if home.host_id == self._directory.own.host_id:
             return self._homes.reserve(message)
         client = self._clients.get(home.address)
@@ -162,7 +167,7 @@
         )
         return reply
 
-    def _note_forecast(self, service_name: str, reply: ReserveReply) -> None:
+    def _store_forecast(self, service_name: str, reply: ReserveReply) -> None:
         if reply.queue_wait_ms is None:
             return
         forecast = Forecast(reply.queue_wait_ms, reply.load or 0.0)
@@ -170,14 +175,14 @@
         self._forecast_by_service[service_name] = (until, forecast)
 
     def forecast(self, service_name: str) -> Forecast:
-        """Return the last forecast heard of, if it is not too old."""
+        """Return the last forecast from a home, or an empty one if it has expired."""
         until, forecast = self._forecast_by_service.get(
             service_name, (Deadline(0), Forecast(0, 0.0))
         )
         return Forecast(0, 0.0) if until.expired else forecast
 
     def report(self, reservation: Reservation, progress: GrantProgress) -> None:
-        """Tell the home in a task of its own, so that no token waits for it."""
+        """Report progress in a separate task, so that it does not delay tokens."""
         if reservation.home_address == self._directory.own.address:
             self._homes.progress(progress)
             return
@@ -190,12 +195,14 @@
                 client.call(lambda peer: peer.progress(progress), REPORT_TIMEOUT)
                 return
             except (PeerUnavailableError, PeerRefusal) as error:
-                logger.info("report failed", extra={"error": str(error)})
+                logger.info(
+                    "progress report to home failed", extra={"error": str(error)}
+                )
 
     def announce(self, announcement: Announcement) -> None:
         """Send the announcement to the home of the endpoint's pool and its standby.
 
-        Raises PeerUnavailableError or PeerRefusal if the home does not take it.
+        Raises PeerUnavailableError or PeerRefusal if the home does not accept it.
         """
         home, *standbys = self._directory.homes_of(
             announcement.service_name, announcement.place
@@ -204,10 +211,11 @@
             self._process.start_task(self._announce_to_standby, standby, announcement)
         self._announce_to(home, announcement)
         if self._directory.alone:
-            # Cut off from the other entry hosts, this one takes the endpoint for
-            # itself. They would never hear of it while this one answers, so the
-            # endpoint is sent on to announce itself to another one as well.
-            raise PeerUnavailableError("This host hears no other entry host.")
+            # A host that is partitioned from the other entry hosts keeps the endpoint
+            # in its own pools. The others would not learn of the endpoint while this
+            # host accepts its announcements, so the error makes the endpoint announce
+            # itself to another host as well.
+            raise PeerUnavailableError("This host reaches no other entry host.")
 
     def _announce_to(self, home: HostState, announcement: Announcement) -> None:
         if home.host_id == self._directory.own.host_id:
@@ -223,4 +231,4 @@
             self._announce_to(standby, announcement)
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"standby": standby.host_id, "error": str(error)}
-            logger.info("standby not told", extra=extra)
+            logger.info("announcement to standby home failed", extra=extra)
--- a/src/jujubeslip/routing/_limit_reports.py
+++ b/src/jujubeslip/routing/_limit_reports.py
@@ -1,4 +1,4 @@
-"""Reports of what clients ask for, each second, to the keepers of the limits."""
+"""Periodic usage reports of client accounts to the managers of their limits."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 logger = logging.getLogger(__name__)
 
 REPORT_TIMEOUT = 0.5
-# Two reports are at least this far apart, in seconds, however demand grows.
+# The minimum interval between two reports at any demand, in seconds.
 PAUSE_SECONDS = 0.05
 
 
 class LimitReports:
-    """Reports this host's usage, and answers reports as the keeper of some accounts.
+    """Reports this host's usage, and answers reports as the manager of some accounts.
 
-    The keeper of an account is found by rendezvous hashing, so a message goes to one
-    host for each account in use, and what it costs doesn't grow with the hosts.
+    The manager of an account is determined by rendezvous hashing. One host gets a
+    message for each account in use, so the cost does not grow with the hosts.
     """
 
     def __init__(
@@ -31,10 +31,10 @@
         self._directory = directory
         self._clients = clients
         self._limits = limits
-        self._keeper = QuotaKeeper()
+        self._quota_manager = QuotaKeeper()
 
     def start(self, process: Process) -> None:
-        """Start the task that reports."""
+        """Start the periodic task that reports usage."""
         process.repeat(PAUSE_SECONDS, self._report_when_due)
 
     def _report_when_due(self) -> None:
@@ -42,32 +42,34 @@
         self.report()
 
     def answer(self, host_id: str, usages: list[LimitUsage]) -> list[LimitShare]:
-        """Return the shares of a host that reports its usage."""
+        """Record the usage that a host reports, and return its shares."""
         host_count = len(self._directory.live_hosts())
-        return self._keeper.report(host_id, usages, host_count)
+        return self._quota_manager.report(host_id, usages, host_count)
 
     def report(self) -> None:
-        """Report once to each keeper that is needed."""
-        keeper_by_id: dict[str, HostState] = {}
+        """Report the usage of all accounts, with one call to each of their managers."""
+        manager_by_id: dict[str, HostState] = {}
         usages_by_id: dict[str, list[LimitUsage]] = defaultdict(list)
         for usage in self._limits.usages():
-            keeper = self._directory.keepers_of(f"limit/{usage.client}", 1)[0]
-            keeper_by_id[keeper.host_id] = keeper
-            usages_by_id[keeper.host_id].append(usage)
-        for keeper_id, usages in usages_by_id.items():
-            self._limits.take_shares(self._ask(keeper_by_id[keeper_id], usages))
+            manager = self._directory.keepers_of(f"limit/{usage.client}", 1)[0]
+            manager_by_id[manager.host_id] = manager
+            usages_by_id[manager.host_id].append(usage)
+        for manager_id, usages in usages_by_id.items():
+            self._limits.take_shares(self._report_to(manager_by_id[manager_id], usages))
 
-    def _ask(self, keeper: HostState, usages: list[LimitUsage]) -> list[LimitShare]:
-        """Return the keeper's shares, or none: then the shares in force run out."""
+    def _report_to(
+        self, manager: HostState, usages: list[LimitUsage]
+    ) -> list[LimitShare]:
+        """Return the manager's shares, or none on failure: current ones then expire."""
         own_id = self._directory.own.host_id
-        if keeper.host_id == own_id:
+        if manager.host_id == own_id:
             return self.answer(own_id, usages)
         try:
-            shares: list[LimitShare] = self._clients.get(keeper.address).call(
+            shares: list[LimitShare] = self._clients.get(manager.address).call(
                 lambda peer: peer.report_usage(own_id, usages), REPORT_TIMEOUT
             )
         except (PeerUnavailableError, PeerRefusal) as error:
-            extra = {"keeper": keeper.host_id, "error": str(error)}
-            logger.info("usage not reported", extra=extra)
+            extra = {"keeper": manager.host_id, "error": str(error)}
+            logger.info("usage report to limit manager failed", extra=extra)
             return []
         return shares
--- a/src/jujubeslip/routing/_limits.py
+++ b/src/jujubeslip/routing/_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts: requests and tokens a second, over all hosts."""
+"""Limits of client accounts: requests and tokens per second over all hosts."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 from jujubeslip.peers import LimitShare, LimitUsage
 from jujubeslip.routing._token_buckets import TokenBucket
 
-# How often the hosts report what their clients ask for, in seconds.
+# How often hosts report the demand of their clients, in seconds.
 REPORT_SECONDS = 1.0
-# A report is sent at once when this many times the demand that was reported last, or
-# that part of a second's limit, was asked for since then.
-SURGE_FACTOR = 1.5
-SURGE_PART = 0.1
-# A share counts for this long without a new answer of the keeper, in seconds.
+# A report is sent immediately if the demand since the last report exceeds SPIKE_FACTOR
+# times the larger of the demand reported last and SPIKE_SHARE of a second's limit.
+SPIKE_FACTOR = 1.5
+SPIKE_SHARE = 0.1
+# How long a share is valid without a new reply of the limit's manager, in seconds.
 SHARE_LIFETIME = 3.0
-# An account that nobody used for this long is not reported, in seconds.
-IDLE_AFTER = 5.0
+# Accounts that were not used for this long are not reported, in seconds.
+IDLE_SECONDS = 5.0
 
 LimitKey = tuple[str, str]
 
 
 @dataclass(frozen=True)
 class _Share:
-    """A rate that a host may admit, and the instant until which that counts."""
+    """A rate that a host may admit, and the time at which it expires."""
 
     rate: float
     until: float
 
 
 class _Meter:
-    """One limit of one account on this host."""
+    """The demand, bucket and share of one account's limit on this host."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.bucket = TokenBucket(clock)
         self.limit = 0.0
-        self.asked = 0.0
-        self.reported = 0.0
-        self.asked_at = clock()
+        self.requested = 0.0
+        self.reported_demand = 0.0
+        self.last_demand_at = clock()
         self.measured_at = clock()
         self.share: _Share | None = None
 
     @property
-    def surging(self) -> bool:
-        """Say whether far more is asked for than the keeper knows of."""
-        expected = max(self.reported * REPORT_SECONDS, SURGE_PART * self.limit)
-        return self.asked > SURGE_FACTOR * expected
+    def has_demand_spike(self) -> bool:
+        """Return whether demand far exceeds what was reported to the manager."""
+        expected = max(self.reported_demand * REPORT_SECONDS, SPIKE_SHARE * self.limit)
+        return self.requested > SPIKE_FACTOR * expected
 
 
 class ClientLimits:
-    """Admits freely while an account is far from its limit, else by this host's share.
+    """Admits up to the whole limit far below it, and up to this host's share near it.
 
-    Without an answer of the limit's keeper, as in a network partition, each host
-    enforces an equal share of the hosts that it sees.
+    Without a reply of the limit's manager, for example in a network partition, each
+    host enforces an equal share among the hosts that it sees.
     """
 
     def __init__(
@@ -69,23 +69,25 @@
         self._clock = clock
         self._meter_by_key: dict[LimitKey, _Meter] = {}
         self._lock = threading.Lock()
-        self._surge = threading.Event()
+        self._spike = threading.Event()
 
     def wait_for_surge(self, seconds: float) -> bool:
-        """Wait until a report should go out early, at most this long; say if so.
+        """Wait up to `seconds` for a demand spike; return whether there is one.
 
-        While an account is quiet each host may admit its whole limit. A burst at all
-        hosts at once would get it as many times as there are hosts until the next
-        regular reports.
+        While an account has little demand, each host may admit its whole limit. A
+        burst at all hosts at once would be admitted up to the limit at each host until
+        the next regular reports, so a spike is reported early.
         """
-        return self._surge.wait(seconds)
+        return self._spike.wait(seconds)
 
     def admit(self, client: Client, tokens: int) -> None:
-        """Count a request of this many tokens, or refuse it with when to return."""
-        self._take(client.name, "requests", 1, client.requests_per_second)
-        self._take(client.name, "tokens", tokens, client.tokens_per_second)
+        """Admit a request of `tokens`, or raise a refusal with the time to retry."""
+        self._admit_amount(client.name, "requests", 1, client.requests_per_second)
+        self._admit_amount(client.name, "tokens", tokens, client.tokens_per_second)
 
-    def _take(self, client: str, kind: str, amount: float, limit: float | None) -> None:
+    def _admit_amount(
+        self, client: str, kind: str, amount: float, limit: float | None
+    ) -> None:
         if limit is None:
             return
         with self._lock:
@@ -94,11 +96,11 @@
                 meter = _Meter(self._clock)
                 self._meter_by_key[client, kind] = meter
             meter.limit = limit
-            meter.asked += amount
-            meter.asked_at = self._clock()
+            meter.requested += amount
+            meter.last_demand_at = self._clock()
             wait = meter.bucket.take(amount, self._rate(meter))
-            if meter.surging:
-                self._surge.set()
+            if meter.has_demand_spike:
+                self._spike.set()
         if wait > 0:
             raise limit_reached(kind, wait)
 
@@ -108,15 +110,15 @@
         return meter.limit / max(1, self._host_count())
 
     def usages(self) -> list[LimitUsage]:
-        """Return what this host's clients asked for since the last call, a second.
+        """Return the demand per second of this host's clients since the last call.
 
-        What was refused counts as well: it shows where the demand is.
+        Refused requests count as well, since they show where the demand is.
         """
         now = self._clock()
         with self._lock:
-            self._surge.clear()
+            self._spike.clear()
             for key, meter in list(self._meter_by_key.items()):
-                if now - meter.asked_at > IDLE_AFTER:
+                if now - meter.last_demand_at > IDLE_SECONDS:
                     del self._meter_by_key[key]
             return [
                 LimitUsage(client, kind, self._measure(meter, now), meter.limit)
@@ -125,14 +127,14 @@
 
     def _measure(self, meter: _Meter, now: float) -> float:
         seconds = max(REPORT_SECONDS / 2, now - meter.measured_at)
-        demand = meter.asked / seconds
-        meter.reported = demand
-        meter.asked = 0.0
+        demand = meter.requested / seconds
+        meter.reported_demand = demand
+        meter.requested = 0.0
         meter.measured_at = now
         return demand
 
     def take_shares(self, shares: Iterable[LimitShare]) -> None:
-        """Take over the keeper's answer to a report."""
+        """Store the shares that a manager returned for a report."""
         until = self._clock() + SHARE_LIFETIME
         with self._lock:
             for share in shares:
--- a/src/jujubeslip/routing/_local_router.py
+++ b/src/jujubeslip/routing/_local_router.py
@@ -1,4 +1,4 @@
-"""Routing by a baseline policy: no home, the engines queue by themselves."""
+"""Routing by a baseline policy without homes; engines queue the requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class LocalRouter:
-    """Chooses at once by this host's view; every host hears each announcement."""
+    """Chooses by this host's own view; every host receives each announcement."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     def reserve(
         self, request: ReservationRequest, interrupted: Callable[[], bool]
     ) -> Reservation:
-        """Return the endpoints that the policy chooses now."""
+        """Return the endpoints that the policy chooses, without waiting."""
         if request.plain:
             plain = self._choose(request, EndpointRole.PLAIN)
             return Reservation(Grant("", None, plain.reference, 0), "")
@@ -73,10 +73,10 @@
         return self._policy(wanted or usable)
 
     def report(self, reservation: Reservation, progress: GrantProgress) -> None:
-        """Do nothing: a baseline keeps no account of grants."""
+        """Do nothing: baseline policies do not track grants."""
 
     def forecast(self, service_name: str) -> Forecast:
-        """Return nothing known: a baseline has no forecast."""
+        """Return an empty forecast: baseline policies have none."""
         return Forecast(0, 0.0)
 
     def announce(self, announcement: Announcement) -> None:
@@ -84,11 +84,13 @@
         self._homes.announce(announcement)
         for host in self._directory.live_hosts():
             if host.host_id != self._directory.own.host_id:
-                self._pass_on(host, announcement)
+                self._forward(host, announcement)
 
-    def _pass_on(self, host: HostState, announcement: Announcement) -> None:
+    def _forward(self, host: HostState, announcement: Announcement) -> None:
         client = self._clients.get(host.address)
         try:
             client.call(lambda peer: peer.announce(announcement), ANNOUNCE_TIMEOUT)
         except (PeerUnavailableError, PeerRefusal) as error:
-            logger.info("announcement not passed on", extra={"error": str(error)})
+            logger.info(
+                "forwarding announcement to host failed", extra={"error": str(error)}
+            )
--- a/src/jujubeslip/routing/_models.py
+++ b/src/jujubeslip/routing/_models.py
@@ -1,4 +1,4 @@
-"""What a router is asked and what it answers."""
+"""The router interface with its requests and replies."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ReservationRequest:
-    """One attempt's wish for endpoints."""
+    """A request for endpoints for one attempt."""
 
     request_id: str
     attempt: int
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Forecast:
-    """What rules can ask about a service at this moment."""
+    """The current queue wait and load of a service, for use in rules."""
 
     queue_wait_ms: int
     load: float
 
 
 class Router(Protocol):
-    """Gives endpoints to requests; one implementation for each kind of policy."""
+    """Assigns endpoints to requests; one implementation per kind of policy."""
 
     def reserve(
         self, request: ReservationRequest, interrupted: Callable[[], bool]
@@ -55,17 +55,19 @@
         """Return endpoints, or raise RequestRefusedError with `ran` NO."""
 
     def report(self, reservation: Reservation, progress: GrantProgress) -> None:
-        """Tell whoever granted the endpoints what became of them; doesn't wait."""
+        """Report progress to the home that made the grant, without waiting."""
 
     def announce(self, announcement: Announcement) -> None:
-        """Pass an endpoint's announcement on to those that choose endpoints."""
+        """Send an endpoint's announcement to the hosts that choose endpoints."""
 
     def forecast(self, service_name: str) -> Forecast:
-        """Return the present forecast for a service."""
+        """Return the current forecast for a service."""
 
 
-def to_message(request: ReservationRequest, owner: str, place: str) -> ReserveRequest:
-    """Return the message for a home, with what remains of each deadline."""
+def to_reserve_request(
+    request: ReservationRequest, owner: str, locality: str
+) -> ReserveRequest:
+    """Return the message to a home, with the remaining time of each deadline."""
     return ReserveRequest(
         request_id=request.request_id,
         attempt=request.attempt,
@@ -80,6 +82,6 @@
         avoid_endpoint_ids=list(request.avoid_endpoint_ids),
         prefill_endpoint_id=request.prefill_endpoint_id,
         traceparent="",
-        place=place,
+        place=locality,
         plain=request.plain,
     )
--- a/src/jujubeslip/routing/_token_buckets.py
+++ b/src/jujubeslip/routing/_token_buckets.py
@@ -1,15 +1,15 @@
-"""A token bucket: a rate with a burst."""
+"""A token bucket whose rate can change."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# A bucket holds this many seconds of its rate, so that a burst passes.
+# A bucket holds this many seconds of its rate, so that bursts are admitted.
 BURST_SECONDS = 2.0
 
 
 class TokenBucket:
-    """A rate with a burst; `take` says how long to wait, in seconds, or zero."""
+    """A rate with a burst; `take` returns 0 or the seconds to wait."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -17,9 +17,9 @@
         self._filled_at = clock()
 
     def take(self, amount: float, rate: float) -> float:
-        """Take the amount, or return the seconds until it is there.
+        """Take the amount and return 0, or return the seconds until it is available.
 
-        A bucket whose rate went down keeps no more than the new burst.
+        After a decrease of the rate, the level is reduced to the new burst.
         """
         now = self._clock()
         capacity = max(1.0, rate * BURST_SECONDS)
--- a/tests/homes/test_pool.py
+++ b/tests/homes/test_pool.py
@@ -136,7 +136,7 @@
         granted(reserve(pool, "a"))
 
     def test_status_read_before_release_uses_no_slot(self) -> None:
-        """The status was read before the release arrived and still lists the request."""
+        """The status was read before the release, and still lists the request."""
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
         release(pool, first)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts over several hosts, on a clock that the tests move."""
+"""Limits of client accounts over several hosts, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 
 class Hosts:
-    """Hosts with one keeper; nothing is reported unless a test says so."""
+    """Hosts with one quota manager; usage is reported by explicit calls only."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.keeper = QuotaKeeper(self.read)
-        self.limits = [ClientLimits(lambda: HOSTS, self.read) for _ in range(HOSTS)]
+        self.quota_manager = QuotaKeeper(self.read_clock)
+        self.limits = [
+            ClientLimits(lambda: HOSTS, self.read_clock) for _ in range(HOSTS)
+        ]
 
-    def read(self) -> float:
+    def read_clock(self) -> float:
         return self.now
 
-    def ask(self, host: int, requests: int) -> int:
+    def admit_requests(self, host: int, requests: int) -> int:
         """Send requests to a host and return how many it admits."""
         admitted = 0
         for _ in range(requests):
@@ -37,16 +39,16 @@
                 assert refusal.retry_after is not None and refusal.retry_after > 0
         return admitted
 
-    def second(self, requests: list[int], report: bool = True) -> list[int]:
-        """Send what arrives at each host in a second, then report."""
+    def run_second(self, requests: list[int], report: bool = True) -> list[int]:
+        """Send one second of requests to each host, then report the usage."""
         admitted = [0] * HOSTS
         for _ in range(10):
             self.now += 0.1
             for host in range(HOSTS):
-                admitted[host] += self.ask(host, requests[host] // 10)
+                admitted[host] += self.admit_requests(host, requests[host] // 10)
         if report:
             for host, limits in enumerate(self.limits):
-                shares = self.keeper.report(str(host), limits.usages(), HOSTS)
+                shares = self.quota_manager.report(str(host), limits.usages(), HOSTS)
                 limits.take_shares(shares)
         return admitted
 
@@ -57,65 +59,65 @@
 
 
 class TestSharedQuota:
-    def test_one_host_may_use_what_the_others_leave(self, hosts: Hosts) -> None:
-        """The balancer sends nearly all of an account's requests to one host.
+    def test_one_host_may_use_shares_that_others_leave(self, hosts: Hosts) -> None:
+        """The load balancer sends nearly all of an account's requests to one host.
 
-        With a fixed share it would be refused at a quarter of its limit.
+        With a fixed share per host, it would be refused at a quarter of its limit.
         """
         for _ in range(5):
-            hosts.second([20, 0, 0, 0])
-        assert hosts.second([20, 0, 0, 0])[0] == 20
+            hosts.run_second([20, 0, 0, 0])
+        assert hosts.run_second([20, 0, 0, 0])[0] == 20
 
-    def test_the_sum_stays_near_the_limit(self, hosts: Hosts) -> None:
+    def test_admitted_sum_stays_near_the_limit(self, hosts: Hosts) -> None:
         for _ in range(10):
-            hosts.second([60, 30, 20, 10])
-        admitted = sum(sum(hosts.second([60, 30, 20, 10])) for _ in range(10))
+            hosts.run_second([60, 30, 20, 10])
+        admitted = sum(sum(hosts.run_second([60, 30, 20, 10])) for _ in range(10))
         assert 0.8 * 10 * LIMIT <= admitted <= 1.1 * 10 * LIMIT
 
     def test_shares_follow_the_demand(self, hosts: Hosts) -> None:
         for _ in range(10):
-            hosts.second([60, 10, 10, 10])
+            hosts.run_second([60, 10, 10, 10])
         for _ in range(10):
-            hosts.second([10, 10, 10, 60])
-        admitted = hosts.second([10, 10, 10, 60])
+            hosts.run_second([10, 10, 10, 60])
+        admitted = hosts.run_second([10, 10, 10, 60])
         assert admitted[3] > admitted[0] + admitted[1]
 
-    def test_a_surge_is_reported_before_the_next_second(self, hosts: Hosts) -> None:
-        """A quiet account sends far more than its limit to all hosts at once.
+    def test_demand_spike_is_reported_early(self, hosts: Hosts) -> None:
+        """An account with little demand suddenly exceeds its limit at all hosts.
 
-        Each of them may admit the whole limit until the keeper knows of the demand.
+        Each host may admit the whole limit until the demand is reported.
         """
         for _ in range(5):
-            hosts.second([1, 1, 1, 1])
+            hosts.run_second([1, 1, 1, 1])
         limits = hosts.limits[0]
         assert not limits.wait_for_surge(0)
-        hosts.ask(0, 10)
+        hosts.admit_requests(0, 10)
         assert limits.wait_for_surge(0)
-        limits.take_shares(hosts.keeper.report("0", limits.usages(), HOSTS))
+        limits.take_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
         assert not limits.wait_for_surge(0)
 
 
-class TestCutOffHost:
+class TestPartitionedHost:
     def test_falls_back_to_an_equal_share(self, hosts: Hosts) -> None:
-        """A host that may use all of a limit is cut off from the limit's keeper.
+        """A host that may use a whole limit is partitioned from the limit's manager.
 
-        Every host in its place would go on to admit the whole limit, and the account
-        would get it as many times as there are hosts.
+        If such hosts continued to admit the whole limit, the account would get it once
+        per host.
         """
         for _ in range(5):
-            hosts.second([20, 0, 0, 0])
+            hosts.run_second([20, 0, 0, 0])
         for _ in range(int(SHARE_LIFETIME) + 2):
-            hosts.second([60, 0, 0, 0], report=False)
-        admitted = hosts.second([60, 0, 0, 0], report=False)
+            hosts.run_second([60, 0, 0, 0], report=False)
+        admitted = hosts.run_second([60, 0, 0, 0], report=False)
         assert admitted[0] <= LIMIT / HOSTS + 1
 
     def test_demand_of_a_lost_host_is_forgotten(self, hosts: Hosts) -> None:
         for _ in range(5):
-            hosts.second([60, 60, 0, 0])
+            hosts.run_second([60, 60, 0, 0])
         limits = hosts.limits[0]
         for _ in range(6):
             hosts.now += 1.0
-            hosts.ask(0, 20)
-            limits.take_shares(hosts.keeper.report("0", limits.usages(), HOSTS))
-        shares = hosts.keeper.report("0", limits.usages(), HOSTS)
+            hosts.admit_requests(0, 20)
+            limits.take_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
+        shares = hosts.quota_manager.report("0", limits.usages(), HOSTS)
         assert not shares[0].shared
--- a/tests/routing/test_limits_in_system.py
+++ b/tests/routing/test_limits_in_system.py
@@ -1,4 +1,4 @@
-"""An account's limit in the whole system, with real processes."""
+"""Limits of a client account in a system of real processes."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 ENTRIES = 3
 LIMIT = 30
-# More than a fixed share's burst of two seconds, 20, and less than the limit's.
+# Exceeds the two-second burst of a fixed share, 20, but not that of the whole limit.
 BURST = 28
 BURST_EVERY = 2.5
 MESSAGE = {"shift": 7}
 
 
 class TestUnevenLoad:
-    """An account's requests all arrive at one entry host.
+    """All requests of an account arrive at one entry host.
 
-    With a fixed share of the limit for each host it would be refused at a third of
-    what it may use, for no reason that its owner can see.
+    With a fixed share of the limit per host, they would be refused at a third of the
+    limit, for no reason that the owner of the account can see.
     """
 
-    def test_one_host_admits_what_the_others_leave(self, tmp_path: Path) -> None:
+    def test_one_host_admits_shares_that_others_leave(self, tmp_path: Path) -> None:
         account = f'key_sha256 = ["{hash_of_key()}"]'
         declaration = DECLARATION.replace(
             account, f"{account}\nrequests_per_second = {LIMIT}"
@@ -36,7 +36,7 @@
             address = cluster.client_address("entry-1")
 
             def all_admitted() -> bool:
-                # The load: far below the limit between the bursts.
+                # Between the bursts, the load is far below the limit.
                 time.sleep(BURST_EVERY)
                 calls = [
                     pool.submit(ask, address, "confirmations", MESSAGE)
