--- a/src/jujubeslip/accounts/__init__.py
+++ b/src/jujubeslip/accounts/__init__.py
@@ -1,6 +1,6 @@
-"""Client accounts: their keys, and what they may ask for.
+"""Client accounts: their keys and their limits.
 
-The limits that endpoints name are shared by the same means.
+Limits that endpoints set for themselves are enforced by the same means.
 """
 
 from jujubeslip.accounts._alone_pool import AlonePool
--- a/src/jujubeslip/accounts/_bounds.py
+++ b/src/jujubeslip/accounts/_bounds.py
@@ -1,4 +1,4 @@
-"""How far all hosts together may go beyond an account's limit, and who may use it."""
+"""Bounds on how far all hosts together may exceed an account's limit."""
 
 from __future__ import annotations
 
@@ -6,53 +6,56 @@
 
 from jujubeslip.accounts._models import RateLimit
 
-# What hosts may have spent and not told the leader, as a share of the slack. It counts
-# four times: at the end of a window it is not charged yet; told all at once it takes
-# the ledger as far below nothing; it is lost with a host's process; and the processes
-# that it starts in a window lose as much at most together, as their parts grow slowly.
-UNTOLD_SHARE = 0.125
-# What a ledger holds beyond the burst, as a share of the slack: requests of thousands
-# of tokens come in lumps, and an account below its limit is not to be refused for that.
-LUMP_SHARE = 0.125
-# What a new leader's ledger starts with, as a share of the slack: it knows nothing of
-# what the one before let run, and refuses little with this until more has come free.
-START_SHARE = 0.25
-# What hosts that find no leader may spend together, as a share of the slack, beside all
-# of the overage. With the shares above the whole margin is given out.
-ALONE_SHARE = 0.125
+# The cost that hosts may have spent without reporting it, as a share of the slack. It
+# counts four times: it is not charged yet at the end of a window; reported all at once,
+# it takes the ledger as far below 0; it is lost when a host's process ends; and the
+# processes that the host starts in a window lose at most as much together, since their
+# bounds grow slowly.
+UNREPORTED_SHARE = 0.125
+# The capacity of a ledger beyond the burst, as a share of the slack. Requests of
+# thousands of tokens arrive unevenly, and an account below its limit must not be
+# refused for that.
+EXTRA_BURST_SHARE = 0.125
+# The initial level of a new leader's ledger, as a share of the slack. The new leader
+# does not know what the previous one admitted; with this level, it refuses few requests
+# until the ledger refills.
+INITIAL_LEVEL_SHARE = 0.25
+# The cost that hosts without a leader may spend together, as a share of the slack, in
+# addition to the whole overage. With the shares above, this uses up the whole margin.
+LEADERLESS_SHARE = 0.125
 
 
 @dataclass(frozen=True)
 class LimitBounds:
-    """What may run beyond a limit in any window, over all hosts, in its unit."""
+    """The excess over a limit allowed in any window over all hosts, in its unit."""
 
     window_seconds: float
     overage: float
-    """Share of what the limit allows in a window."""
+    """Allowed excess, as a share of what the limit allows in a window."""
     slack: float
-    """Amount beyond that."""
+    """Allowed excess beyond the overage, as an amount."""
 
     @property
-    def lump(self) -> float:
-        """Return what a ledger holds beyond the burst."""
-        return self.slack * LUMP_SHARE
+    def extra_burst(self) -> float:
+        """Return the capacity of a ledger beyond the burst."""
+        return self.slack * EXTRA_BURST_SHARE
 
     @property
-    def start(self) -> float:
-        """Return what a new leader's ledger starts with."""
-        return self.slack * START_SHARE
+    def initial_level(self) -> float:
+        """Return the initial level of a new leader's ledger."""
+        return self.slack * INITIAL_LEVEL_SHARE
 
-    def untold(self, hosts: int) -> float:
-        """Return what each of so many hosts may have spent and not told."""
-        return self.slack * UNTOLD_SHARE / max(1, hosts)
+    def unreported(self, hosts: int) -> float:
+        """Return the cost that each of `hosts` may have spent without reporting it."""
+        return self.slack * UNREPORTED_SHARE / max(1, hosts)
 
-    def alone(self, limit: RateLimit, hosts: int) -> float:
-        """Return the part of each of so many hosts while they find no leader."""
+    def leaderless_share(self, limit: RateLimit, hosts: int) -> float:
+        """Return the share of each of `hosts` while there is no leader."""
         allowed = limit.per_second * self.window_seconds + limit.burst
-        kept_back = self.overage * allowed + ALONE_SHARE * self.slack
-        return kept_back / max(1, hosts)
+        reserved = self.overage * allowed + LEADERLESS_SHARE * self.slack
+        return reserved / max(1, hosts)
 
     def most(self, limit: RateLimit) -> float:
-        """Return what may run at most in any window."""
+        """Return the maximum cost that may run in any window."""
         allowed = limit.per_second * self.window_seconds + limit.burst
         return (1 + self.overage) * allowed + self.slack
--- a/src/jujubeslip/accounts/_checks.py
+++ b/src/jujubeslip/accounts/_checks.py
@@ -1,4 +1,4 @@
-"""What makes the client accounts of a configuration unusable."""
+"""Checks of the client accounts of a configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def find_problem(accounts: ClientAccounts) -> str:
-    """Return the first thing that is wrong, empty if nothing is; it names no key."""
+    """Return the first problem, or an empty string; the text contains no key."""
     return next(_problems(accounts), "")
 
 
@@ -34,7 +34,7 @@
 
 
 def _problems_of(account: ClientAccount) -> Iterator[str]:
-    # The name is sent to endpoints in a header, where another character would end it.
+    # The name is sent to endpoints in a header, which other characters would end.
     if not account.name or not (account.name.isascii() and account.name.isprintable()):
         yield (
             f"An account is named {account.name!r}; give it a name of printable "
--- a/src/jujubeslip/accounts/_keys.py
+++ b/src/jujubeslip/accounts/_keys.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts, which are compared as hashes only."""
+"""Keys of client accounts, which are compared only as hashes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return what a key is known by: its SHA-256, in hexadecimal."""
+    """Return the SHA-256 of a key, in hexadecimal."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
--- a/src/jujubeslip/accounts/_ledger.py
+++ b/src/jujubeslip/accounts/_ledger.py
@@ -1,10 +1,11 @@
-"""What is left of each account's limit, at the leader; knows no clock or thread.
-
-The load that it answers: one account sends many times its usual, at one host or at
-all, while others stay far below their limits. Streams are charged here before they run,
-which costs no call of its own, as they ask the leader for an engine anyway. Plain
-requests are small: hosts spend first and tell later, until the account is near its
-limit.
+"""The leader's ledger of account limits.
+
+It keeps accounts to their limits when one of them sends many times its usual load, at
+one host or at all, while others stay far below their limits. Streams are charged here
+before they run, which needs no separate call, since they request an engine from the
+leader anyway. Plain requests are small: hosts spend first and report later, until the
+account is near its limit. The ledger has no clock and no lock; callers pass the time and
+synchronize access.
 """
 
 from __future__ import annotations
@@ -14,40 +15,40 @@
 from jujubeslip.accounts._bounds import LimitBounds
 from jujubeslip.accounts._models import RateLimit
 
-# An account is near its limit with less left than this share of its burst: hosts then
-# ask before each request. With a burst of a second's rate, half a second's use of the
-# whole limit is left at that point, in which every host hears of it.
+# An account is near its limit when less than this share of its burst is left; hosts
+# then ask the leader before each request. With a burst of one second's rate, half a
+# second of the whole limit is left at that point, in which every host is notified.
 NEAR_SHARE = 0.5
 
 
 @dataclass(frozen=True)
 class LedgerAnswer:
-    """What the leader says of an account."""
+    """The leader's reply about an account."""
 
     wait: float
-    """When to come back, in seconds; 0 where the request may run."""
+    """Seconds until a retry; 0 if the request may run."""
     near_limit: bool
-    """Whether to ask before each request from now on."""
+    """Whether hosts have to ask the leader before each request."""
 
 
 @dataclass
 class _Level:
     amount: float
-    filled_at: float
+    updated_at: float
     per_second: float
 
-    def unfilled(self, now: float) -> float:
-        """Return what would come free since the level was filled, and note that."""
-        seconds = max(0.0, now - self.filled_at)
-        self.filled_at += seconds
+    def refill(self, now: float) -> float:
+        """Return the amount that became free since the last update; set the time."""
+        seconds = max(0.0, now - self.updated_at)
+        self.updated_at += seconds
         return seconds * self.per_second
 
 
 class AccountLedger:
-    """The levels of all accounts' limits, for one lead of this host.
+    """The levels of all accounts' limits, for one term of this host as leader.
 
-    A level is below nothing once hosts have told more than was left; nothing is charged
-    until it has come free.
+    A level is below 0 after hosts have reported more than was left; no request is
+    charged until it has refilled.
     """
 
     def __init__(self, bounds: LimitBounds, began_at: float) -> None:
@@ -57,22 +58,22 @@
         self._level_by_name: dict[str, _Level] = {}
 
     def set_heard_share(self, share: float, now: float) -> None:
-        """Note which share of the hosts the leader hears.
+        """Set the share of the hosts that the leader hears from.
 
-        The others may be cut off and spend their even part of the rate together: what
-        comes free here is less by that.
+        The other hosts may be partitioned, and spend their equal shares of the rate
+        together, so the refill rate here is reduced by these shares.
         """
         if share == self._heard_share:
             return
         for level in self._level_by_name.values():
-            level.amount += level.unfilled(now) * self._heard_share
+            level.amount += level.refill(now) * self._heard_share
         self._heard_share = share
 
     def charge(
         self, name: str, limit: RateLimit, cost: float, now: float
     ) -> LedgerAnswer:
-        """Charge a request before it runs, if it is within the limit."""
-        level = self._filled(name, limit, now)
+        """Charge a request before it runs, if the limit allows it."""
+        level = self._updated_level(name, limit, now)
         needed = min(cost, self._capacity(limit))
         if level.amount < needed:
             return LedgerAnswer((needed - level.amount) / limit.per_second, True)
@@ -82,38 +83,38 @@
     def settle(
         self, name: str, limit: RateLimit, spent: float, now: float
     ) -> LedgerAnswer:
-        """Take what a host has spent; below 0 it gives something back."""
-        level = self._filled(name, limit, now)
+        """Charge the cost that a host has spent; a negative cost is refunded."""
+        level = self._updated_level(name, limit, now)
         level.amount = min(level.amount - spent, self._capacity(limit))
         wait = max(0.0, -level.amount / limit.per_second)
         return LedgerAnswer(wait, self._is_near(level, limit))
 
     def forget(self, name: str) -> None:
-        """Drop a limit's level; it begins anew if it is charged again."""
+        """Remove a limit's level; a later charge starts with the initial level."""
         self._level_by_name.pop(name, None)
 
     @property
     def names(self) -> list[str]:
-        """Return the accounts that asked in this lead."""
+        """Return the names of the accounts charged in this term as leader."""
         return list(self._level_by_name)
 
     def left(self, name: str, limit: RateLimit, now: float) -> float:
-        """Return what is left of an account's limit, below 0 if too much was told."""
-        return self._filled(name, limit, now).amount
+        """Return what is left of a limit; below 0 if reports exceeded it."""
+        return self._updated_level(name, limit, now).amount
 
-    def _filled(self, name: str, limit: RateLimit, now: float) -> _Level:
+    def _updated_level(self, name: str, limit: RateLimit, now: float) -> _Level:
         level = self._level_by_name.get(name)
         if level is None:
-            level = _Level(self._bounds.start, self._began_at, limit.per_second)
+            level = _Level(self._bounds.initial_level, self._began_at, limit.per_second)
             self._level_by_name[name] = level
         level.per_second = limit.per_second
-        level.amount += level.unfilled(now) * self._heard_share
-        # A limit that was lowered leaves no more than its own burst.
+        level.amount += level.refill(now) * self._heard_share
+        # A lowered limit leaves at most its new capacity.
         level.amount = min(self._capacity(limit), level.amount)
         return level
 
     def _capacity(self, limit: RateLimit) -> float:
-        return limit.burst + self._bounds.lump
+        return limit.burst + self._bounds.extra_burst
 
     def _is_near(self, level: _Level, limit: RateLimit) -> bool:
         return level.amount < NEAR_SHARE * limit.burst
--- a/src/jujubeslip/accounts/_models.py
+++ b/src/jujubeslip/accounts/_models.py
@@ -1,4 +1,4 @@
-"""Client accounts as a configuration gives them."""
+"""Client accounts as defined in a configuration."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class RateLimit:
-    """How much an account may ask for, over all hosts; in tokens or in requests."""
+    """The limit of an account over all hosts, in tokens or in requests."""
 
     per_second: float
-    """What comes free each second."""
+    """Amount that becomes available each second."""
     burst: float
-    """What it may use at once beyond that."""
+    """Amount that may be used at once in addition."""
 
 
 @dataclass(frozen=True)
@@ -24,18 +24,18 @@
 
     name: str
     key_hashes: tuple[str, ...] = field(repr=False)
-    """What its keys are known by; see hash_key."""
+    """Hashes of the account's keys; see hash_key."""
     limit: RateLimit | None = None
-    """None where it may ask for as much as it likes."""
+    """None if the account is unlimited."""
     counts_tokens: bool = True
-    """Whether its limit is in tokens, or in requests."""
+    """Whether the limit counts tokens; otherwise it counts requests."""
     plain_tokens: int = 0
-    """What a request counts that doesn't say how many tokens it is."""
+    """Tokens counted for a request that does not state its number of tokens."""
     priority: int | None = None
-    """Goes before its routes' priority, None where it has none; 0 is the highest."""
+    """Overrides the priority of routes; None for no override. 0 is the highest."""
 
     def cost_of(self, tokens: int | None) -> float:
-        """Return what a request of so many tokens counts, None if it says none."""
+        """Return the cost of a request; `tokens` is None if the request states none."""
         if not self.counts_tokens:
             return 1.0
         return float(self.plain_tokens if tokens is None else tokens)
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True)
 class ClientAccounts:
-    """All accounts of a configuration, in its order."""
+    """All accounts of a configuration, in the order of the configuration."""
 
     accounts: tuple[ClientAccount, ...]
 
     @cached_property
     def by_key_hash(self) -> dict[str, ClientAccount]:
-        """Return the account that holds each key."""
+        """Return the accounts by the hashes of their keys."""
         return {
             key_hash: account
             for account in self.accounts
@@ -62,5 +62,5 @@
         return {account.name: account for account in self.accounts}
 
     def holder_of(self, key: str) -> ClientAccount | None:
-        """Return the account that holds a key, None if no account does."""
+        """Return the account that holds a key, or None."""
         return self.by_key_hash.get(hash_key(key)) if key else None
--- a/src/jujubeslip/accounts/_refusals.py
+++ b/src/jujubeslip/accounts/_refusals.py
@@ -6,9 +6,9 @@
 
 
 def limit_reached(kind: str, wait: float) -> RequestRefusedError:
-    """Return the refusal of a request that may come back after so many seconds.
+    """Return the refusal of a request that may be retried after `wait` seconds.
 
-    `kind` is what the limit counts.
+    `kind` names the unit that the limit counts.
     """
     return RequestRefusedError(
         "client_limit",
--- a/src/jujubeslip/accounts/_spending.py
+++ b/src/jujubeslip/accounts/_spending.py
@@ -1,4 +1,7 @@
-"""What one host has spent of accounts' limits; knows no clock, thread or leader."""
+"""One host's spending of account limits.
+
+It has no clock and no lock, and does not call the leader; its callers do that.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Spent:
-    """What was spent of an account's limit since it was told last."""
+    """The cost spent of an account's limit since the last report."""
 
     account_name: str
     amount: float
@@ -19,35 +22,35 @@
 
 @dataclass(frozen=True)
 class SpendAnswer:
-    """Whether a request may run by what this host knows."""
+    """Whether a request may run, as far as this host can decide."""
 
     asks_leader: bool = False
-    """Whether the leader has to be asked first."""
+    """Whether the host has to ask the leader first."""
     wait: float = 0.0
-    """When to come back, in seconds; 0 where it need not."""
+    """Seconds until a retry; 0 if the request is not refused."""
 
 
 @dataclass
 class _Account:
-    untold: float = 0.0
-    telling: float = 0.0
-    """What a call on its way to the leader tells; it may never arrive."""
+    unreported: float = 0.0
+    in_report: float = 0.0
+    """Cost in a report to the leader that is not confirmed; it may be lost."""
     near_limit: bool = False
     refused_until: float = 0.0
 
     @property
     def unsettled(self) -> float:
-        return self.untold + self.telling
+        return self.unreported + self.in_report
 
 
 class HostSpending:
-    """Lets small requests run at once, as far as the leader's ledger allows for it.
+    """Admits small requests immediately, up to a bound on the unreported cost.
 
-    What is not told yet is bounded, with a leader and without one, so that the sum over
-    all hosts holds through a network partition, and when the leader is lost. The bound
-    grows over the first window after a start: a host that starts again and again loses
-    what it had not told each time, and one of many that start at once does not know yet
-    how many they are.
+    The bound holds with and without a leader, so that the sum over all hosts stays
+    within the leader's margin through a network partition and the loss of the leader.
+    It grows over the first window after a start: a host that restarts repeatedly loses
+    its unreported cost each time, and one of many hosts that start at the same time
+    does not know their number yet.
     """
 
     def __init__(
@@ -61,29 +64,29 @@
         self._lent_until = began_at + bounds.window_seconds
 
     def spend(self, name: str, cost: float, now: float) -> SpendAnswer:
-        """Spend for a request that runs now, unless the leader is to say so."""
+        """Spend the cost of a request that runs now, unless the leader must decide."""
         account = self._account(name)
         if account.refused_until > now:
             return SpendAnswer(wait=account.refused_until - now)
-        if account.near_limit or account.unsettled + cost > self._untold_part(now):
+        if account.near_limit or account.unsettled + cost > self._unreported_limit(now):
             return SpendAnswer(asks_leader=True)
-        account.untold += cost
+        account.unreported += cost
         return SpendAnswer()
 
     def spend_alone(self, name: str, cost: float, now: float) -> bool:
-        """Spend without a leader; say whether the request may run."""
+        """Spend without a leader; return whether the request may run."""
         account = self._account(name)
-        if account.unsettled + cost > self._untold_part(now):
+        if account.unsettled + cost > self._unreported_limit(now):
             return False
-        account.untold += cost
+        account.unreported += cost
         return True
 
     def lend(self, pool: str, now: float) -> bool:
-        """Lend the parts for a lost leader to a pool; say whether it may have them.
+        """Lend this host's leaderless shares to a pool; return whether it may.
 
-        They are in one pool at a time: another one may have them once a window has
-        passed. A host that has just started has none to lend, since its process before
-        may have lent them.
+        The shares are in one pool at a time: another pool may use them once a window
+        has passed. A host that has just started has none to lend, since its previous
+        process may have lent them.
         """
         if now < self._lent_until and pool != self._lent_to:
             return False
@@ -92,52 +95,53 @@
         return True
 
     def give_back(self, name: str, cost: float) -> None:
-        """Take back what was spent for a request that has not run."""
-        self._account(name).untold -= cost
+        """Refund the cost of a request that has not run."""
+        self._account(name).unreported -= cost
 
     def wait_for(self, name: str, now: float) -> float:
-        """Return for how long the leader refuses more, in seconds; 0 if it doesn't."""
+        """Return the seconds for which the leader refuses requests, or 0."""
         account = self._by_name.get(name)
         return max(0.0, account.refused_until - now) if account else 0.0
 
     def forget(self, name: str) -> None:
-        """Drop what is known of a limit that is no more."""
+        """Remove the state of a limit that no longer exists."""
         self._by_name.pop(name, None)
 
     def take_answer(self, name: str, answer: LedgerAnswer, now: float) -> None:
-        """Note what the leader said of an account."""
+        """Apply the leader's reply about an account."""
         account = self._account(name)
         account.near_limit = answer.near_limit
         account.refused_until = now + answer.wait
 
     def take_untold(self) -> list[Spent]:
-        """Return what is to be told; it is unsettled until that is confirmed."""
-        told = []
+        """Return the cost to report; it stays unsettled until `confirm` is called."""
+        reported = []
         for name, account in self._by_name.items():
-            if account.untold and not account.telling:
-                told.append(Spent(name, account.untold))
-                account.telling, account.untold = account.untold, 0.0
-        return told
-
-    def confirm(self, told: list[Spent]) -> None:
-        """Note that the leader has heard of this."""
-        for spent in told:
+            if account.unreported and not account.in_report:
+                reported.append(Spent(name, account.unreported))
+                account.in_report, account.unreported = account.unreported, 0.0
+        return reported
+
+    def confirm(self, reported: list[Spent]) -> None:
+        """Mark a report as received by the leader."""
+        for spent in reported:
             account = self._account(spent.account_name)
-            account.telling = 0.0
+            account.in_report = 0.0
 
-    def put_back(self, told: list[Spent]) -> None:
-        """Note that the leader may not have heard of this: it is told once more.
+    def put_back(self, reported: list[Spent]) -> None:
+        """Mark a report as possibly lost, so that its cost is reported again.
 
-        Told twice, it makes the account's limit look nearer than it is for a moment.
+        If the leader receives both reports, the account appears nearer to its limit
+        than it is for a moment.
         """
-        for spent in told:
+        for spent in reported:
             account = self._account(spent.account_name)
-            account.untold += account.telling
-            account.telling = 0.0
+            account.unreported += account.in_report
+            account.in_report = 0.0
 
-    def _untold_part(self, now: float) -> float:
-        grown = min(1.0, (now - self._began_at) / self._bounds.window_seconds)
-        return grown * self._bounds.untold(self._hosts())
+    def _unreported_limit(self, now: float) -> float:
+        started_share = min(1.0, (now - self._began_at) / self._bounds.window_seconds)
+        return started_share * self._bounds.unreported(self._hosts())
 
     def _account(self, name: str) -> _Account:
         return self._by_name.setdefault(name, _Account())
--- a/tests/accounts/test_endpoint_limits_model.py
+++ b/tests/accounts/test_endpoint_limits_model.py
@@ -1,4 +1,4 @@
-"""The sum of an endpoint's limit over all hosts, replayed with faults."""
+"""Requests to a limited endpoint over all hosts, simulated with faults."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @pytest.fixture(autouse=True)
 def plain_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let all requests cost the same; the model counts PLAIN_COST for one."""
+    """Make all requests cost the same; the model counts PLAIN_COST for each."""
     monkeypatch.setattr(model, "STREAM_SHARE", 0.0)
 
 
 def endpoint_load(seed: int) -> Load:
-    """Return a load of requests to one endpoint, with faults that the seed draws."""
+    """Return a load of requests to one endpoint, with faults drawn from the seed."""
     source = random.Random(f"endpoint/{seed}")
     limit = endpoint_limit(source.choice((0.5, 2.5, 20.0)))
     bounds = ENDPOINT_BOUNDS
@@ -36,7 +36,7 @@
 
 
 class TestSumOverAllHosts:
-    """Guards against more at an endpoint in need than it said that it takes."""
+    """Guards against more requests at an overloaded endpoint than its limit allows."""
 
     @pytest.mark.parametrize("seed", [*range(60), 600, 691, 1683])
     def test_keeps_the_bound(self, seed: int) -> None:
