--- a/src/jujubeslip/accounts/_ledger.py
+++ b/src/jujubeslip/accounts/_ledger.py
@@ -4,8 +4,8 @@
 one host or at all, while others stay far below their limits. Streams are charged here
 before they run, which needs no separate call, since they request an engine from the
 leader anyway. Plain requests are small: hosts spend first and report later, until the
-account is near its limit. The ledger has no clock and no lock; callers pass the time and
-synchronize access.
+account is near its limit. The ledger has no clock and no lock; callers pass the time
+and synchronize access.
 """
 
 from __future__ import annotations
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -88,7 +88,7 @@
         return record
 
     def observe(
-        self, endpoint_id: str, status: EndpointStatus, asked_at: float
+        self, endpoint_id: str, status: EndpointStatus, requested_at: float
     ) -> None:
         """Record an endpoint's status and drop the grants that it contradicts."""
         with self._lock:
@@ -96,7 +96,7 @@
             if record is None:
                 return
             before = (record.usable, record.role)
-            record.observe(status, asked_at)
+            record.observe(status, requested_at)
             if before != (record.usable, record.role):
                 self.scheduler.endpoints_changed()
             self.scheduler.grants.count_foreign_requests(record)
@@ -128,7 +128,7 @@
         """
         grants = [*record.prefill_grants.values(), *record.decode_grants.values()]
         for grant in grants:
-            silent_seconds = record.status_asked_at - grant.progressed_at
+            silent_seconds = record.status_requested_at - grant.progressed_at
             if silent_seconds >= GRANT_SILENCE_SECONDS and not self._is_held(grant):
                 self.scheduler.grants.remove(grant)
 
@@ -137,7 +137,7 @@
             record = self.scheduler.record_by_id.get(endpoint_id)
             if record is None or record.status is None:
                 continue
-            if record.status_asked_at <= grant.progressed_at:
+            if record.status_requested_at <= grant.progressed_at:
                 return True
             held = {(item.request_id, item.attempt) for item in record.status.held}
             if grant.key in held:
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -38,7 +38,7 @@
         self.announced_until = Deadline.after(ANNOUNCEMENT_LIFETIME)
         self.usable_until = Deadline.after(0)
         self.status: EndpointStatus | None = None
-        self.status_asked_at = 0.0
+        self.status_requested_at = 0.0
         self.prefill_seconds = LinearEstimate(START_PREFILL_SECONDS_PER_TOKEN)
         self.last_prefill_finished_at = 0.0
         self.prefill_grants: dict[str, GrantRecord] = {}
@@ -114,22 +114,22 @@
             free = max(free, grant.prefill_ends.instant) + grant.transfer_left(now)
         return free
 
-    def free_slots_at(self, instant: float, now: float) -> int:
-        """Return the forecast number of free slots at the time `instant`."""
+    def free_slots_at(self, at_time: float, now: float) -> int:
+        """Return the forecast number of free slots at `at_time`."""
         used = self.foreign_requests
         for grant in self.decode_grants.values():
-            if grant.release_time(now) > instant:
+            if grant.release_time(now) > at_time:
                 used += 1
         return self.slots - used
 
-    def observe(self, status: EndpointStatus, asked_at: float) -> None:
+    def observe(self, status: EndpointStatus, requested_at: float) -> None:
         """Record a status; its lifetime starts when it was requested."""
         self.status = status
-        self.status_asked_at = asked_at
+        self.status_requested_at = requested_at
         if status.leaving or status.incarnation != self.announcement.incarnation:
-            self.usable_until = Deadline(asked_at)
+            self.usable_until = Deadline(requested_at)
             return
-        self.usable_until = Deadline(asked_at + STATUS_LIFETIME)
+        self.usable_until = Deadline(requested_at + STATUS_LIFETIME)
 
     def record_failure(self) -> None:
         """Skip the endpoint for some time; longer after each consecutive failure."""
--- a/src/jujubeslip/homes/_tracker.py
+++ b/src/jujubeslip/homes/_tracker.py
@@ -85,7 +85,7 @@
 
     def poll(self, process: Process) -> None:
         """Poll once; without an answer, the endpoint's last status expires."""
-        asked_at = steady_seconds()
+        requested_at = steady_seconds()
         monitor = self._monitor_of_address()
         try:
             status = monitor.status(Deadline.after(STATUS_TIMEOUT))
@@ -98,7 +98,7 @@
                 extra={"endpoint": self._record.endpoint_id},
             )
             return
-        self._pool.observe(self._record.endpoint_id, status, asked_at)
+        self._pool.observe(self._record.endpoint_id, status, requested_at)
         self._read_events(monitor, status)
         self._start_sweep(process, EngineAdapter(monitor.address), status)
 
--- a/src/jujubeslip/routing/_limits.py
+++ b/src/jujubeslip/routing/_limits.py
@@ -54,7 +54,7 @@
 
 
 class ClientLimits:
-    """Admits up to the whole limit far below it, and up to this host's share near it.
+    """Enforces an account's whole limit at low demand, else this host's share of it.
 
     Without a reply of the limit's manager, for example in a network partition, each
     host enforces an equal share among the hosts that it sees.
