--- a/bench/accounts/model.py
+++ b/bench/accounts/model.py
@@ -16,15 +16,15 @@
 
 from jujubeslip.accounts import (
     AccountLedger,
-    AlonePool,
     HostSpending,
+    LeaderlessPool,
     LimitBounds,
     RateLimit,
 )
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import RequestRefusedError
 from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaKeeper
+from jujubeslip.routing._quotas import QuotaManager
 
 ACCOUNT = "account"
 PLAIN_COST = 200.0
@@ -145,7 +145,7 @@
         self._client = Client(
             ACCOUNT, ("0" * 64,), tokens_per_second=load.limit.per_second
         )
-        self._keeper = QuotaKeeper(lambda: self._now)
+        self._keeper = QuotaManager(lambda: self._now)
         self._limits = [
             ClientLimits(lambda: load.hosts, lambda: self._now)
             for _ in range(load.hosts)
@@ -163,7 +163,7 @@
         except RequestRefusedError:
             return False
         finally:
-            if limits.wait_for_surge(0):
+            if limits.wait_for_demand_spike(0):
                 self._report(arrival.host)
         return True
 
@@ -180,7 +180,7 @@
             return
         usages = self._limits[host].usages()
         shares = self._keeper.report(str(host), usages, self._load.hosts)
-        self._limits[host].take_shares(shares)
+        self._limits[host].apply_shares(shares)
 
 
 class ChargedAtLeader:
@@ -199,7 +199,7 @@
         self._restarted_at = 0.0
         self._join_at = 0.0
         self._hosts = range(load.hosts)
-        self._pools = {cut: AlonePool(load.bounds) for cut in (False, True)}
+        self._pools = {cut: LeaderlessPool(load.bounds) for cut in (False, True)}
         self.calls = 0
 
     def _new_host(self, began_at: float) -> HostSpending:
@@ -214,13 +214,13 @@
             if not answer.asks_leader:
                 return answer.wait == 0
         if not reaches_leader(self._load, arrival.host, now):
-            if spending.spend_alone(ACCOUNT, arrival.cost, now):
+            if spending.spend_without_leader(ACCOUNT, arrival.cost, now):
                 return True
             return self._charge_at_pool(arrival.host, arrival.cost, now)
         self.calls += not arrival.is_stream
         charged = self._leader(now).charge(ACCOUNT, self._load.limit, arrival.cost, now)
         if not arrival.is_stream:
-            spending.take_answer(ACCOUNT, charged, now)
+            spending.apply_answer(ACCOUNT, charged, now)
         return charged.wait == 0
 
     def step(self, now: float) -> None:
@@ -249,11 +249,11 @@
 
     def _settle(self, host: int, now: float) -> None:
         spending = self._spending[host]
-        told = spending.take_untold()
+        told = spending.take_unreported()
         if not told:
             return
         if not reaches_leader(self._load, host, now):
-            spending.put_back(told)
+            spending.mark_unconfirmed(told)
             return
         self.calls += 1
         ledger = self._leader(now)
@@ -261,11 +261,11 @@
             ledger.settle(ACCOUNT, self._load.limit, item.amount, now) for item in told
         ]
         if self._source.random() < self._load.lost_answers:
-            spending.put_back(told)
+            spending.mark_unconfirmed(told)
             return
         spending.confirm(told)
         for answer in answers:
-            spending.take_answer(ACCOUNT, answer, now)
+            spending.apply_answer(ACCOUNT, answer, now)
 
     def _leader(self, now: float) -> AccountLedger:
         """Return the ledger of who leads now; a new leader begins with a new one."""
--- a/bench/limits/measure.py
+++ b/bench/limits/measure.py
@@ -19,7 +19,7 @@
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import RequestRefusedError
 from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaKeeper
+from jujubeslip.routing._quotas import QuotaManager
 from jujubeslip.routing._token_buckets import BURST_SECONDS, TokenBucket
 
 HOSTS = 7
@@ -101,7 +101,7 @@
     """Return the wrong refusals and the overshoot of one policy."""
     clock = Clock()
     limits = [ClientLimits(lambda: HOSTS, clock.read) for _ in range(HOSTS)]
-    keeper = QuotaKeeper(clock.read)
+    keeper = QuotaManager(clock.read)
     ideal = TokenBucket(clock.read)
     next_report = [REPORT_SECONDS * host / HOSTS for host in range(HOSTS)]
     offered = wrong = reports = 0
@@ -114,7 +114,7 @@
                 _report(keeper, other, limits[other])
                 reports += 1
         clock.now = at
-        if shared and limits[host].wait_for_surge(0):
+        if shared and limits[host].wait_for_demand_spike(0):
             next_report[host] = at + REPORT_SECONDS
             _report(keeper, host, limits[host])
             reports += 1
@@ -131,8 +131,8 @@
     }
 
 
-def _report(keeper: QuotaKeeper, host: int, limits: ClientLimits) -> None:
-    limits.take_shares(keeper.report(str(host), limits.usages(), HOSTS))
+def _report(keeper: QuotaManager, host: int, limits: ClientLimits) -> None:
+    limits.apply_shares(keeper.report(str(host), limits.usages(), HOSTS))
 
 
 def _admits(limits: ClientLimits) -> bool:
--- a/src/jujubeslip/accounts/__init__.py
+++ b/src/jujubeslip/accounts/__init__.py
@@ -3,7 +3,7 @@
 Limits that endpoints set for themselves are enforced by the same means.
 """
 
-from jujubeslip.accounts._alone_pool import AlonePool
+from jujubeslip.accounts._alone_pool import LeaderlessPool
 from jujubeslip.accounts._bounds import LimitBounds
 from jujubeslip.accounts._checks import find_problem
 from jujubeslip.accounts._endpoint_bounds import ENDPOINT_BOUNDS, endpoint_limit
--- a/src/jujubeslip/accounts/_alone_pool.py
+++ b/src/jujubeslip/accounts/_alone_pool.py
@@ -40,7 +40,7 @@
     cost: float
 
 
-class AlonePool:
+class LeaderlessPool:
     """The shares of the hosts that have joined, and the cost charged to them.
 
     The cost admitted in any window is at most the sum of the shares: each host's share
--- a/src/jujubeslip/accounts/_spending.py
+++ b/src/jujubeslip/accounts/_spending.py
@@ -73,7 +73,7 @@
         account.unreported += cost
         return SpendAnswer()
 
-    def spend_alone(self, name: str, cost: float, now: float) -> bool:
+    def spend_without_leader(self, name: str, cost: float, now: float) -> bool:
         """Spend without a leader; return whether the request may run."""
         account = self._account(name)
         if account.unsettled + cost > self._unreported_limit(now):
@@ -107,13 +107,13 @@
         """Remove the state of a limit that no longer exists."""
         self._by_name.pop(name, None)
 
-    def take_answer(self, name: str, answer: LedgerAnswer, now: float) -> None:
+    def apply_answer(self, name: str, answer: LedgerAnswer, now: float) -> None:
         """Apply the leader's reply about an account."""
         account = self._account(name)
         account.near_limit = answer.near_limit
         account.refused_until = now + answer.wait
 
-    def take_untold(self) -> list[Spent]:
+    def take_unreported(self) -> list[Spent]:
         """Return the cost to report; it stays unsettled until `confirm` is called."""
         reported = []
         for name, account in self._by_name.items():
@@ -128,7 +128,7 @@
             account = self._account(spent.account_name)
             account.in_report = 0.0
 
-    def put_back(self, reported: list[Spent]) -> None:
+    def mark_unconfirmed(self, reported: list[Spent]) -> None:
         """Mark a report as possibly lost, so that its cost is reported again.
 
         If the leader receives both reports, the account appears nearer to its limit
--- a/src/jujubeslip/control/_limit_manager.py
+++ b/src/jujubeslip/control/_limit_manager.py
@@ -8,7 +8,7 @@
 
 from jujubeslip.accounts import (
     AccountLedger,
-    AlonePool,
+    LeaderlessPool,
     LedgerAnswer,
     LimitBounds,
     RateLimit,
@@ -40,7 +40,7 @@
         self._heard_share = heard_share
         self._ledger = AccountLedger(bounds, steady_seconds())
         self._ledger_began_at: float | None = None
-        self._leaderless_pool = AlonePool(bounds)
+        self._leaderless_pool = LeaderlessPool(bounds)
         self._logged_at_by_name: dict[str, float] = {}
         self._lock = threading.Lock()
 
--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -138,7 +138,9 @@
     ) -> bool:
         name = context.request.account_name
         with self._lock:
-            may_run = self._spending.spend_alone(name, context.cost, steady_seconds())
+            may_run = self._spending.spend_without_leader(
+                name, context.cost, steady_seconds()
+            )
         if may_run:
             self._record_spent(context, attempts)
         elif not self._charge_at_pool(AccountSpending(name, context.cost)):
@@ -209,13 +211,13 @@
 
     def _settle(self) -> None:
         with self._lock:
-            unreported = self._spending.take_untold()
+            unreported = self._spending.take_unreported()
         if not unreported:
             return
         states = self._report(unreported)
         with self._lock:
             if states is None:
-                self._spending.put_back(unreported)
+                self._spending.mark_unconfirmed(unreported)
             else:
                 self._spending.confirm(unreported)
         for state in states or ():
@@ -234,7 +236,7 @@
     def _apply_state(self, state: AccountState) -> None:
         answer = LedgerAnswer(state.wait_seconds or 0.0, bool(state.near_limit))
         with self._lock:
-            self._spending.take_answer(state.account_name, answer, steady_seconds())
+            self._spending.apply_answer(state.account_name, answer, steady_seconds())
 
     def _record_spent(self, context: ForwardContext, attempts: Attempts) -> None:
         attempts.charged_locally = context.cost
--- a/src/jujubeslip/forwarding/_endpoint_limits.py
+++ b/src/jujubeslip/forwarding/_endpoint_limits.py
@@ -137,7 +137,7 @@
 
     def _record_wait(self, start_id: str, wait: float) -> None:
         with self._charges.lock:
-            self._charges.spending.take_answer(
+            self._charges.spending.apply_answer(
                 start_id, LedgerAnswer(wait, near_limit=True), steady_seconds()
             )
 
--- a/src/jujubeslip/requests/_retries.py
+++ b/src/jujubeslip/requests/_retries.py
@@ -59,7 +59,7 @@
             raise _failed(error, ran, "it is not repeatable") from error
         if context.end_by.remaining() < max(needed, MINIMUM_RETRY_SECONDS):
             raise _failed(error, ran, "its deadline is too near") from error
-        if not self._budgets.take(request.service.name):
+        if not self._budgets.spend(request.service.name):
             raise _failed(error, ran, "the retry budget is spent") from error
         cause = {"service": request.service.name, "cause": error.error_id}
         self._meters.retries.add(1, cause)
--- a/src/jujubeslip/routing/_limit_reports.py
+++ b/src/jujubeslip/routing/_limit_reports.py
@@ -9,7 +9,7 @@
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, LimitShare, LimitUsage, PeerRefusal
 from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaKeeper
+from jujubeslip.routing._quotas import QuotaManager
 
 logger = logging.getLogger(__name__)
 
@@ -31,14 +31,14 @@
         self._directory = directory
         self._clients = clients
         self._limits = limits
-        self._quota_manager = QuotaKeeper()
+        self._quota_manager = QuotaManager()
 
     def start(self, process: Process) -> None:
         """Start the periodic task that reports usage."""
         process.repeat(PAUSE_SECONDS, self._report_when_due)
 
     def _report_when_due(self) -> None:
-        self._limits.wait_for_surge(REPORT_SECONDS)
+        self._limits.wait_for_demand_spike(REPORT_SECONDS)
         self.report()
 
     def answer(self, host_id: str, usages: list[LimitUsage]) -> list[LimitShare]:
@@ -55,7 +55,9 @@
             manager_by_id[manager.host_id] = manager
             usages_by_id[manager.host_id].append(usage)
         for manager_id, usages in usages_by_id.items():
-            self._limits.take_shares(self._report_to(manager_by_id[manager_id], usages))
+            self._limits.apply_shares(
+                self._report_to(manager_by_id[manager_id], usages)
+            )
 
     def _report_to(
         self, manager: HostState, usages: list[LimitUsage]
--- a/src/jujubeslip/routing/_limits.py
+++ b/src/jujubeslip/routing/_limits.py
@@ -71,7 +71,7 @@
         self._lock = threading.Lock()
         self._spike = threading.Event()
 
-    def wait_for_surge(self, seconds: float) -> bool:
+    def wait_for_demand_spike(self, seconds: float) -> bool:
         """Wait up to `seconds` for a demand spike; return whether there is one.
 
         While an account has little demand, each host may admit its whole limit. A
@@ -133,7 +133,7 @@
         meter.measured_at = now
         return demand
 
-    def take_shares(self, shares: Iterable[LimitShare]) -> None:
+    def apply_shares(self, shares: Iterable[LimitShare]) -> None:
         """Store the shares that a manager returned for a report."""
         until = self._clock() + SHARE_LIFETIME
         with self._lock:
--- a/src/jujubeslip/routing/_quotas.py
+++ b/src/jujubeslip/routing/_quotas.py
@@ -17,7 +17,7 @@
 REPORT_LIFETIME = 3.0
 
 
-class QuotaKeeper:
+class QuotaManager:
     """Sums up the reported demand for each limit and returns the hosts' shares."""
 
     def __init__(self, clock: Callable[[], float] = steady_seconds) -> None:
--- a/src/jujubeslip/routing/_retries.py
+++ b/src/jujubeslip/routing/_retries.py
@@ -28,7 +28,7 @@
                 MAXIMUM_RETRIES, retries + share
             )
 
-    def take(self, service_name: str) -> bool:
+    def spend(self, service_name: str) -> bool:
         """Spend one retry if the budget allows it; return whether it does."""
         with self._lock:
             retries = self._retries_by_service.get(service_name, INITIAL_RETRIES)
--- a/tests/accounts/test_ledger.py
+++ b/tests/accounts/test_ledger.py
@@ -6,8 +6,8 @@
 
 from jujubeslip.accounts import (
     AccountLedger,
-    AlonePool,
     HostSpending,
+    LeaderlessPool,
     LedgerAnswer,
     LimitBounds,
     RateLimit,
@@ -76,7 +76,7 @@
         host = self.host()
         assert not host.spend("a", 200, 9).asks_leader
         assert host.spend("a", 200, 9).asks_leader
-        (reported,) = host.take_untold()
+        (reported,) = host.take_unreported()
         assert reported.amount == 200
         assert host.spend("a", 200, 9).asks_leader
         host.confirm([reported])
@@ -85,32 +85,32 @@
     def test_reports_again_what_may_be_lost(self) -> None:
         host = self.host()
         host.spend("a", 200, 9)
-        reported = host.take_untold()
-        host.put_back(reported)
-        assert host.take_untold() == reported
+        reported = host.take_unreported()
+        host.mark_unconfirmed(reported)
+        assert host.take_unreported() == reported
 
     def test_asks_each_time_near_the_limit_and_refuses_until_retry_time(
         self,
     ) -> None:
         host = self.host()
-        host.take_answer("a", LedgerAnswer(0.5, True), 9)
+        host.apply_answer("a", LedgerAnswer(0.5, True), 9)
         assert host.spend("a", 1, 9.2).wait > 0
         assert host.spend("a", 1, 9.6).asks_leader
-        host.take_answer("a", LedgerAnswer(0.0, False), 10)
+        host.apply_answer("a", LedgerAnswer(0.0, False), 10)
         assert not host.spend("a", 1, 10).asks_leader
 
     def test_small_request_runs_without_a_leader(self) -> None:
         host = self.host()
-        assert host.spend_alone("a", 200, 9)
-        assert not host.spend_alone("a", 200, 9)
+        assert host.spend_without_leader("a", 200, 9)
+        assert not host.spend_without_leader("a", 200, 9)
 
     def test_bound_grows_after_a_start(self) -> None:
         """Hosts that start at the same time each count themselves as the only one."""
         host = self.host()
         assert host.spend("a", 100, 2).asks_leader
         assert not host.spend("a", 100, 4).asks_leader
-        assert not host.spend_alone("a", 100, 6)
-        assert host.spend_alone("a", 100, 7)
+        assert not host.spend_without_leader("a", 100, 6)
+        assert host.spend_without_leader("a", 100, 7)
 
     def test_shares_are_lent_to_one_pool_at_a_time(self) -> None:
         host = self.host()
@@ -126,15 +126,15 @@
         assert host.lend("c1", 8.1)
 
 
-class TestAlonePool:
+class TestLeaderlessPool:
     """Guards against streams refused since each leaderless host has a fraction of one.
 
     Without a pool, one host in four was drawn to run a stream, whichever host the
     client called: in a partitioned zone, 42 of some 100 streams were refused.
     """
 
-    def pool(self, hosts: int) -> AlonePool:
-        pool = AlonePool(BOUNDS)
+    def pool(self, hosts: int) -> LeaderlessPool:
+        pool = LeaderlessPool(BOUNDS)
         for host in range(hosts):
             pool.join(str(host), 10)
         return pool
@@ -175,7 +175,7 @@
     def test_its_rate_share_starts_again(self) -> None:
         bounds = LimitBounds(8.0, 0.0, 8.0)
         limit = RateLimit(10.0, 0.0)
-        pool = AlonePool(bounds)
+        pool = LeaderlessPool(bounds)
         for tenth in range(100):
             pool.join("host", tenth / 10)
         pool.join("host", 9.9 + REJOIN_SECONDS + 0.5)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -7,7 +7,7 @@
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import Ran, RequestRefusedError
 from jujubeslip.routing._limits import SHARE_LIFETIME, ClientLimits
-from jujubeslip.routing._quotas import QuotaKeeper
+from jujubeslip.routing._quotas import QuotaManager
 
 HOSTS = 4
 LIMIT = 40.0
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.quota_manager = QuotaKeeper(self.read_clock)
+        self.quota_manager = QuotaManager(self.read_clock)
         self.limits = [
             ClientLimits(lambda: HOSTS, self.read_clock) for _ in range(HOSTS)
         ]
@@ -49,7 +49,7 @@
         if report:
             for host, limits in enumerate(self.limits):
                 shares = self.quota_manager.report(str(host), limits.usages(), HOSTS)
-                limits.take_shares(shares)
+                limits.apply_shares(shares)
         return admitted
 
 
@@ -90,11 +90,11 @@
         for _ in range(5):
             hosts.run_second([1, 1, 1, 1])
         limits = hosts.limits[0]
-        assert not limits.wait_for_surge(0)
+        assert not limits.wait_for_demand_spike(0)
         hosts.admit_requests(0, 10)
-        assert limits.wait_for_surge(0)
-        limits.take_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
-        assert not limits.wait_for_surge(0)
+        assert limits.wait_for_demand_spike(0)
+        limits.apply_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
+        assert not limits.wait_for_demand_spike(0)
 
 
 class TestPartitionedHost:
@@ -118,6 +118,6 @@
         for _ in range(6):
             hosts.now += 1.0
             hosts.admit_requests(0, 20)
-            limits.take_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
+            limits.apply_shares(hosts.quota_manager.report("0", limits.usages(), HOSTS))
         shares = hosts.quota_manager.report("0", limits.usages(), HOSTS)
         assert not shares[0].shared
