--- a/bench/accounts/model.py
+++ b/bench/accounts/model.py
@@ -23,8 +23,8 @@
 )
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import RequestRefusedError
-from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaManager
+from jujubeslip.routing._client_limits import REPORT_SECONDS, ClientLimits
+from jujubeslip.routing._quota_manager import QuotaManager
 
 ACCOUNT = "account"
 PLAIN_COST = 200.0
--- a/bench/limits/measure.py
+++ b/bench/limits/measure.py
@@ -18,8 +18,8 @@
 
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import RequestRefusedError
-from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaManager
+from jujubeslip.routing._client_limits import REPORT_SECONDS, ClientLimits
+from jujubeslip.routing._quota_manager import QuotaManager
 from jujubeslip.routing._token_buckets import BURST_SECONDS, TokenBucket
 
 HOSTS = 7
--- a/src/jujubeslip/accounts/__init__.py
+++ b/src/jujubeslip/accounts/__init__.py
@@ -3,12 +3,12 @@
 Limits that endpoints set for themselves are enforced by the same means.
 """
 
-from jujubeslip.accounts._alone_pool import LeaderlessPool
-from jujubeslip.accounts._bounds import LimitBounds
 from jujubeslip.accounts._checks import find_problem
 from jujubeslip.accounts._endpoint_bounds import ENDPOINT_BOUNDS, endpoint_limit
 from jujubeslip.accounts._keys import hash_key, unknown_key
+from jujubeslip.accounts._leaderless_pool import LeaderlessPool
 from jujubeslip.accounts._ledger import AccountLedger, LedgerAnswer
+from jujubeslip.accounts._limit_bounds import LimitBounds
 from jujubeslip.accounts._models import ClientAccount, ClientAccounts, RateLimit
 from jujubeslip.accounts._refusals import limit_reached
 from jujubeslip.accounts._spending import HostSpending, SpendAnswer, Spent
--- a/src/jujubeslip/accounts/_endpoint_bounds.py
+++ b/src/jujubeslip/accounts/_endpoint_bounds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from jujubeslip.accounts._bounds import LimitBounds
+from jujubeslip.accounts._limit_bounds import LimitBounds
 from jujubeslip.accounts._models import RateLimit
 
 # The excess over an endpoint's limit in a window, over all hosts. An endpoint that sets
--- a/src/jujubeslip/accounts/_alone_pool.py
+++ b/src/jujubeslip/accounts/_leaderless_pool.py
@@ -11,7 +11,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from jujubeslip.accounts._bounds import LimitBounds
+from jujubeslip.accounts._limit_bounds import LimitBounds
 from jujubeslip.accounts._models import RateLimit
 
 # How long a host must have been without a leader before its equal share of the rate
--- a/src/jujubeslip/accounts/_ledger.py
+++ b/src/jujubeslip/accounts/_ledger.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-from jujubeslip.accounts._bounds import LimitBounds
+from jujubeslip.accounts._limit_bounds import LimitBounds
 from jujubeslip.accounts._models import RateLimit
 
 # An account is near its limit when less than this share of its burst is left; hosts
--- a/src/jujubeslip/accounts/_spending.py
+++ b/src/jujubeslip/accounts/_spending.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from jujubeslip.accounts._bounds import LimitBounds
 from jujubeslip.accounts._ledger import LedgerAnswer
+from jujubeslip.accounts._limit_bounds import LimitBounds
 
 
 @dataclass(frozen=True)
--- a/src/jujubeslip/homes/_homes.py
+++ b/src/jujubeslip/homes/_homes.py
@@ -4,9 +4,9 @@
 
 import threading
 
+from jujubeslip.homes._endpoint_tracker import EndpointTracker
 from jujubeslip.homes._pool import Pool
 from jujubeslip.homes._scheduler import SchedulerOptions
-from jujubeslip.homes._tracker import EndpointTracker
 from jujubeslip.kernel import Process
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import (
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -9,8 +9,8 @@
 
 from jujubeslip.homes._demand import Demand
 from jujubeslip.homes._estimates import Estimates
-from jujubeslip.homes._grants import GrantRegistry
-from jujubeslip.homes._prefixes import PrefixIndex
+from jujubeslip.homes._grant_registry import GrantRegistry
+from jujubeslip.homes._prefix_index import PrefixIndex
 from jujubeslip.homes._records import URGENT, EndpointRecord, Waiter
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
--- a/src/jujubeslip/routing/_limit_reports.py
+++ b/src/jujubeslip/routing/_limit_reports.py
@@ -8,8 +8,8 @@
 from jujubeslip.kernel import PeerUnavailableError, Process
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, LimitShare, LimitUsage, PeerRefusal
-from jujubeslip.routing._limits import REPORT_SECONDS, ClientLimits
-from jujubeslip.routing._quotas import QuotaManager
+from jujubeslip.routing._client_limits import REPORT_SECONDS, ClientLimits
+from jujubeslip.routing._quota_manager import QuotaManager
 
 logger = logging.getLogger(__name__)
 
--- a/tests/accounts/test_ledger.py
+++ b/tests/accounts/test_ledger.py
@@ -12,7 +12,7 @@
     LimitBounds,
     RateLimit,
 )
-from jujubeslip.accounts._alone_pool import REJOIN_SECONDS
+from jujubeslip.accounts._leaderless_pool import REJOIN_SECONDS
 
 LIMIT = RateLimit(per_second=1000, burst=1000)
 EXACT = LimitBounds(8, 0, 0)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_client_limits.py
@@ -6,8 +6,8 @@
 
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import Ran, RequestRefusedError
-from jujubeslip.routing._limits import SHARE_LIFETIME, ClientLimits
-from jujubeslip.routing._quotas import QuotaManager
+from jujubeslip.routing._client_limits import SHARE_LIFETIME, ClientLimits
+from jujubeslip.routing._quota_manager import QuotaManager
 
 HOSTS = 4
 LIMIT = 40.0
