--- a/src/jujubeslip/accounts/__init__.py
+++ b/src/jujubeslip/accounts/__init__.py
@@ -16,7 +16,7 @@
 __all__ = [
     "ENDPOINT_BOUNDS",
     "AccountLedger",
-    "AlonePool",
+    "LeaderlessPool",
     "ClientAccount",
     "ClientAccounts",
     "HostSpending",
