--- a/src/jujubeslip/requests/__init__.py
+++ b/src/jujubeslip/requests/__init__.py
@@ -1,4 +1,8 @@
-"""One request's path: parse, match, reserve, prefill, transfer, decode, resume."""
+"""Serve a client's request: parse, match, reserve, prefill, transfer, decode, resume.
+
+A request can carry an idempotency key, so that a resend gets the recorded answer of
+the first run and isn't run a second time.
+"""
 
 from jujubeslip.requests._answers import ModelAnswer, PlainServiceAnswer
 from jujubeslip.requests._authentication import authenticate, require_secret
--- a/src/jujubeslip/requests/_answers.py
+++ b/src/jujubeslip/requests/_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers, as they are recorded for resends of the same key."""
+"""Complete answers, as recorded for resends with the same idempotency key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class ModelAnswer:
-    """Every token of a model's answer, and the rule that decided."""
+    """All tokens of a model's answer, and the name of the rule that was applied."""
 
     tokens: tuple[str, ...]
     rule_name: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PlainServiceAnswer:
-    """A plain service's answer as it came."""
+    """The unchanged answer of a plain service."""
 
     status: int
     content_type: str
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True)
 class UnknownAnswer:
-    """The run ended and nobody knows whether it ran; `reason` is for the caller."""
+    """The outcome of a run that ended without telling whether the service ran it.
+
+    `reason` is part of the error message that the client gets.
+    """
 
     reason: str
 
@@ -37,7 +40,7 @@
 
 @singledispatch
 def encode_answer(answer: object) -> bytes:
-    """Return the answer as bytes for the record."""
+    """Return the answer encoded as bytes for recording."""
     raise TypeError(f"Not an answer: {answer!r}")
 
 
@@ -64,7 +67,7 @@
 
 
 def decode_answer(record: bytes) -> Answer:
-    """Return the answer that `encode_answer` made the bytes from."""
+    """Return the answer that was encoded by `encode_answer`."""
     fields = json.loads(record)
     if fields["kind"] == "model":
         return ModelAnswer(tuple(fields["tokens"]), fields["rule"])
--- a/src/jujubeslip/requests/_authentication.py
+++ b/src/jujubeslip/requests/_authentication.py
@@ -1,4 +1,4 @@
-"""Authentication of client accounts by key; keys are known by their hashes only."""
+"""Authentication of client accounts by API key; only hashes of keys are stored."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def authenticate(declaration: Declaration, authorization: str) -> Client:
-    """Return the client account that the key belongs to, or refuse."""
+    """Return the client account of the key; raise an error if the key is unknown."""
     key = bearer_token(authorization)
     client = declaration.client_by_key_hash.get(hash_key(key))
     if not key or client is None:
@@ -28,7 +28,7 @@
 
 
 def require_secret(authorization: str, secret: str) -> None:
-    """Refuse unless the header carries this secret."""
+    """Raise RequestRefusedError unless the header carries this secret."""
     if hmac.compare_digest(bearer_token(authorization).encode(), secret.encode()):
         return
     raise RequestRefusedError(
--- a/src/jujubeslip/requests/_cancellation.py
+++ b/src/jujubeslip/requests/_cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels of abandoned attempts, repeated until the engine acknowledges."""
+"""Cancellation of abandoned attempts, retried until the engine acknowledges it."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 CANCEL_TIMEOUT = 1.0
 FIRST_PAUSE = 0.1
 MAXIMUM_PAUSE = 2.0
-# Later than this, in seconds, the sweep of the endpoint's home does it.
+# How long a cancel is retried, in seconds. After that, the memory sweep of the
+# endpoint's home frees what the engine still holds.
 GIVE_UP_AFTER = 20.0
 
 
 @dataclass(frozen=True)
 class Cancellation:
-    """What to cancel, where."""
+    """An attempt to cancel at an engine, and until when to retry."""
 
     endpoint_id: str
     address: str
     request_id: str
     attempt: int
-    give_up: Deadline = field(default_factory=lambda: Deadline.after(GIVE_UP_AFTER))
+    retry_until: Deadline = field(default_factory=lambda: Deadline.after(GIVE_UP_AFTER))
 
 
 class Canceller:
-    """Sends cancels in tasks of their own, so that no caller waits for them.
+    """Sends cancels in background tasks, so that no caller waits for them.
 
-    There is one task for each engine with unacknowledged cancels. A task for each
-    cancel would use up the process's tasks while an engine is cut off under load.
+    There is one task per engine with unacknowledged cancels. One task per cancel would
+    exhaust the process's tasks while an engine is unreachable under load.
     """
 
     def __init__(self, process: Process, open_requests: OpenRequests) -> None:
@@ -44,8 +45,8 @@
         self._lock = threading.Lock()
 
     def cancel(self, cancellation: Cancellation) -> None:
-        """Cancel; ask again until the engine answers or GIVE_UP_AFTER has passed."""
-        self._open_requests.give_up(
+        """Cancel; retry until the engine acknowledges or GIVE_UP_AFTER has passed."""
+        self._open_requests.abandon_attempt(
             cancellation.request_id, cancellation.attempt, cancellation.endpoint_id
         )
         with self._lock:
@@ -69,17 +70,21 @@
             pause = min(MAXIMUM_PAUSE, pause * 2)
 
     def _first_pending(self, address: str) -> Cancellation | None:
-        """Return what to send next, or end the engine's task under the lock."""
+        """Return the next cancel to send, or None if the engine's task is to end.
+
+        The task is deregistered under the same lock that `cancel` takes, so that no
+        cancel is added to a task that ends.
+        """
         with self._lock:
             pending = self._pending_by_address[address]
-            pending[:] = [item for item in pending if not item.give_up.expired]
+            pending[:] = [item for item in pending if not item.retry_until.expired]
             if pending:
                 return pending[0]
             del self._pending_by_address[address]
             return None
 
     def _send(self, cancellation: Cancellation) -> bool:
-        """Send one cancel; say whether the engine acknowledged it."""
+        """Send one cancel; return whether the engine acknowledged it."""
         adapter = EngineAdapter(cancellation.address)
         try:
             adapter.cancel(
@@ -89,7 +94,7 @@
             )
         except EndpointError as error:
             extra = {"request_id": cancellation.request_id, "error": str(error)}
-            logger.info("cancel failed", extra=extra)
+            logger.info("cancel of attempt not acknowledged", extra=extra)
             return False
         with self._lock:
             self._pending_by_address[cancellation.address].remove(cancellation)
--- a/src/jujubeslip/requests/_key_copies.py
+++ b/src/jujubeslip/requests/_key_copies.py
@@ -1,4 +1,4 @@
-"""Copies of keys to the hosts that keep them after the entry hosts have changed."""
+"""Replication of key records to their new owners when the entry hosts change."""
 
 from __future__ import annotations
 
@@ -11,57 +11,59 @@
 
 logger = logging.getLogger(__name__)
 
-# Hosts that keep a key. A claim holds with more than half of them, so that one may be
-# lost, and two claims of one key meet at one of them at least.
-KEEPERS = 3
-LOOK_INTERVAL = 0.25
+# How many hosts own a key. A claim needs a majority of them, so that one host may be
+# lost and two claims of the same key have at least one owner in common.
+KEY_OWNERS = 3
+SCAN_INTERVAL = 0.25
 COPY_TIMEOUT = 0.8
 
 
 class KeyCopies:
-    """Hands what this host knows of keys to their present keepers.
+    """Copies the key records of this host to the current owners of each key.
 
-    Hosts come and go, one after the other in a planned restart of all, and with
-    them the keepers of a key. If nothing was copied, the first keepers would
-    be gone after some changes, and a resend of the key would run a second time.
+    The owners of a key change as entry hosts join and leave, one after the other in a
+    rolling restart. Without copies, all original owners would be replaced after some
+    changes, and a resend with the key would run a second time.
     """
 
     def __init__(
-        self, directory: HostDirectory, clients: PeerClients, keeper: KeyKeeper
+        self, directory: HostDirectory, clients: PeerClients, key_table: KeyKeeper
     ) -> None:
         self._directory = directory
         self._clients = clients
-        self._keeper = keeper
+        self._key_table = key_table
         self._copied_to: frozenset[tuple[str, int]] = frozenset()
 
     def start(self, process: Process) -> None:
-        """Look for changes of the entry hosts until the process stops."""
-        process.repeat(LOOK_INTERVAL, self.step)
+        """Check periodically for changed entry hosts until the process stops."""
+        process.repeat(SCAN_INTERVAL, self.step)
 
     def step(self) -> None:
-        """Copy every key if the entry hosts have changed since the last time."""
+        """Copy every key if the entry hosts have changed since the last full copy."""
         hosts = frozenset(
             (state.host_id, state.incarnation) for state in self._directory.live_hosts()
         )
         if hosts == self._copied_to:
             return
-        copied = [self._copy(record) for record in self._keeper.records()]
+        copied = [self._copy(record) for record in self._key_table.records()]
         if not all(copied):
             return
         self._copied_to = hosts
         extra = {"keys": len(copied), "hosts": sorted(host for host, _ in hosts)}
-        logger.info("keys copied", extra=extra)
+        logger.info("idempotency keys copied to their owners", extra=extra)
 
     def _copy(self, record: KeyRecord) -> bool:
-        """Copy one key to its keepers; say whether each of them has it."""
+        """Copy one key to its owners; return whether each of them has it."""
         claim = record.claim
-        keepers = self._directory.keepers_of(f"{claim.client}/{claim.key}", KEEPERS)
+        key_owners = self._directory.keepers_of(
+            f"{claim.client}/{claim.key}", KEY_OWNERS
+        )
         own = self._directory.own.host_id
-        others = [keeper for keeper in keepers if keeper.host_id != own]
-        return all([self._send(record, keeper) for keeper in others])
+        others = [key_owner for key_owner in key_owners if key_owner.host_id != own]
+        return all([self._send(record, key_owner) for key_owner in others])
 
-    def _send(self, record: KeyRecord, keeper: HostState) -> bool:
-        client = self._clients.get(keeper.address)
+    def _send(self, record: KeyRecord, key_owner: HostState) -> bool:
+        client = self._clients.get(key_owner.address)
         claim, outcome = record.claim, record.outcome
         try:
             if outcome is None:
@@ -69,7 +71,7 @@
             else:
                 client.call(lambda peer: peer.finish_key(claim, outcome), COPY_TIMEOUT)
         except (PeerUnavailableError, PeerRefusal) as error:
-            extra = {"peer": keeper.host_id, "error": str(error)}
-            logger.info("key not copied", extra=extra)
+            extra = {"peer": key_owner.host_id, "error": str(error)}
+            logger.info("idempotency key not copied to its owner", extra=extra)
             return False
         return True
--- a/src/jujubeslip/requests/_key_keeper.py
+++ b/src/jujubeslip/requests/_key_keeper.py
@@ -1,4 +1,8 @@
-"""The keeper of idempotency keys: what runs and what ended, by client and key."""
+"""Records of idempotency keys at one of their owners, by client account and key.
+
+The owners of a key are the entry hosts that store its record. The `owner` of a claim is
+something else: the entry process that runs the request.
+"""
 
 from __future__ import annotations
 
@@ -9,81 +13,81 @@
 from jujubeslip.membership import HostDirectory
 from jujubeslip.peers import HostStatus, KeyClaim, KeyReply, KeyStatus
 
-# An outcome is kept for resends for this long, in seconds.
+# How long a record is kept for resends, in seconds.
 OUTCOME_LIFETIME = 600.0
 MAXIMUM_ENTRIES = 20_000
 
 
 @dataclass(frozen=True)
 class KeyRecord:
-    """What is known of one key; `outcome` is None while its run goes on."""
+    """The state of one key; `outcome` is None while its run is in progress."""
 
     claim: KeyClaim
     outcome: bytes | None
-    kept_until: Deadline
+    expires_at: Deadline
 
 
 class KeyKeeper:
-    """Decides, with the other keepers of a key, who runs it first."""
+    """Decides, together with the other owners of a key, which claim may run."""
 
     def __init__(self, directory: HostDirectory) -> None:
         self._directory = directory
-        self._entry_by_key: dict[tuple[str, str], KeyRecord] = {}
+        self._record_by_key: dict[tuple[str, str], KeyRecord] = {}
         self._lock = threading.Lock()
 
     def claim(self, claim: KeyClaim) -> KeyReply:
-        """Return FIRST to the one that may run, else what is known of the run."""
+        """Return FIRST if the claim may run, else the state of the run in progress."""
         key = (claim.client, claim.key)
         with self._lock:
-            entry = self._entry_by_key.get(key)
-            if entry is None or entry.kept_until.expired or self._is_orphan(entry):
-                self._store(key, KeyRecord(claim, None, _keep()))
+            record = self._record_by_key.get(key)
+            if record is None or record.expires_at.expired or self._is_orphan(record):
+                self._store(key, KeyRecord(claim, None, _new_expiry()))
                 return KeyReply(KeyStatus.FIRST, claim.request_id, claim.owner)
-            return _reply(entry, claim)
+            return _reply(record, claim)
 
     def finish(self, claim: KeyClaim, outcome: bytes) -> None:
-        """Record the whole answer of the run that holds the key."""
+        """Record the complete answer of the run that holds the key."""
         key = (claim.client, claim.key)
         with self._lock:
-            entry = self._entry_by_key.get(key)
-            if entry is not None and not _same_run(entry.claim, claim):
+            record = self._record_by_key.get(key)
+            if record is not None and not _same_run(record.claim, claim):
                 return
-            self._store(key, KeyRecord(claim, outcome, _keep()))
+            self._store(key, KeyRecord(claim, outcome, _new_expiry()))
 
     def abandon(self, claim: KeyClaim) -> None:
-        """Free the key: its run ended without an answer that anybody got."""
+        """Free the key, as its run ended without an answer that a client received."""
         key = (claim.client, claim.key)
         with self._lock:
-            entry = self._entry_by_key.get(key)
-            if entry and entry.outcome is None and _same_run(entry.claim, claim):
-                del self._entry_by_key[key]
+            record = self._record_by_key.get(key)
+            if record and record.outcome is None and _same_run(record.claim, claim):
+                del self._record_by_key[key]
 
     def records(self) -> list[KeyRecord]:
-        """Return all that is known and not too old, to be copied."""
+        """Return the records that have not expired, to be copied."""
         with self._lock:
-            entries = list(self._entry_by_key.values())
-        return [entry for entry in entries if not entry.kept_until.expired]
+            records = list(self._record_by_key.values())
+        return [record for record in records if not record.expires_at.expired]
 
-    def _is_orphan(self, entry: KeyRecord) -> bool:
-        """Say whether the run's entry process died before the run ended.
+    def _is_orphan(self, record: KeyRecord) -> bool:
+        """Return whether the run's entry process died before the run ended.
 
-        Its client's connection died with it, so nobody got the answer and a resend
-        may run.
+        The client's connection was lost with it, so no client received the answer and
+        a resend may run.
         """
-        if entry.outcome is not None:
+        if record.outcome is not None:
             return False
-        host_id, _, incarnation = entry.claim.owner.rpartition("/")
+        host_id, _, incarnation = record.claim.owner.rpartition("/")
         status = self._directory.status_of(host_id, int(incarnation))
         return status == HostStatus.DEAD
 
-    def _store(self, key: tuple[str, str], entry: KeyRecord) -> None:
-        self._entry_by_key.pop(key, None)
-        self._entry_by_key[key] = entry
-        while len(self._entry_by_key) > MAXIMUM_ENTRIES:
-            self._entry_by_key.pop(next(iter(self._entry_by_key)))
+    def _store(self, key: tuple[str, str], record: KeyRecord) -> None:
+        self._record_by_key.pop(key, None)
+        self._record_by_key[key] = record
+        while len(self._record_by_key) > MAXIMUM_ENTRIES:
+            self._record_by_key.pop(next(iter(self._record_by_key)))
 
 
-def _keep() -> Deadline:
+def _new_expiry() -> Deadline:
     return Deadline.after(OUTCOME_LIFETIME)
 
 
@@ -91,13 +95,13 @@
     return bool((one.request_id, one.owner) == (other.request_id, other.owner))
 
 
-def _reply(entry: KeyRecord, claim: KeyClaim) -> KeyReply:
-    known = entry.claim
+def _reply(record: KeyRecord, claim: KeyClaim) -> KeyReply:
+    known = record.claim
     if known.fingerprint != claim.fingerprint:
         return KeyReply(KeyStatus.CONFLICT, known.request_id, known.owner)
-    if entry.outcome is not None:
+    if record.outcome is not None:
         return KeyReply(
-            KeyStatus.FINISHED, known.request_id, known.owner, entry.outcome
+            KeyStatus.FINISHED, known.request_id, known.owner, record.outcome
         )
     if _same_run(known, claim):
         return KeyReply(KeyStatus.FIRST, known.request_id, known.owner)
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: in memory at a quorum, or durable in control."""
+"""Claims of idempotency keys: in memory at a quorum of hosts, or durable in control."""
 
 from __future__ import annotations
 
@@ -16,167 +16,175 @@
 )
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, KeyClaim, KeyReply, KeyStatus, PeerRefusal
-from jujubeslip.requests._key_copies import KEEPERS
+from jujubeslip.requests._key_copies import KEY_OWNERS
 from jujubeslip.requests._key_keeper import KeyKeeper
 
 logger = logging.getLogger(__name__)
 
-KEEPER_TIMEOUT = 0.8
+KEY_OWNER_TIMEOUT = 0.8
 DURABLE_TIMEOUT = 3.0
-# How long what could not be recorded is sent again, in seconds.
-RECORD_AGAIN_FOR = 120.0
-RECORD_PAUSE = 0.5
+# How long a record that control didn't acknowledge is resent, in seconds.
+RECORD_RETRY_SECONDS = 120.0
+RECORD_RETRY_PAUSE = 0.5
 RETRY_SECONDS = 1.0
 
 
 class Keys(Protocol):
-    """Where a key is claimed; the first claim runs, the others get its answer."""
+    """Stores claims of keys; the first claim runs, the others get its answer."""
 
     def claim(self, claim: KeyClaim) -> KeyReply:
-        """Return FIRST to the one that may run, else what is known of the run."""
+        """Return FIRST if the claim may run, else the state of the run."""
 
     def finish(self, claim: KeyClaim, outcome: bytes) -> None:
-        """Record the whole answer."""
+        """Record the complete answer."""
 
     def abandon(self, claim: KeyClaim) -> None:
-        """Free the key when the run ended with `ran` NO or its caller went away."""
+        """Free the key if the run ended with `ran` NO or its client disconnected."""
 
 
 class KeeperKeys:
-    """Keys of repeatable requests, at the hosts that rendezvous hashing names.
+    """Keys of repeatable requests, in memory at owners chosen by rendezvous hashing.
 
-    A claim holds once a majority of the key's keepers took it: hosts whose views differ
-    for a moment, as after the loss of all open connections, still meet at one keeper.
-    With one keeper alone, a resend that reached another host would run again beside
-    the first run.
+    A claim is valid once a majority of the key's owners has accepted it. Hosts whose
+    views of the membership differ for a moment, for example after all open connections
+    were lost, still have one owner in common. With a single owner, a resend that
+    reached another host would run concurrently with the first run.
 
-    A host that hears none of the others, for a moment or beyond a cut, would be the
-    only keeper of every key by its own view. It refuses requests with a key, truthfully
-    as not run; those without one it serves.
+    A host that can't reach any other host, briefly or in a network partition, would
+    consider itself the only owner of every key. It refuses requests with a key as not
+    run, and serves requests without one.
     """
 
     def __init__(
         self,
         directory: HostDirectory,
         clients: PeerClients,
-        keeper: KeyKeeper,
+        key_table: KeyKeeper,
         process: Process,
         has_peers: bool,
     ) -> None:
         self._directory = directory
         self._clients = clients
-        self._keeper = keeper
+        self._key_table = key_table
         self._process = process
         self._has_peers = has_peers
-        self._keepers_by_request_id: dict[str, list[HostState]] = {}
+        self._key_owners_by_request_id: dict[str, list[HostState]] = {}
 
     def claim(self, claim: KeyClaim) -> KeyReply:
-        """Claim at a quorum of keepers; what any of them knows of a run counts."""
+        """Claim at a quorum of owners; a run known to any of them wins."""
         if self._has_peers and not self._directory.hears_others:
-            raise _host_alone()
-        keepers = self._keepers(claim)
-        reply = self._claim_at_quorum(claim, keepers)
+            raise _no_host_reachable()
+        key_owners = self._key_owners_of(claim)
+        reply = self._claim_at_quorum(claim, key_owners)
         if reply.status == KeyStatus.FIRST:
-            self._keepers_by_request_id[claim.request_id] = keepers
+            self._key_owners_by_request_id[claim.request_id] = key_owners
         return reply
 
-    def _claim_at_quorum(self, claim: KeyClaim, keepers: list[HostState]) -> KeyReply:
-        taken_at: list[HostState] = []
-        for keeper in keepers:
+    def _claim_at_quorum(
+        self, claim: KeyClaim, key_owners: list[HostState]
+    ) -> KeyReply:
+        accepted_by: list[HostState] = []
+        for key_owner in key_owners:
             try:
-                reply = self._claim_at(keeper, claim)
+                reply = self._claim_at(key_owner, claim)
             except (PeerUnavailableError, PeerRefusal) as error:
                 extra = {
                     "request_id": claim.request_id,
-                    "peer": keeper.host_id,
+                    "peer": key_owner.host_id,
                     "error": str(error),
                 }
-                logger.info("key not claimed at keeper", extra=extra)
+                logger.info("idempotency key not claimed at its owner", extra=extra)
                 continue
             if reply.status != KeyStatus.FIRST:
-                self._abandon_at_all(taken_at, claim)
+                self._abandon_at_all(accepted_by, claim)
                 return reply
-            taken_at.append(keeper)
-            if len(taken_at) == self._quorum(keepers):
+            accepted_by.append(key_owner)
+            if len(accepted_by) == self._quorum(key_owners):
                 return reply
-        # Also where no answer came: the claim may be known there, and would block the
-        # key. The caller doesn't wait for hosts that may be silent.
-        self._process.start_task(self._abandon_at_all, keepers, claim)
-        raise _keepers_unavailable()
+        # This includes owners that did not reply: they may have recorded the claim,
+        # which would block the key. It runs in the background, since the caller must
+        # not wait for hosts that may be unresponsive.
+        self._process.start_task(self._abandon_at_all, key_owners, claim)
+        raise _key_owners_unavailable()
 
-    def _quorum(self, keepers: list[HostState]) -> int:
-        """Return how many keepers have to take a claim: a majority, and never one.
+    def _quorum(self, key_owners: list[HostState]) -> int:
+        """Return how many owners have to accept a claim.
 
-        A host that has others, and knows of none that lives, may just have missed them.
+        It is a majority, and at least two in a system with several entry hosts: a host
+        that sees no other live host may only have lost contact with them.
         """
-        majority = len(keepers) // 2 + 1
+        majority = len(key_owners) // 2 + 1
         return max(majority, 2) if self._has_peers else majority
 
     def finish(self, claim: KeyClaim, outcome: bytes) -> None:
-        """Record the answer at each keeper that can be reached."""
-        for keeper in self._keepers_of_run(claim):
+        """Record the answer at each owner that can be reached."""
+        for key_owner in self._key_owners_of_run(claim):
             try:
-                self._finish_at(keeper, claim, outcome)
+                self._finish_at(key_owner, claim, outcome)
             except (PeerUnavailableError, PeerRefusal):
                 continue
 
     def abandon(self, claim: KeyClaim) -> None:
-        """Free the key at each keeper that can be reached."""
-        self._abandon_at_all(self._keepers_of_run(claim), claim)
+        """Free the key at each owner that can be reached."""
+        self._abandon_at_all(self._key_owners_of_run(claim), claim)
 
-    def _abandon_at_all(self, keepers: list[HostState], claim: KeyClaim) -> None:
-        for keeper in keepers:
-            self._abandon_at(keeper, claim)
+    def _abandon_at_all(self, key_owners: list[HostState], claim: KeyClaim) -> None:
+        for key_owner in key_owners:
+            self._abandon_at(key_owner, claim)
 
-    def _keepers_of_run(self, claim: KeyClaim) -> list[HostState]:
-        """Return the hosts that took the claim, and those that keep it by now.
+    def _key_owners_of_run(self, claim: KeyClaim) -> list[HostState]:
+        """Return the key's owners at the time of the claim and its current owners.
 
-        This host may have lost sight of the others for a moment. If it told only
-        those that it sees, the first keepers would hear nothing of the answer.
+        This host may have lost contact with the others for a moment. If it notified
+        only the owners in its current view, the owners that accepted the claim would
+        not get the answer.
         """
-        claimed = self._keepers_by_request_id.pop(claim.request_id, [])
-        by_id = {keeper.host_id: keeper for keeper in claimed + self._keepers(claim)}
+        claimed = self._key_owners_by_request_id.pop(claim.request_id, [])
+        by_id = {
+            key_owner.host_id: key_owner
+            for key_owner in claimed + self._key_owners_of(claim)
+        }
         return list(by_id.values())
 
-    def _keepers(self, claim: KeyClaim) -> list[HostState]:
+    def _key_owners_of(self, claim: KeyClaim) -> list[HostState]:
         key = f"{claim.client}/{claim.key}"
-        return self._directory.keepers_of(key, KEEPERS)
+        return self._directory.keepers_of(key, KEY_OWNERS)
 
-    def _is_own(self, keeper: HostState) -> bool:
-        return bool(keeper.host_id == self._directory.own.host_id)
+    def _is_own(self, key_owner: HostState) -> bool:
+        return bool(key_owner.host_id == self._directory.own.host_id)
 
-    def _claim_at(self, keeper: HostState, claim: KeyClaim) -> KeyReply:
-        if self._is_own(keeper):
-            return self._keeper.claim(claim)
-        reply: KeyReply = self._clients.get(keeper.address).call(
-            lambda peer: peer.claim_key(claim), KEEPER_TIMEOUT
+    def _claim_at(self, key_owner: HostState, claim: KeyClaim) -> KeyReply:
+        if self._is_own(key_owner):
+            return self._key_table.claim(claim)
+        reply: KeyReply = self._clients.get(key_owner.address).call(
+            lambda peer: peer.claim_key(claim), KEY_OWNER_TIMEOUT
         )
         return reply
 
-    def _finish_at(self, keeper: HostState, claim: KeyClaim, outcome: bytes) -> None:
-        if self._is_own(keeper):
-            self._keeper.finish(claim, outcome)
+    def _finish_at(self, key_owner: HostState, claim: KeyClaim, outcome: bytes) -> None:
+        if self._is_own(key_owner):
+            self._key_table.finish(claim, outcome)
             return
-        self._clients.get(keeper.address).call(
-            lambda peer: peer.finish_key(claim, outcome), KEEPER_TIMEOUT
+        self._clients.get(key_owner.address).call(
+            lambda peer: peer.finish_key(claim, outcome), KEY_OWNER_TIMEOUT
         )
 
-    def _abandon_at(self, keeper: HostState, claim: KeyClaim) -> None:
-        if self._is_own(keeper):
-            self._keeper.abandon(claim)
+    def _abandon_at(self, key_owner: HostState, claim: KeyClaim) -> None:
+        if self._is_own(key_owner):
+            self._key_table.abandon(claim)
             return
         try:
-            self._clients.get(keeper.address).call(
-                lambda peer: peer.abandon_key(claim), KEEPER_TIMEOUT
+            self._clients.get(key_owner.address).call(
+                lambda peer: peer.abandon_key(claim), KEY_OWNER_TIMEOUT
             )
         except (PeerUnavailableError, PeerRefusal):
             return
 
 
 class ControlKeys:
-    """Keys of requests that are not repeatable, committed by a quorum and synced.
+    """Keys of non-repeatable requests, committed and synced by a control quorum.
 
-    A claim is freed only when its request surely did not run: running it again is
+    A claim is freed only if its request certainly did not run: running it twice is
     worse than not answering.
     """
 
@@ -189,7 +197,7 @@
         try:
             return self._control.claim_key(claim, Deadline.after(DURABLE_TIMEOUT))
         except (PeerUnavailableError, PeerRefusal) as error:
-            # The claim may be recorded all the same, and would block the key.
+            # The claim may have been recorded nevertheless, and would block the key.
             self.abandon(claim)
             raise RequestRefusedError(
                 "claim_unavailable",
@@ -199,49 +207,52 @@
             ) from error
 
     def finish(self, claim: KeyClaim, outcome: bytes) -> None:
-        """Record the answer durably; if control can't be reached, as soon as it can."""
+        """Record the answer durably; retry in the background if control is unreachable.
+
+        Retries end after RECORD_AGAIN_FOR seconds.
+        """
 
         def record() -> None:
             deadline = Deadline.after(DURABLE_TIMEOUT)
             self._control.finish_key(claim, outcome, deadline)
 
         if not _try(record):
-            self._process.start_task(self._record_again, record)
+            self._process.start_task(self._retry, record)
 
     def abandon(self, claim: KeyClaim) -> None:
-        """Free the key, for a request that surely did not run.
+        """Free the key of a request that certainly did not run, in the background.
 
-        While control can't be reached the claim stays, and a resend hears `ran`
-        UNKNOWN. No caller waits for it.
+        While control can't be reached, the claim stays and a resend is refused with
+        `ran` UNKNOWN.
         """
 
         def free() -> None:
             self._control.abandon_key(claim, Deadline.after(DURABLE_TIMEOUT))
 
-        self._process.start_task(self._record_again, free)
+        self._process.start_task(self._retry, free)
 
-    def _record_again(self, operation: Callable[[], None]) -> None:
-        until = Deadline.after(RECORD_AGAIN_FOR)
+    def _retry(self, operation: Callable[[], None]) -> None:
+        until = Deadline.after(RECORD_RETRY_SECONDS)
         while not _try(operation) and not until.expired:
-            if self._process.stopped.wait(RECORD_PAUSE):
+            if self._process.stopped.wait(RECORD_RETRY_PAUSE):
                 return
 
 
-def _host_alone() -> RequestRefusedError:
+def _no_host_reachable() -> RequestRefusedError:
     return RequestRefusedError(
         "key_unavailable",
-        "The request was not started: this entry host hears none of the others, so it "
-        "can't know whether a request with this key runs.",
+        "The request was not started: this entry host can't reach any other one, so it "
+        "can't know whether a request with this key is running.",
         ran=Ran.NO,
         retry_after=RETRY_SECONDS,
         remedy="Ask another entry host, or send the request without a key.",
     )
 
 
-def _keepers_unavailable() -> RequestRefusedError:
+def _key_owners_unavailable() -> RequestRefusedError:
     return RequestRefusedError(
         "key_unavailable",
-        "The request was not started: too few keepers of its key answer.",
+        "The request was not started: too few owners of its key replied.",
         ran=Ran.NO,
         retry_after=RETRY_SECONDS,
     )
--- a/src/jujubeslip/requests/_model_attempt.py
+++ b/src/jujubeslip/requests/_model_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a model request: prefill, transfer, decode on granted endpoints."""
+"""One attempt of a model request: prefill, KV transfer and decode."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 from jujubeslip.routing import Reservation, Router
 from jujubeslip.telemetry import Meters, current_traceparent, tracer
 
-# A stream without a byte for this long, in seconds, is resumed elsewhere.
+# A stream that is silent for this long, in seconds, is resumed at another endpoint.
 MINIMUM_SILENCE = 2.0
 SILENCE_IN_TOKEN_GAPS = 4
 KV_GONE = "kv_gone"
 TRANSFER_FAILED = "transfer_failed"
 SOURCE_CHECK_SECONDS = 0.5
-# A transfer that is slower than this has stalled.
+# A transfer that takes longer than this minimum plus the prompt's tokens at this rate
+# is considered stalled.
 MINIMUM_TRANSFER_SECONDS = 5.0
 SLOWEST_TOKENS_PER_SECOND = 1000.0
-# A grant that is older than this, in seconds, is not relied on without asking: the
-# endpoint may have begun to leave since its home last heard from it.
+# The endpoint of a grant older than this, in seconds, is checked before use: it may
+# have begun to leave since its last report to its home.
 GRANT_FRESH_SECONDS = 0.8
-CHECK_SECONDS = 1.0
+NEW_WORK_CHECK_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
-class ComputedPrompt:
-    """Where a computed prompt's KV cache is held."""
+class PrefilledPrompt:
+    """The location of a prefilled prompt's KV cache."""
 
     endpoint_id: str
     address: str
@@ -48,19 +49,19 @@
 
 @dataclass
 class ModelProgress:
-    """How far the request has come over all its attempts."""
+    """The progress of a request over all its attempts."""
 
     tokens: int = 0
     attempt: int = 1
-    computed: ComputedPrompt | None = None
+    prefilled: PrefilledPrompt | None = None
     ran: Ran = Ran.NO
-    whole: bool = False
+    complete: bool = False
     seconds_per_token: float = 0.0
     failed_endpoint_ids: list[str] = field(default_factory=list)
 
 
 class ModelAttempt:
-    """One attempt on granted endpoints, and what must be freed after it."""
+    """Runs one attempt on granted endpoints, and frees what it holds afterwards."""
 
     def __init__(
         self,
@@ -79,29 +80,29 @@
         self._progress = progress
         self._reservation = reservation
         self._ref = RequestRef(context.request.request_id, progress.attempt, owner)
-        self._fresh_until = Deadline.after(GRANT_FRESH_SECONDS)
+        self._grant_fresh_until = Deadline.after(GRANT_FRESH_SECONDS)
         self._delivered = 0
         self._failed_endpoint_id = ""
 
     def tokens(self) -> Iterator[str]:
-        """Yield the tokens from where the earlier attempts ended."""
-        computed = self._progress.computed or self._prefill()
+        """Yield the tokens that follow those of the earlier attempts."""
+        prefilled = self._progress.prefilled or self._prefill()
         try:
-            kv_id = self._transfer(computed)
+            kv_id = self._transfer(prefilled)
         except EndpointRefusedError as error:
             if error.reason != KV_GONE:
                 raise
-            # Evicted before the transfer: the prompt must be computed once more.
-            self._progress.computed = None
+            # The KV cache was evicted before the transfer: prefill the prompt again.
+            self._progress.prefilled = None
             kv_id = self._transfer(self._prefill())
         yield from self._decode(kv_id)
 
-    def _prefill(self) -> ComputedPrompt:
+    def _prefill(self) -> PrefilledPrompt:
         endpoint = self._reservation.grant.prefill
         request = self._context.request
         if self._context.interrupted():
-            # Granted just as its caller went: sent now, the prefill would be wasted
-            # and "not run" would be untrue.
+            # The client disconnected while the grant was pending. A prefill sent now
+            # would be wasted, and reporting "not run" would be wrong.
             raise CallerGoneError("The client closed its connection.")
         self._check_new_work(endpoint)
         adapter = self._adapter(endpoint)
@@ -117,47 +118,46 @@
                     current_traceparent(),
                 )
             except CallerGoneError:
-                # The engine may have begun, so "not run" would be untrue.
+                # The engine may have started, so reporting "not run" would be wrong.
                 self._progress.ran = Ran.UNKNOWN
                 raise
             except EndpointError:
-                self._note_failed(endpoint.endpoint_id)
+                self._record_failure(endpoint.endpoint_id)
                 raise
         self._progress.ran = Ran.UNKNOWN
-        self._note_prefill(result)
-        computed = ComputedPrompt(
+        self._report_prefill(result)
+        prefilled = PrefilledPrompt(
             endpoint.endpoint_id, endpoint.address, result.kv_id, self._ref.attempt
         )
-        self._progress.computed = computed
-        return computed
+        self._progress.prefilled = prefilled
+        return prefilled
 
     def _check_new_work(self, endpoint: EndpointRef) -> None:
-        """Ask an endpoint that was granted a while ago whether it is leaving.
+        """Check that the endpoint of an old grant still accepts new work.
 
-        A long prefill, or a process that was stopped for a while, lies between the
-        grant and its use. The endpoint can have begun to leave meanwhile, and would
-        get new work long after that.
+        A long prefill or a suspended process can delay the use of a grant. The endpoint
+        may have begun to leave in the meantime, and would get new work long after that.
         """
-        if not self._fresh_until.expired:
+        if not self._grant_fresh_until.expired:
             return
         try:
             self._adapter(endpoint).check_new_work(
-                endpoint.incarnation, Deadline.after(CHECK_SECONDS)
+                endpoint.incarnation, Deadline.after(NEW_WORK_CHECK_SECONDS)
             )
         except EndpointError as error:
-            self._note_failed(endpoint.endpoint_id)
-            # Nothing of this call was sent; earlier ones are in the progress.
+            self._record_failure(endpoint.endpoint_id)
+            # This call sent no work; earlier calls are recorded in the progress.
             raise EndpointUnreachableError(error.message) from error
 
     def _adapter(self, endpoint: EndpointRef) -> EngineAdapter:
         return EngineAdapter(endpoint.address, self._context.interrupted)
 
-    def _note_prefill(self, result: PrefillResult) -> None:
+    def _report_prefill(self, result: PrefillResult) -> None:
         service = self._context.request.service.name
         self._meters.prefill_tokens.add(result.computed_tokens, {"service": service})
         self._report(prefill_finished=True, prefill_tokens=result.computed_tokens)
 
-    def _transfer(self, computed: ComputedPrompt) -> str:
+    def _transfer(self, prefilled: PrefilledPrompt) -> str:
         endpoint = self._reservation.grant.decode
         self._check_new_work(endpoint)
         with tracer().start_as_current_span("transfer") as span:
@@ -165,15 +165,15 @@
             try:
                 kv_id = self._adapter(endpoint).import_kv(
                     self._ref,
-                    computed.address,
-                    computed.kv_id,
+                    prefilled.address,
+                    prefilled.kv_id,
                     self._context.action.priority.rank,
                     self._context.end_by,
                     current_traceparent(),
                     self._transfer_limit(),
                 )
             except EndpointError as error:
-                self._note_failed_transfer(computed, error)
+                self._record_failed_transfer(prefilled, error)
                 raise
         self._report(transfer_finished=True)
         return kv_id
@@ -182,28 +182,28 @@
         tokens = self._context.request.prompt_tokens
         return MINIMUM_TRANSFER_SECONDS + tokens / SLOWEST_TOKENS_PER_SECOND
 
-    def _note_failed_transfer(
-        self, computed: ComputedPrompt, error: EndpointError
+    def _record_failed_transfer(
+        self, prefilled: PrefilledPrompt, error: EndpointError
     ) -> None:
-        """Blame the endpoint that failed: the decode one, or the source it read."""
+        """Record the failed endpoint: the decode endpoint or the transfer's source."""
         reason = error.reason if isinstance(error, EndpointRefusedError) else ""
         if reason == KV_GONE:
             return
-        if reason == TRANSFER_FAILED and not self._answers(computed):
-            self._progress.computed = None
-            self._note_failed(computed.endpoint_id)
+        if reason == TRANSFER_FAILED and not self._is_reachable(prefilled):
+            self._progress.prefilled = None
+            self._record_failure(prefilled.endpoint_id)
             return
-        self._note_failed(self._reservation.grant.decode.endpoint_id)
+        self._record_failure(self._reservation.grant.decode.endpoint_id)
 
-    def _answers(self, computed: ComputedPrompt) -> bool:
-        """Say whether the prefill endpoint that holds the prompt can be reached.
+    def _is_reachable(self, prefilled: PrefilledPrompt) -> bool:
+        """Return whether the prefill endpoint that holds the prompt can be reached.
 
-        If it died, every transfer from it fails at a healthy decode endpoint, and
-        the retries would all be spent on it.
+        If it died, every transfer from it fails at a healthy decode endpoint, and all
+        retries would be spent on such transfers.
         """
         limit = self._context.end_by.earlier_of(Deadline.after(SOURCE_CHECK_SECONDS))
         try:
-            EngineAdapter(computed.address).status(limit)
+            EngineAdapter(prefilled.address).status(limit)
         except EndpointError:
             return False
         return True
@@ -211,7 +211,8 @@
     def _decode(self, kv_id: str) -> Iterator[str]:
         endpoint = self._reservation.grant.decode
         gap = self._context.action.between_tokens_ms / 1000
-        # Not made current: the generator is left and entered again for each token.
+        # The span isn't made current, since the generator is suspended and resumed for
+        # each token.
         span = tracer().start_span("decode")
         span.set_attribute("endpoint", endpoint.endpoint_id)
         span.set_attribute("attempt", self._ref.attempt)
@@ -230,30 +231,30 @@
                 self._delivered += 1
                 yield token
         except EndpointError:
-            self._note_failed(endpoint.endpoint_id)
+            self._record_failure(endpoint.endpoint_id)
             raise
         finally:
             stream.close()  # type: ignore[attr-defined]
             span.end()
-        self._progress.whole = True
+        self._progress.complete = True
 
-    def _note_failed(self, endpoint_id: str) -> None:
+    def _record_failure(self, endpoint_id: str) -> None:
         self._failed_endpoint_id = endpoint_id
         self._progress.failed_endpoint_ids.append(endpoint_id)
 
     def finish(self) -> None:
-        """Give the grant back and free what the attempt holds at the engines.
+        """Release the grant and free what the attempt holds at the engines.
 
-        A computed prompt is kept: the next attempt transfers it again.
+        A prefilled prompt is kept, since the next attempt transfers it again.
         """
-        whole = self._progress.whole
-        self._report(released=True, output_tokens=self._delivered if whole else 0)
-        if whole:
+        complete = self._progress.complete
+        self._report(released=True, output_tokens=self._delivered if complete else 0)
+        if complete:
             return
         grant = self._reservation.grant
         self._cancel(grant.decode)
-        computed = self._progress.computed
-        if computed is None or computed.endpoint_id != grant.prefill.endpoint_id:
+        prefilled = self._progress.prefilled
+        if prefilled is None or prefilled.endpoint_id != grant.prefill.endpoint_id:
             self._cancel(grant.prefill)
 
     def _cancel(self, endpoint: EndpointRef) -> None:
--- a/src/jujubeslip/requests/_model_path.py
+++ b/src/jujubeslip/requests/_model_path.py
@@ -1,4 +1,4 @@
-"""The path of a model request over its attempts, each resumed where one ended."""
+"""Serving of a model request by attempts, each resumed where the last one ended."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from jujubeslip.routing import Reservation, ReservationRequest, Router
 from jujubeslip.telemetry import Meters, tracer
 
-# How long a request that may have run asks for another grant although it is refused,
-# and how often, in seconds. A host that was suspended takes about as long to find the
-# other hosts and their endpoints.
+# How long a request that may have run retries a refused reservation, and how often, in
+# seconds. A host that was suspended takes about this long to rediscover the other hosts
+# and their endpoints.
 REDISCOVERY_SECONDS = 3.0
 REDISCOVERY_PAUSE_SECONDS = 0.1
 
 
 class ModelPath:
-    """Runs one model request; the attempts share what was already paid for."""
+    """Runs one model request; attempts share the prefilled prompt and the tokens."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
         self._meters = meters
 
     def tokens(self, context: RequestContext) -> Iterator[str]:
-        """Yield the answer's tokens; return only once it is whole.
+        """Yield the answer's tokens; return only once the answer is complete.
 
-        A decode that fails is resumed at the exact next token: from the KV cache that
-        the prefill endpoint still holds, else by another prefill.
+        A failed decode is resumed at the exact next token: from the KV cache that the
+        prefill endpoint still holds, or else after another prefill.
         """
         self._retries.note_request(context)
         progress = ModelProgress()
@@ -70,8 +70,8 @@
     def _prepare_retry(
         self, context: RequestContext, progress: ModelProgress, error: EndpointError
     ) -> None:
-        left = context.request.max_tokens - progress.tokens
-        needed = left * progress.seconds_per_token
+        remaining_tokens = context.request.max_tokens - progress.tokens
+        needed = remaining_tokens * progress.seconds_per_token
         self._retries.allow_retry(
             context, progress.attempt, error, progress.ran, needed
         )
@@ -93,19 +93,19 @@
             reservation,
         )
         started = steady_seconds()
-        before = progress.tokens
+        tokens_before = progress.tokens
         try:
             yield from attempt.tokens()
         finally:
             attempt.finish()
-            made = progress.tokens - before
-            if made:
-                progress.seconds_per_token = (steady_seconds() - started) / made
+            generated = progress.tokens - tokens_before
+            if generated:
+                progress.seconds_per_token = (steady_seconds() - started) / generated
 
     def _reserve(self, context: RequestContext, progress: ModelProgress) -> Reservation:
         request = context.request
         resumed = progress.tokens > 0
-        wish = ReservationRequest(
+        reservation_request = ReservationRequest(
             request_id=request.request_id,
             attempt=progress.attempt,
             service=request.service,
@@ -118,27 +118,29 @@
             prefix_hashes=request.prefix_hashes,
             avoid_endpoint_ids=tuple(progress.failed_endpoint_ids),
             prefill_endpoint_id=(
-                progress.computed.endpoint_id if progress.computed else ""
+                progress.prefilled.endpoint_id if progress.prefilled else ""
             ),
         )
         with tracer().start_as_current_span("reserve"):
-            return self._reserve_as(wish, context, progress)
+            return self._reserve_with_retries(reservation_request, context, progress)
 
-    def _reserve_as(
+    def _reserve_with_retries(
         self,
-        wish: ReservationRequest,
+        reservation_request: ReservationRequest,
         context: RequestContext,
         progress: ModelProgress,
     ) -> Reservation:
-        """Return a grant; a request that may have run is refused less soon.
+        """Return a grant; retry a refused reservation if the request may have run.
 
-        Its client can't send it again safely, and it may be refused only because this
-        host was suspended and knows no other one for a moment.
+        The client of such a request can't resend it safely, and the refusal may be
+        temporary: a host that was suspended knows no other host for a moment.
         """
-        limit = wish.wait_until.earlier_of(Deadline.after(REDISCOVERY_SECONDS))
+        limit = reservation_request.wait_until.earlier_of(
+            Deadline.after(REDISCOVERY_SECONDS)
+        )
         while True:
             try:
-                return self._router.reserve(wish, context.interrupted)
+                return self._router.reserve(reservation_request, context.interrupted)
             except RequestRefusedError:
                 if progress.ran is Ran.NO or limit.expired:
                     raise
@@ -147,18 +149,19 @@
             time.sleep(REDISCOVERY_PAUSE_SECONDS)
 
     def _free_prompt(self, context: RequestContext, progress: ModelProgress) -> None:
-        """Free a computed prompt that was kept for an attempt that never came.
+        """Free a prefilled prompt that was kept for a further attempt.
 
-        After a whole answer the engine keeps it as prefix cache, evicted first.
+        After a complete answer it stays at the engine as prefix cache, which is evicted
+        first.
         """
-        computed = progress.computed
-        if computed is None or progress.whole:
+        prefilled = progress.prefilled
+        if prefilled is None or progress.complete:
             return
         self._canceller.cancel(
             Cancellation(
-                computed.endpoint_id,
-                computed.address,
+                prefilled.endpoint_id,
+                prefilled.address,
                 context.request.request_id,
-                computed.attempt,
+                prefilled.attempt,
             )
         )
--- a/src/jujubeslip/requests/_models.py
+++ b/src/jujubeslip/requests/_models.py
@@ -10,13 +10,13 @@
 from jujubeslip.declaration import Action, Client, PriorityClass, Service
 from jujubeslip.kernel import Deadline
 
-# Prefixes are compared at these multiples of tokens, doubled each time.
+# The shortest prefix that is hashed, in tokens; each further one is twice as long.
 PREFIX_BLOCK_TOKENS = 64
 
 
 @dataclass(frozen=True)
 class ClientRequest:
-    """A request as the client sent it, validated; `body` is for plain services."""
+    """A validated request of a client; plain services get its `body`."""
 
     request_id: str
     client: Client
@@ -33,12 +33,12 @@
 
     @cached_property
     def prompt_tokens(self) -> int:
-        """Return the prompt's length in tokens, a token being a word."""
+        """Return the prompt's length in tokens, counting each word as one token."""
         return len(self.prompt.split())
 
     @cached_property
     def prefix_hashes(self) -> tuple[str, ...]:
-        """Return the hashes by which engines name the prompt's prefixes."""
+        """Return the hashes by which engines identify the prompt's prefixes."""
         words = self.prompt.split()
         hashes = []
         size = PREFIX_BLOCK_TOKENS
@@ -50,7 +50,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return a digest of what is asked, to tell a resend from another request."""
+        """Return a digest that tells a resend from a different request."""
         digest = hashlib.sha256(self.body)
         digest.update(self.service.name.encode())
         return digest.hexdigest()
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True)
 class RequestContext:
-    """A request with what its rule decided; deadlines are instants of this process.
+    """A request with the action of its rule; deadlines use this process's clock.
 
-    `interrupted` says that nobody waits for the answer any more, or that an operator
-    abandoned the request; `abandoned` only the latter.
+    `interrupted` returns whether the client disconnected or an operator abandoned the
+    request; `abandoned` returns whether an operator abandoned it.
     """
 
     request: ClientRequest
--- a/src/jujubeslip/requests/_parse.py
+++ b/src/jujubeslip/requests/_parse.py
@@ -1,4 +1,4 @@
-"""Reading of a client's request, with a clear refusal of what can't be served."""
+"""Parsing and validation of a client's request."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     if service.kind is ServiceKind.MODEL:
         _refuse_unknown_keys(message)
     return ClientRequest(
-        request_id=_own_id(_checked_id(request_id)),
+        request_id=_unique_id(_checked_id(request_id)),
         client=client,
         service=service,
         model=_typed(message, "model", str, service.model) or service.model,
@@ -100,7 +100,7 @@
     if tokens == 0:
         raise _invalid("'prompt' is empty.")
     if not _is_text(prompt):
-        raise _invalid("'prompt' holds half of a surrogate pair, which is no text.")
+        raise _invalid("'prompt' contains an unpaired surrogate, which is not text.")
     if tokens > service.maximum_prompt_tokens:
         raise _invalid(
             f"'prompt' has {tokens} tokens; the service takes "
@@ -110,7 +110,7 @@
 
 
 def _is_text(value: str) -> bool:
-    """Say whether the string can be encoded; JSON escapes can name what can't."""
+    """Return whether the string can be encoded; JSON escapes allow lone surrogates."""
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -136,11 +136,12 @@
     return request_id
 
 
-def _own_id(given: str) -> str:
-    """Return an id that no other request has, also when a client sends one twice.
+def _unique_id(given: str) -> str:
+    """Return a unique id, even if a client sends the same id twice.
 
-    The id tells runs apart at engines and in claims of keys, so two requests with one
-    id could be cancelled for one another, or both be taken for the first run.
+    The id distinguishes runs at engines and in claims of keys. Of two requests with the
+    same id, cancelling one could cancel the other, or both could be taken for the first
+    run of a key.
     """
     unique = uuid.uuid4().hex
     return f"{given}.{unique[:12]}" if given else unique
--- a/src/jujubeslip/requests/_plain_path.py
+++ b/src/jujubeslip/requests/_plain_path.py
@@ -1,4 +1,4 @@
-"""The path of a request to a plain service."""
+"""Serving of a request to a plain service."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlainPath:
-    """Runs one request at a plain service; at most once if it is not repeatable."""
+    """Runs a request at a plain service, at most once if it is not repeatable."""
 
     def __init__(self, owner: str, router: Router, retries: RetryPolicy) -> None:
         self._owner = owner
@@ -30,35 +30,39 @@
         self._retries = retries
 
     def answer(self, context: RequestContext) -> PlainServiceAnswer:
-        """Return the service's answer whole, or raise RequestRefusedError."""
+        """Return the service's complete answer, or raise RequestRefusedError."""
         self._retries.note_request(context)
         attempt = 1
-        avoid: tuple[str, ...] = ()
+        avoided_endpoint_ids: tuple[str, ...] = ()
         ran = Ran.NO
         while True:
-            reservation = self._reserve(context, attempt, avoid, ran)
-            failed = ""
-            whole = False
+            reservation = self._reserve(context, attempt, avoided_endpoint_ids, ran)
+            failed_endpoint_id = ""
+            complete = False
             try:
                 answer = self._call(context, attempt, reservation, ran)
-                whole = True
+                complete = True
                 return PlainServiceAnswer(
                     answer.status, answer.content_type, answer.body
                 )
             except EndpointError as error:
-                failed = reservation.grant.decode.endpoint_id
+                failed_endpoint_id = reservation.grant.decode.endpoint_id
                 ran = Ran.UNKNOWN if error.may_have_run else ran
                 self._retries.allow_retry(context, attempt, error, ran)
             finally:
-                self._release(reservation, failed, whole)
-            avoid = (*avoid, failed)
+                self._release(reservation, failed_endpoint_id, complete)
+            avoided_endpoint_ids = (*avoided_endpoint_ids, failed_endpoint_id)
             attempt += 1
             self._retries.pause(context, attempt)
 
     def _reserve(
-        self, context: RequestContext, attempt: int, avoid: tuple[str, ...], ran: Ran
+        self,
+        context: RequestContext,
+        attempt: int,
+        avoided_endpoint_ids: tuple[str, ...],
+        ran: Ran,
     ) -> Reservation:
-        wish = ReservationRequest(
+        reservation_request = ReservationRequest(
             request_id=context.request.request_id,
             attempt=attempt,
             service=context.request.service,
@@ -68,12 +72,12 @@
             wait_until=context.wait_until,
             prompt_tokens=1,
             output_tokens=1,
-            avoid_endpoint_ids=avoid,
+            avoid_endpoint_ids=avoided_endpoint_ids,
             plain=True,
         )
         try:
             with tracer().start_as_current_span("reserve"):
-                return self._router.reserve(wish, context.interrupted)
+                return self._router.reserve(reservation_request, context.interrupted)
         except RequestRefusedError as refusal:
             raise with_ran(refusal, ran) from refusal
         except CallerGoneError as error:
@@ -83,7 +87,8 @@
         self, context: RequestContext, attempt: int, reservation: Reservation, ran: Ran
     ) -> PlainAnswer:
         if context.interrupted():
-            # Granted just as its caller went: nothing of this attempt was sent.
+            # The client disconnected while the grant was pending: this attempt sent
+            # nothing, so only earlier attempts determine `ran`.
             raise CallerGoneError("The client closed its connection.", ran)
         request = context.request
         endpoint = reservation.grant.decode
@@ -104,19 +109,24 @@
             except CallerGoneError as error:
                 raise CallerGoneError(error.message, Ran.UNKNOWN) from error
 
-    def _release(self, reservation: Reservation, failed: str, whole: bool) -> None:
+    def _release(
+        self, reservation: Reservation, failed_endpoint_id: str, complete: bool
+    ) -> None:
         grant_id = reservation.grant.grant_id
-        progress = GrantProgress(grant_id, False, False, True, 0, int(whole), failed)
+        progress = GrantProgress(
+            grant_id, False, False, True, 0, int(complete), failed_endpoint_id
+        )
         self._router.report(reservation, progress)
 
 
 def _interruption(context: RequestContext) -> Interrupted:
-    """Return what ends the call early.
+    """Return the condition that interrupts the call.
 
-    A call with an Idempotency-Key goes on when its caller goes: the service has
-    begun, and the caller's resend gets the recorded answer. If it ended with its
-    caller, the resend would run the request a second time. An operator may abandon
-    it all the same, and its caller is told that it may have run.
+    A call with an Idempotency-Key continues when its client disconnects: the service
+    has started, and the client's resend gets the recorded answer. If the call ended
+    with the connection, the resend would run the request a second time. A request that
+    is not repeatable continues too. An operator can still abandon the call; its client
+    then gets an error that says that it may have run.
     """
     request = context.request
     if request.idempotency_key or not request.repeatable:
--- a/src/jujubeslip/requests/_retries.py
+++ b/src/jujubeslip/requests/_retries.py
@@ -1,4 +1,4 @@
-"""When a failed attempt may be followed by another one, and after which pause."""
+"""Policy for retries: when another attempt is allowed, and after which backoff."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 logger = logging.getLogger(__name__)
 
-# A further attempt is only begun with at least this much time left, in seconds.
+# The minimum time before the deadline at which another attempt is started, in seconds.
 MINIMUM_RETRY_SECONDS = 0.1
 FIRST_BACKOFF = 0.05
 MAXIMUM_BACKOFF = 0.4
@@ -41,11 +41,11 @@
         ran: Ran,
         needed: float = MINIMUM_RETRY_SECONDS,
     ) -> None:
-        """Return if another attempt may follow, else raise the refusal.
+        """Raise the refusal of the request unless another attempt is allowed.
 
-        `needed` is how long the rest of the answer is expected to take, in seconds:
-        an attempt that can't finish before the deadline would only take capacity
-        from requests that can.
+        `needed` is the expected duration of the rest of the answer, in seconds: an
+        attempt that can't finish before the deadline would only take capacity from
+        requests that can.
         """
         request = context.request
         extra = {
@@ -54,7 +54,7 @@
             "attempt": attempt,
             "error": str(error),
         }
-        logger.info("attempt failed", extra=extra)
+        logger.info("attempt of request failed", extra=extra)
         if not request.repeatable and ran is Ran.UNKNOWN:
             raise _failed(error, ran, "it is not repeatable") from error
         if context.end_by.remaining() < max(needed, MINIMUM_RETRY_SECONDS):
@@ -65,10 +65,10 @@
         self._meters.retries.add(1, cause)
 
     def pause(self, context: RequestContext, attempt: int) -> None:
-        """Wait before the attempt, by chance longer or shorter.
+        """Wait before the attempt, by an exponential backoff with random jitter.
 
-        Requests that failed together, as when an engine dies, would otherwise all
-        come back in the same moment.
+        Without jitter, requests that failed together, for example when an engine dies,
+        would all be retried at the same moment.
         """
         longest = min(MAXIMUM_BACKOFF, FIRST_BACKOFF * 2 ** (attempt - 1))
         seconds = self._random.uniform(longest / 2, longest)
@@ -76,10 +76,10 @@
 
 
 def with_ran(refusal: RequestRefusedError, ran: Ran) -> RequestRefusedError:
-    """Return a refusal of a later attempt as a refusal of the whole request.
+    """Return the refusal of a later attempt as the refusal of the whole request.
 
-    That the later attempt was not started says nothing about the earlier ones, so
-    "not run" would be untrue if one of those may have run.
+    The later attempt was not started, but an earlier one may have run; reporting "not
+    run" would be wrong then.
     """
     if ran is Ran.NO or refusal.ran is Ran.UNKNOWN:
         return refusal
@@ -96,7 +96,7 @@
 def _failed(error: EndpointError, ran: Ran, reason: str) -> RequestRefusedError:
     return RequestRefusedError(
         error.error_id,
-        f"The request ended without a whole answer, and {reason}: {error.message}",
+        f"The request ended without a complete answer, and {reason}: {error.message}",
         status=502,
         ran=ran,
         retry_after=1.0 if ran is Ran.NO else None,
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -1,4 +1,4 @@
-"""A request from its rule to its whole answer, with its key claimed in between."""
+"""Serving of a request: its rule, the claim of its key, its run and its answer."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 logger = logging.getLogger(__name__)
 
-JOIN_INTERVAL = 0.1
+JOIN_POLL_INTERVAL = 0.1
 MAXIMUM_OUTCOME_BYTES = 1_000_000
 
 Step = str | PlainServiceAnswer
 
 
 class RequestService:
-    """Serves one request: rule, limits, key, path, and the record of the answer."""
+    """Serves requests: matches rules, applies limits, claims keys, records answers."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         limits: ClientLimits,
         model_path: ModelPath,
         plain_path: PlainPath,
-        keeper_keys: Keys,
+        in_memory_keys: Keys,
         durable_keys: Keys,
         directory: HostDirectory,
     ) -> None:
@@ -63,7 +63,7 @@
         self._limits = limits
         self._model_path = model_path
         self._plain_path = plain_path
-        self._keeper_keys = keeper_keys
+        self._in_memory_keys = in_memory_keys
         self._durable_keys = durable_keys
 
     def decide(
@@ -72,7 +72,7 @@
         interrupted: Callable[[], bool],
         abandoned: Callable[[], bool],
     ) -> RequestContext:
-        """Return what the first matching rule decides, or raise its refusal."""
+        """Return the request with the first matching rule's action, or refuse it."""
         rule = first_match(self._declaration().rule, self.facts(request))
         if rule is None:
             raise RequestRefusedError(
@@ -102,7 +102,7 @@
         )
 
     def facts(self, request: ClientRequest) -> RequestFacts:
-        """Return what rules can ask about the request."""
+        """Return the properties of the request that rules can match."""
         forecast = self._router.forecast(request.service.name)
         return RequestFacts(
             service=request.service.name,
@@ -118,7 +118,10 @@
         )
 
     def steps(self, context: RequestContext) -> Iterator[Step]:
-        """Yield the tokens, or a plain service's one answer; return when it's whole."""
+        """Yield the tokens, or the single answer of a plain service.
+
+        Returns only once the answer is complete.
+        """
         if not context.request.idempotency_key:
             yield from self._run(context)
             return
@@ -131,7 +134,7 @@
         yield from _replay(decode_answer(reply.outcome))
 
     def _keys_for(self, request: ClientRequest) -> Keys:
-        return self._keeper_keys if request.repeatable else self._durable_keys
+        return self._in_memory_keys if request.repeatable else self._durable_keys
 
     def _claim_of(self, request: ClientRequest) -> KeyClaim:
         return KeyClaim(
@@ -158,13 +161,13 @@
             if reply.status != KeyStatus.RUNNING:
                 return reply
             if context.interrupted():
-                # The run that holds the key has begun.
+                # The run that holds the key has started, so `ran` is not NO.
                 raise CallerGoneError("The client closed its connection.", Ran.UNKNOWN)
             if not context.request.repeatable and self._is_dead(reply.owner):
                 raise _outcome_unknown("The entry host that ran it died.")
             if context.wait_until.expired:
                 raise _still_running(context.request)
-            time.sleep(JOIN_INTERVAL)
+            time.sleep(JOIN_POLL_INTERVAL)
 
     def _is_dead(self, owner: str) -> bool:
         host_id, _, incarnation = owner.rpartition("/")
@@ -184,16 +187,18 @@
         try:
             for step in self._run(context):
                 if isinstance(step, PlainServiceAnswer):
-                    # Recorded first: the caller may be gone, its resend is not.
+                    # Recorded before it is yielded: the client may have disconnected,
+                    # but its resend needs the answer.
                     self._record(keys, claim, step)
                 steps.append(step)
                 yield step
         except BaseException as error:
-            # Also when the caller goes, which closes this generator.
-            if context.request.repeatable or _surely_not_run(error):
+            # BaseException includes GeneratorExit: a client that disconnects closes
+            # this generator.
+            if context.request.repeatable or _certainly_not_run(error):
                 keys.abandon(claim)
             else:
-                # Resends are told at once, instead of waiting for a run that ended.
+                # Lets resends fail immediately instead of waiting for a run that ended.
                 self._record(keys, claim, UnknownAnswer(_reason(error)))
             raise
         if not (steps and isinstance(steps[0], PlainServiceAnswer)):
@@ -204,17 +209,17 @@
         outcome = encode_answer(answer)
         if len(outcome) > MAXIMUM_OUTCOME_BYTES:
             extra = {"request_id": claim.request_id}
-            logger.warning("answer too long to be recorded", extra=extra)
+            logger.warning("answer of request too long to be recorded", extra=extra)
             keys.abandon(claim)
             return
         try:
             keys.finish(claim, outcome)
         except JujubeslipError as error:
             extra = {"request_id": claim.request_id, "error": str(error)}
-            logger.warning("answer not recorded", extra=extra)
+            logger.warning("answer of request not recorded", extra=extra)
 
 
-def _surely_not_run(error: BaseException) -> bool:
+def _certainly_not_run(error: BaseException) -> bool:
     if not isinstance(error, CallerGoneError | RequestRefusedError):
         return False
     return error.ran is Ran.NO
@@ -223,7 +228,7 @@
 def _reason(error: BaseException) -> str:
     if isinstance(error, JujubeslipError):
         return error.message
-    return "The caller went before the answer was whole."
+    return "The client disconnected before the answer was complete."
 
 
 def _outcome_unknown(reason: str) -> RequestRefusedError:
--- a/tests/requests/support.py
+++ b/tests/requests/support.py
@@ -1,4 +1,4 @@
-"""Steps that the failure tests of the request path share."""
+"""Shared helpers of the failure tests for serving requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 SERVICE = "summaries"
 
 WAIT_SECONDS = 12.0
-# A request that a gate holds is not refused, nor taken for one that went silent.
+# The timeouts are long enough that a request held at a gate is neither refused nor
+# treated as a silent stream.
 PATIENT_DECLARATION = DECLARATION.replace(
     'name = "everything-else"',
     """name = "everything-else"
@@ -70,7 +71,7 @@
     service: str = SERVICE,
     key: str = "",
 ) -> OpenCall:
-    """Send a request whose id begins with the name."""
+    """Send a request whose id starts with the name."""
     headers = {"X-Request-Id": name}
     if key:
         headers["Idempotency-Key"] = key
@@ -79,7 +80,7 @@
 
 
 def engines(cluster: Cluster, role: str = "") -> list[str]:
-    """Return the ids of the running endpoints of a role, or of all."""
+    """Return the ids of the running endpoints whose id starts with the role."""
     return [
         spec.endpoint_id
         for spec in cluster.spec.endpoints
@@ -89,7 +90,7 @@
 
 
 def pause(cluster: Cluster, phase: str) -> None:
-    """Hold every request that reaches the phase, decodes after a few tokens."""
+    """Hold requests that reach the phase; decodes are held after a few tokens."""
     role = "prefill" if phase == "prefill" else "decode"
     for name in engines(cluster, role):
         faults = {"pause_phase": phase}
@@ -99,7 +100,7 @@
 
 
 def resume(cluster: Cluster, phase: str) -> None:
-    """Let the requests of a paused phase go on."""
+    """Let the requests of a paused phase continue."""
     role = "prefill" if phase == "prefill" else "decode"
     for name in engines(cluster, role):
         cluster.order_faults(name, resume_phase=phase)
@@ -133,7 +134,7 @@
 
 
 def read_tokens(events: Iterator[StreamEvent], count: int) -> list[str]:
-    """Read this many tokens of a stream."""
+    """Read the given number of tokens of a stream."""
     return [next(events).fields["token"] for _ in range(count)]
 
 
@@ -144,13 +145,13 @@
 
 
 def assert_whole(answer: ClientAnswer, tokens: int = 8) -> None:
-    """Check that the answer is the undisturbed one, byte for byte."""
+    """Check that the answer equals that of an undisturbed run, byte for byte."""
     assert answer.whole, answer
     assert answer.text == whole_text(tokens)
 
 
 def heal(cluster: Cluster) -> None:
-    """Lift every fault, start what was killed, and wait for a quiet system."""
+    """Clear all faults, restart killed processes, and wait until nothing is held."""
     for proxy in cluster.proxy_by_hop.values():
         proxy.heal()
     for host_id in cluster.entry_ids:
--- a/tests/requests/test_held_memory.py
+++ b/tests/requests/test_held_memory.py
@@ -1,4 +1,4 @@
-"""No engine memory stays held for callers that are gone."""
+"""Engine memory is freed when the client or the entry host of a request is lost."""
 
 from __future__ import annotations
 
@@ -55,12 +55,12 @@
     heal(cluster)
 
 
-class TestClientThatCloses:
-    """A caller hangs up while its request is in some phase.
+class TestClientDisconnect:
+    """A client closes its connection while its request is in some phase.
 
-    Its entry host sees the close while it waits for the engine, cancels the attempt,
-    and the engine frees the memory; without that the engine holds it for good. The
-    request of a caller that waits in the same phase is left alone.
+    The entry host must detect the close while it waits for the engine, and cancel the
+    attempt; otherwise the engine holds the memory for good. The request of another
+    client in the same phase must not be affected.
     """
 
     @pytest.mark.parametrize("phase", PHASES)
@@ -68,19 +68,19 @@
         self, cluster: Cluster, hosts: tuple[str, str, str], phase: str
     ) -> None:
         _, entry, other = hosts
-        gone, living = f"gone-{phase}", f"living-{phase}"
+        closed_name, open_name = f"gone-{phase}", f"living-{phase}"
         pause(cluster, phase)
-        going = open_call(cluster, entry, gone)
-        wait_in_phase(cluster, gone, phase)
-        staying = in_background(open_call(cluster, other, living).answer)
-        wait_held(cluster, living)
+        closed_call = open_call(cluster, entry, closed_name)
+        wait_in_phase(cluster, closed_name, phase)
+        open_answer = in_background(open_call(cluster, other, open_name).answer)
+        wait_held(cluster, open_name)
         if phase == "decode":
-            read_tokens(going.events(), DECODE_GATE_TOKENS)
-        going.close()
-        wait_not_held(cluster, gone)
-        assert held_phases(cluster, living)
+            read_tokens(closed_call.events(), DECODE_GATE_TOKENS)
+        closed_call.close()
+        wait_not_held(cluster, closed_name)
+        assert held_phases(cluster, open_name)
         resume(cluster, phase)
-        assert_whole(staying.result())
+        assert_whole(open_answer.result())
         cluster.wait_nothing_held()
 
     def test_frees_what_waits_in_the_queue(
@@ -105,12 +105,12 @@
         assert held_phases(cluster, "queued") == []
 
 
-class TestEntryHostThatIsKilled:
-    """An entry host is killed with -9 while it serves a request.
+class TestKilledEntryHost:
+    """An entry host is killed with SIGKILL while it serves a request.
 
-    It can't cancel any more, so its callers' requests would hold engine memory for
-    good. The home finds them in the engine's own list, asks after their owner, and
-    cancels what the dead incarnation owned. If the home dies too, the next home does.
+    It can't cancel its requests, which would hold engine memory for good. The home must
+    find them in the engine's list of held requests, check the state of their owner, and
+    cancel those of the dead incarnation. If the home dies too, the next home does this.
     """
 
     @pytest.mark.parametrize("phase", PHASES)
@@ -135,33 +135,31 @@
         other: str,
         killed: tuple[str, ...],
     ) -> None:
-        gone, living = f"killed-{phase}", f"spared-{phase}"
+        closed_name, open_name = f"killed-{phase}", f"spared-{phase}"
         pause(cluster, phase)
-        going = open_call(cluster, entry, gone)
-        wait_in_phase(cluster, gone, phase)
-        staying = in_background(open_call(cluster, other, living).answer)
-        wait_held(cluster, living)
+        closed_call = open_call(cluster, entry, closed_name)
+        wait_in_phase(cluster, closed_name, phase)
+        open_answer = in_background(open_call(cluster, other, open_name).answer)
+        wait_held(cluster, open_name)
         for host in killed:
             cluster.process_by_name[host].kill()
-        wait_not_held(cluster, gone)
-        assert held_phases(cluster, living)
+        wait_not_held(cluster, closed_name)
+        assert held_phases(cluster, open_name)
         resume(cluster, phase)
-        assert_whole(staying.result())
-        going.close()
+        assert_whole(open_answer.result())
+        closed_call.close()
         cluster.wait_nothing_held()
 
 
-class TestEngineThatMissesTheCancel:
+class TestLostCancel:
     """A cancel does not reach the engine, or has no effect there.
 
-    The caller has gone and the entry host has cancelled, but the engine took no
-    notice, or was cut off by the network just then. The sweep sees the request in
-    the engine's list and asks again until it is gone.
+    The client has disconnected and the entry host has cancelled, but the engine ignored
+    the cancel or was unreachable at that moment. The sweep must find the request in the
+    engine's list and resend the cancel until it is no longer held.
     """
 
-    def test_is_asked_again(
-        self, cluster: Cluster, hosts: tuple[str, str, str]
-    ) -> None:
+    def test_is_resent(self, cluster: Cluster, hosts: tuple[str, str, str]) -> None:
         _, entry, _ = hosts
         pause(cluster, "decode")
         call = open_call(cluster, entry, "ignored")
@@ -193,11 +191,11 @@
 
 
 class TestAbandonedAttempt:
-    """An engine ignores the cancel of an attempt whose request goes on elsewhere.
+    """An engine ignores the cancel of an attempt whose request continues elsewhere.
 
-    The first decode engine breaks the stream, the request is resumed on the second.
-    The request's owner lives and serves it still, so a sweep that asked only for the
-    request would leave the first attempt's memory held until the request ends.
+    The stream of the first decode engine breaks and the request is resumed on the
+    second one. The request's owner is alive and still serves it, so a sweep that only
+    checked the request would leave the first attempt's memory held until its end.
     """
 
     def test_is_swept_while_the_request_goes_on(
--- a/tests/requests/test_key_quorum.py
+++ b/tests/requests/test_key_quorum.py
@@ -1,4 +1,4 @@
-"""A key's claim holds with a quorum of its keepers, whatever each host sees."""
+"""A claim of a key needs a quorum of its owners, even if hosts' views differ."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 
 
 class Hosts:
-    """Three entry hosts, each with its own view and its own memory of keys."""
+    """Three entry hosts, each with its own membership view and its own key table."""
 
     def __init__(self) -> None:
         self.lost: set[str] = set()
         self.directory_by_id = {host_id: _directory(host_id) for host_id in HOST_IDS}
-        self.keeper_by_id = {
+        self.key_table_by_id = {
             host_id: KeyKeeper(self.directory_by_id[host_id]) for host_id in HOST_IDS
         }
 
     def keys_of(self, host_id: str) -> KeeperKeys:
         clients: Any = _Clients(self)
-        process: Any = _TasksAtOnce()
+        process: Any = _SynchronousProcess()
         return KeeperKeys(
             self.directory_by_id[host_id],
             clients,
-            self.keeper_by_id[host_id],
+            self.key_table_by_id[host_id],
             process,
             has_peers=True,
         )
@@ -61,15 +61,15 @@
     return directory
 
 
-class _TasksAtOnce:
-    """A process whose tasks are done at the call, so that a test needs no wait."""
+class _SynchronousProcess:
+    """A process that runs tasks synchronously, so that tests need not wait."""
 
     def start_task(self, task: Callable[..., None], *arguments: object) -> None:
         task(*arguments)
 
 
 class _Clients:
-    """Calls keepers without a network; those of lost hosts don't answer."""
+    """Calls key owners without a network; lost hosts don't reply."""
 
     def __init__(self, hosts: Hosts) -> None:
         self._hosts = hosts
@@ -86,16 +86,16 @@
     def call(self, operation: Callable[[Any], Any], timeout: float) -> Any:
         if self._host_id in self._hosts.lost:
             raise PeerUnavailableError(f"No answer from {self._host_id}.")
-        return operation(_Peer(self._hosts.keeper_by_id[self._host_id]))
+        return operation(_Peer(self._hosts.key_table_by_id[self._host_id]))
 
 
 class _Peer:
-    """The calls of a keeper under their names between hosts."""
+    """The calls of a key table under their names in the peer protocol."""
 
-    def __init__(self, keeper: KeyKeeper) -> None:
-        self.claim_key = keeper.claim
-        self.finish_key = keeper.finish
-        self.abandon_key = keeper.abandon
+    def __init__(self, key_table: KeyKeeper) -> None:
+        self.claim_key = key_table.claim
+        self.finish_key = key_table.finish
+        self.abandon_key = key_table.abandon
 
 
 def _claim(owner: str, number: int = 0) -> KeyClaim:
@@ -104,16 +104,16 @@
     )
 
 
-class TestClaimByHostThatLostSightOfOthers:
-    """A client gets no answer, asks another host with its key, and runs twice.
+class TestClaimByHostWithoutContact:
+    """Guards against a second run when a client resends to another host.
 
     All open connections between the entry hosts went silent. For a moment the first
-    host suspects both others, and would claim the key at itself alone; the second host
-    asks the two others, which know of no run.
+    host suspects both others, and would claim the key only at itself. The host that
+    gets the resend asks the two others, which know of no run.
     """
 
     @pytest.mark.parametrize("number", range(8))
-    def test_is_met_by_resend_at_another_host(self, number: int) -> None:
+    def test_is_found_by_resend_at_another_host(self, number: int) -> None:
         hosts = Hosts()
         hosts.suspect_others("entry-1")
         first = hosts.keys_of("entry-1").claim(_claim("entry-1", number))
@@ -123,19 +123,19 @@
             assert resend.status == KeyStatus.RUNNING
             assert resend.owner == "entry-1/1"
 
-    def test_is_refused_when_no_other_keeper_answers(self) -> None:
+    def test_is_refused_when_no_other_owner_replies(self) -> None:
         hosts = Hosts()
         hosts.lost = {"entry-2", "entry-3"}
-        with pytest.raises(RequestRefusedError, match="too few keepers") as caught:
+        with pytest.raises(RequestRefusedError, match="too few owners") as caught:
             hosts.keys_of("entry-1").claim(_claim("entry-1"))
         assert caught.value.error_id == "key_unavailable"
 
 
-class TestClaimBesideLostKeeper:
-    """One keeper is dead and not yet known to be: requests with keys go on."""
+class TestClaimWithLostOwner:
+    """An owner that died and is not yet detected as dead must not block claims."""
 
     @pytest.mark.parametrize("lost", HOST_IDS[1:])
-    def test_holds_with_the_others(self, lost: str) -> None:
+    def test_is_accepted_by_the_other_owners(self, lost: str) -> None:
         hosts = Hosts()
         hosts.lost = {lost}
         claim = _claim("entry-1")
@@ -148,11 +148,11 @@
         assert hosts.keys_of(left).claim(_claim(left)).outcome == b"answer"
 
 
-class TestClaimThatIsRefused:
-    """A claim that only one keeper took is given back there.
+class TestRefusedClaim:
+    """A claim that only one owner accepted must be freed at that owner.
 
-    Otherwise the key would stay blocked: each resend would hear of a run that never
-    began, until the record is forgotten.
+    Otherwise the key would stay blocked until its record expires: each resend would be
+    told that a run is in progress that never started.
     """
 
     def test_leaves_the_key_free(self) -> None:
--- a/tests/requests/test_keys.py
+++ b/tests/requests/test_keys.py
@@ -1,4 +1,4 @@
-"""A resend with the same key is answered, and its request is not run twice."""
+"""A resend with the same idempotency key is answered without a second run."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
     heal(cluster)
 
 
-def keepers(cluster: Cluster, key: str) -> list[str]:
-    """Return the entry hosts in the order in which they keep the key."""
+def key_owners_in_order(cluster: Cluster, key: str) -> list[str]:
+    """Return the entry hosts in the order in which they own the key."""
     return rendezvous_order(f"key/{CLIENT}/{key}", cluster.entry_ids)
 
 
@@ -66,7 +66,7 @@
 def ask_until_answered(
     cluster: Cluster, entry: str, key: str, message: Mapping[str, Any]
 ) -> ClientAnswer:
-    """Resend as a client does, who heard that nothing ran, until it is answered."""
+    """Resend until it is answered, as a client does that is told that nothing ran."""
 
     def attempt() -> ClientAnswer | None:
         answer = plain_call(cluster, entry, key, message).answer()
@@ -81,7 +81,7 @@
 
 
 def plain_runs(cluster: Cluster, key: str) -> int:
-    """Return how often the services ran a key, by their own count."""
+    """Return how often the services ran a key, by their own records."""
     return sum(
         cluster.endpoint_call(name, "GET", "/v1/records")["runs_by_key"].get(key, 0)
         for name in engines(cluster, "plain")
@@ -99,20 +99,21 @@
 
 
 def copies_made(cluster: Cluster, entry: str, hosts: int) -> int:
-    """Return how often an entry host copied its keys to so many living hosts."""
+    """Return how often an entry host copied its keys with this many live hosts."""
     output = cluster.process_by_name[entry].output().splitlines()
     lines = [line for line in output if "keys copied" in line]
     return sum(1 for line in lines if line.count("entry-") == hosts)
 
 
-class TestResendOfAModelRequest:
-    """A client that hears nothing sends its request again through another host.
+class TestModelRequestResend:
+    """A client that gets no answer resends its request through another host.
 
-    The first run may still go on, or have ended with its answer lost on the way. If
-    each host ran it, the board would show a line twice; it must join the first run.
+    The first run may still be in progress, or its answer may have been lost in transit.
+    The resend must join the first run; if each host ran it, the client's display board
+    would show a line twice.
     """
 
-    def test_joins_the_run_that_goes_on(self, cluster: Cluster) -> None:
+    def test_joins_the_run_in_progress(self, cluster: Cluster) -> None:
         pause(cluster, "decode")
         first, *others = cluster.entry_ids
         running = open_call(cluster, first, "first", key="joined")
@@ -142,31 +143,32 @@
             assert runs_named(cluster, engine, name) == []
 
 
-class TestResendOfACoverRequest:
-    """A cover request is sent again; doubled, two cleaners would go to one surgery.
+class TestRepeatableRequestResend:
+    """A repeatable request with a key is resent and must not run twice.
 
-    It is repeatable, so no durable claim guards it: the two keepers of its key do,
-    also while one of them dies, comes back, and then the other one dies.
+    A second run would send two cleaners to one surgery. A repeatable request has no
+    durable claim; it is protected by the owners of its key, also if one of them dies
+    and restarts, and then another one dies.
     """
 
-    def test_joins_the_run_whose_caller_went(self, cluster: Cluster) -> None:
+    def test_joins_the_run_of_a_disconnected_client(self, cluster: Cluster) -> None:
         pause_plain(cluster, "after")
         first, second, _ = cluster.entry_ids
-        going = plain_call(cluster, first, "went")
+        closed_call = plain_call(cluster, first, "went")
         wait_until(lambda: plain_runs(cluster, "went") == 1, "the service runs it")
         without_key = open_call(cluster, first, "unkeyed", COVER_REQUEST, PLAIN)
         wait_until(lambda: _open_requests(cluster, first) == 2, "both are open")
-        going.close()
+        closed_call.close()
         without_key.close()
-        # Once the host has seen the later close, it has seen the earlier one too.
+        # The host that has detected the later close has detected the earlier one too.
         wait_until(lambda: _open_requests(cluster, first) < 2, "the close is seen")
         resend = in_background(plain_call(cluster, second, "went").answer)
         resume_plain(cluster, "after")
         assert resend.result().status == 200
         assert plain_runs(cluster, "went") == 1
 
-    def test_is_not_run_again_when_a_keeper_died(self, cluster: Cluster) -> None:
-        first, second, third = keepers(cluster, "keeper")
+    def test_is_not_run_again_when_an_owner_died(self, cluster: Cluster) -> None:
+        first, second, third = key_owners_in_order(cluster, "keeper")
         assert plain_call(cluster, third, "keeper").answer().status == 200
         cluster.process_by_name[first].kill()
         for host in (second, third):
@@ -174,10 +176,10 @@
             assert answer.status == 200
         assert plain_runs(cluster, "keeper") == 1
 
-    def test_is_not_run_again_when_the_second_keeper_dies_after_the_first_is_back(
+    def test_is_not_run_again_when_the_second_owner_dies_after_the_first_restarted(
         self, cluster: Cluster
     ) -> None:
-        first, second, third = keepers(cluster, "both")
+        first, second, third = key_owners_in_order(cluster, "both")
         assert plain_call(cluster, third, "both").answer().status == 200
         before = copies_made(cluster, second, 3)
         cluster.process_by_name[first].kill()
@@ -193,12 +195,12 @@
         assert plain_runs(cluster, "both") == 1
 
 
-class TestConfirmationThatRunsAtMostOnce:
+class TestNonRepeatableRequest:
     """A shift confirmation is marked as not repeatable.
 
-    The service, its answer, or the control leader is lost at any point, and the
-    client sends it again through each entry host. By the service's own count it runs
-    at most once, and what the client is told about that is true.
+    The service, its answer, or the control leader is lost at any point, and the client
+    resends the request through each entry host. By the service's own records it must
+    run at most once, and the reported `ran` must be correct.
     """
 
     def test_is_not_run_again_through_any_host(self, cluster: Cluster) -> None:
@@ -282,7 +284,7 @@
 
 
 def _outcome(call: OpenCall) -> str:
-    """Return what a caller sees whose entry host may die."""
+    """Return the status that a client gets, or "cut" if its entry host died."""
     try:
         return str(call.answer().status)
     except (OSError, ValueError):
--- a/tests/requests/test_leaving.py
+++ b/tests/requests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An endpoint that leaves gets no new work after three seconds."""
+"""An endpoint that is leaving gets no new work after three seconds."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 )
 
 ENDPOINTS: tuple[EngineSpec | PlainSpec, ...] = model_endpoints(prefills=1, decodes=2)
-LEFT_AFTER_MS = 3000
-WATCHED_MS = 5000
+LEAVE_LIMIT_MS = 3000
+OBSERVATION_MS = 5000
 
 
 @pytest.fixture(scope="module")
@@ -47,7 +47,7 @@
 
 
 def begin_to_leave(cluster: Cluster) -> tuple[str, int]:
-    """Let the decode engine that is busy leave; return it and when it left."""
+    """Make the busy decode engine leave; return it and when it began to leave."""
     pause(cluster, "decode")
     in_background(open_call(cluster, "entry-2", "stays").answer)
     wait_held(cluster, "stays")
@@ -68,35 +68,36 @@
 def assert_no_new_work(
     cluster: Cluster, leaving: str, left_ms: int, hosts: list[str]
 ) -> None:
-    """Send requests for a while; the engine's own records must show none too late."""
-    wait_until(lambda: now_ms() > left_ms + LEFT_AFTER_MS, "it has left")
+    """Send requests for a while; by its own records, the engine must run none late."""
+    wait_until(lambda: now_ms() > left_ms + LEAVE_LIMIT_MS, "it has left")
     number = 0
-    while now_ms() < left_ms + WATCHED_MS:
+    while now_ms() < left_ms + OBSERVATION_MS:
         number += 1
         host = hosts[number % len(hosts)]
         assert_whole(open_call(cluster, host, f"new-{number}").answer())
     runs = cluster.endpoint_call(leaving, "GET", "/v1/records")["runs"]
-    late = [run for run in runs if run["started_ms"] > left_ms + LEFT_AFTER_MS]
+    late = [run for run in runs if run["started_ms"] > left_ms + LEAVE_LIMIT_MS]
     assert late == []
     resume(cluster, "decode")
     assert cluster.process_by_name[leaving].wait() == 0
 
 
-class TestEndpointThatLeaves:
-    """A decode engine is told to stop and announces that it leaves.
+class TestLeavingEndpoint:
+    """A decode engine gets SIGTERM and announces that it is leaving.
 
-    The entry host that it told, or its home, is frozen or cut off at that moment and
-    passes nothing on. The others would go on sending it work until it ends.
+    The entry host that gets the announcement, or the engine's home, is frozen or
+    unreachable at that moment and does not forward it. The other hosts would continue
+    to send work to the engine until it exits.
     """
 
-    def test_is_left_alone_when_its_home_is_frozen(self, cluster: Cluster) -> None:
+    def test_gets_no_new_work_when_its_home_is_frozen(self, cluster: Cluster) -> None:
         home = cluster.home_id(ENDPOINTS[0])
         leaving, left_ms = begin_to_leave(cluster)
         cluster.process_by_name[home].signal(signal.SIGSTOP)
         hosts = [host for host in cluster.entry_ids if host != home]
         assert_no_new_work(cluster, leaving, left_ms, hosts)
 
-    def test_is_left_alone_when_the_host_it_told_is_cut_off(
+    def test_gets_no_new_work_when_the_announced_host_is_unreachable(
         self, cluster: Cluster
     ) -> None:
         for hop, proxy in cluster.proxy_by_hop.items():
@@ -105,7 +106,7 @@
         leaving, left_ms = begin_to_leave(cluster)
         assert_no_new_work(cluster, leaving, left_ms, ["entry-2", "entry-3"])
 
-    def test_is_left_alone_when_an_old_announcement_comes_late(
+    def test_gets_no_new_work_after_a_late_old_announcement(
         self, cluster: Cluster
     ) -> None:
         leaving, left_ms = begin_to_leave(cluster)
@@ -133,10 +134,10 @@
         }
 
 
-class TestEndpointThatComesBack:
-    """An engine left, ended, and starts again under the same address.
+class TestRestartedEndpoint:
+    """An engine left and exited, and is restarted at the same address.
 
-    Leaving is final for the incarnation that said so, not for the endpoint.
+    Leaving is final only for the incarnation that announced it, not for the endpoint.
     """
 
     def test_gets_work_again(self, cluster: Cluster) -> None:
--- a/tests/requests/test_not_run.py
+++ b/tests/requests/test_not_run.py
@@ -1,4 +1,4 @@
-"""A refusal that says "not run" is true, and what is unknown is said as unknown."""
+"""A refusal reports "not run" only if that is certain, and otherwise "unknown"."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     *model_endpoints(decodes=1),
     PlainSpec("plain-1", "confirmations"),
 )
-ENTRY = "entry-1"
+ENTRY_ID = "entry-1"
 
 
 @pytest.fixture(scope="module")
@@ -44,7 +44,10 @@
 
 @dataclass(frozen=True)
 class Break:
-    """A point at which the hop to an endpoint breaks, and what may be said then."""
+    """A point at which the hop to an endpoint breaks, and the expected `ran`.
+
+    An empty `ran` allows both "no" and "unknown".
+    """
 
     name: str
     inject: Callable[[FaultProxy], None]
@@ -52,7 +55,7 @@
 
 
 def _end(direction: Direction, after: int, reset: bool) -> Break:
-    # Sticky, since the home's own questions to the endpoint pass the proxy as well.
+    # Sticky, since the home's own calls to the endpoint pass through the proxy too.
     inject = partial(
         FaultProxy.end_next,
         after_bytes=after,
@@ -77,11 +80,11 @@
 )
 
 
-class TestHopThatBreaks:
+class TestBrokenHop:
     """The hop to an endpoint breaks before, in or after the request or its answer.
 
-    A caller who hears "not run" asks again. If it had run, a shift would be confirmed
-    twice, so the refusal is compared with the endpoint's own count of runs.
+    A client that is told "not run" resends its request. If it had run, a shift would be
+    confirmed twice, so the refusal is compared with the endpoint's own record of runs.
     """
 
     @pytest.mark.parametrize("point", BREAKS, ids=lambda point: point.name)
@@ -89,7 +92,7 @@
         point.inject(cluster.proxy_by_hop[("*", "plain-1")])
         name = f"plain-{point.name}"
         message = {"repeatable": False}
-        answer = open_call(cluster, ENTRY, name, message, "confirmations").answer()
+        answer = open_call(cluster, ENTRY_ID, name, message, "confirmations").answer()
         runs = runs_named(cluster, "plain-1", name)
         assert answer.status in (502, 503)
         assert answer.ran in ("no", "unknown")
@@ -101,7 +104,7 @@
         point.inject(cluster.proxy_by_hop[("*", "prefill-1")])
         name = f"prefill-{point.name}"
         message = model_message(repeatable=False)
-        answer = open_call(cluster, ENTRY, name, message).answer()
+        answer = open_call(cluster, ENTRY_ID, name, message).answer()
         runs = runs_named(cluster, "prefill-1", name)
         assert answer.status in (502, 503)
         assert answer.ran in ("no", "unknown")
@@ -109,10 +112,10 @@
         assert len(runs) <= (0 if answer.ran == "no" else 1)
 
     def test_after_the_service_ran(self, cluster: Cluster) -> None:
-        """A later attempt finds no endpoint; that says nothing about the first one."""
+        """A later attempt finds no endpoint; the first may have run nevertheless."""
         cluster.order_faults("plain-1", pause_phase="after")
         message = {"repeatable": True}
-        call = open_call(cluster, ENTRY, "ran", message, "confirmations")
+        call = open_call(cluster, ENTRY_ID, "ran", message, "confirmations")
         answer = in_background(call.answer)
         wait_until(lambda: runs_named(cluster, "plain-1", "ran"), "it ran")
         cluster.proxy_by_hop[("*", "plain-1")].cut()
@@ -120,12 +123,12 @@
         assert answer.result().error["error_id"] == "no_capacity"
 
 
-class TestServiceThatRefuses:
-    """The service itself says that it refused before it ran."""
+class TestRefusalByService:
+    """The service itself reports that it refused the request before running it."""
 
-    def test_is_believed(self, cluster: Cluster) -> None:
+    def test_is_reported_as_not_run(self, cluster: Cluster) -> None:
         cluster.order_faults("plain-1", refuse_next=20)
         message = {"repeatable": False}
-        answer = open_call(cluster, ENTRY, "full", message, "confirmations").answer()
+        answer = open_call(cluster, ENTRY_ID, "full", message, "confirmations").answer()
         assert answer.ran == "no"
         assert runs_named(cluster, "plain-1", "full") == []
--- a/tests/requests/test_whole_answers.py
+++ b/tests/requests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, once, whatever breaks."""
+"""Each client gets the complete answer to its own request, once, despite failures."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     PlainSpec("plain-1", "confirmations"),
     PlainSpec("plain-2", "confirmations"),
 )
-# Each request here fails on purpose, so that a share of one retry is not enough.
-GENEROUS = DECLARATION.replace(
+# Each request here fails on purpose, so that the default retry budget is too small.
+LARGE_RETRY_BUDGET = DECLARATION.replace(
     'model = "model"', 'model = "model"\nretry_budget_share = 1.0'
 ).replace('path = "/run"', 'path = "/run"\nretry_budget_share = 1.0')
 
 
-# Longer than it takes to find that the engine holds the prefill no more.
+# Longer than it takes to detect that the engine no longer holds the prefill.
 LATE_REPLY_MS = 8000
 
 
@@ -51,7 +51,7 @@
     hops |= {(one, other) for one in entries for other in entries if one != other}
     hops |= {(entry, "control-1") for entry in entries}
     spec = small_system(
-        ENDPOINTS, entries=3, hops=frozenset(hops), declaration=GENEROUS
+        ENDPOINTS, entries=3, hops=frozenset(hops), declaration=LARGE_RETRY_BUDGET
     )
     with Cluster(spec, tmp_path_factory.mktemp("whole")) as cluster:
         yield cluster
@@ -76,17 +76,17 @@
 
 
 def refill_retries(cluster: Cluster, entry: str) -> None:
-    """Send requests that need no retry, so that the next failures can have theirs."""
+    """Send requests that need no retry, to refill the budget for the next retries."""
     for number in range(3):
         assert_whole(open_call(cluster, entry, f"refill-{number}").answer())
 
 
-class TestStreamThatIsCut:
+class TestTruncatedStream:
     """A decode stream ends early, at any byte, with or without a reset.
 
-    The caller would read a short text. Without its end line a stream is never whole:
-    the request is resumed at the next token, and the caller reads the undisturbed
-    text, byte for byte.
+    The client would read a truncated text. A stream without its end line is never
+    complete: the request must be resumed at the next token, and the client must get
+    the same text as without the failure, byte for byte.
     """
 
     @pytest.mark.parametrize("reset", [False, True])
@@ -128,15 +128,15 @@
         assert "".join(tokens) == whole_text()
 
 
-class TestReplyToAnotherRequest:
-    """An engine answers with the reply to another request, or one that comes late.
+class TestMisdirectedReply:
+    """An engine sends the reply to another request, or a reply arrives late.
 
-    Replies that were crossed would give one caller another caller's answer, and a
-    late reply of an abandoned attempt would be taken for the present one's.
+    With swapped replies, a client would get the answer of another client; a late reply
+    to an abandoned attempt would be taken for the reply to the current one.
     """
 
     @pytest.mark.parametrize("role", ["prefill", "decode"])
-    def test_is_not_passed_on(self, cluster: Cluster, entry: str, role: str) -> None:
+    def test_is_not_forwarded(self, cluster: Cluster, entry: str, role: str) -> None:
         for name in engines(cluster, role):
             cluster.order_faults(name, crossed_replies=1)
         name = f"crossed-{role}"
@@ -148,10 +148,10 @@
         ]
         assert [run["attempt"] for run in runs if run["outcome"] == "done"] != [1]
 
-    def test_that_comes_late_is_not_taken_for_the_next(
+    def test_is_not_mistaken_for_the_next_reply_when_late(
         self, cluster: Cluster, entry: str
     ) -> None:
-        """The first prefill's reply is on its way while the second attempt goes on."""
+        """The first prefill's reply is in transit while the second attempt runs."""
         pause(cluster, "decode")
         for name in engines(cluster, "prefill"):
             cluster.order_faults(name, late_reply_ms=LATE_REPLY_MS, late_replies=1)
@@ -165,7 +165,7 @@
         resume(cluster, "decode")
         assert_whole(answer.result(30))
 
-    def test_of_a_plain_service_is_not_passed_on(
+    def test_of_a_plain_service_is_not_forwarded(
         self, cluster: Cluster, entry: str
     ) -> None:
         for name in engines(cluster, "plain"):
@@ -178,16 +178,14 @@
         assert answer.ran == "unknown"
 
 
-class TestConnectionThatGoesSilent:
-    """Something between two hosts loses track of the open connections.
+class TestSilentConnection:
+    """A network device between two hosts loses the state of open connections.
 
-    They stay silent for good while new ones work. A host that waited on them would
-    wait until the request's deadline; it has to notice, and try a fresh connection.
+    They stay silent for good while new connections work. A host that waited on them
+    would wait until the request's deadline; it must detect this and reconnect.
     """
 
-    def test_is_left_in_the_middle_of_a_stream(
-        self, cluster: Cluster, entry: str
-    ) -> None:
+    def test_is_abandoned_during_a_stream(self, cluster: Cluster, entry: str) -> None:
         pause(cluster, "decode")
         call = open_call(cluster, entry, "silent-decode")
         events = call.events()
@@ -200,7 +198,7 @@
         assert "".join(tokens) == whole_text()
 
     @pytest.mark.parametrize("phase", ["prefill", "transfer"])
-    def test_is_left_while_an_answer_is_awaited(
+    def test_is_abandoned_while_waiting_for_a_reply(
         self, cluster: Cluster, entry: str, phase: str
     ) -> None:
         pause(cluster, phase)
@@ -212,7 +210,7 @@
         resume(cluster, phase)
         assert_whole(answer.result(30))
 
-    def test_is_left_when_a_plain_service_has_run(
+    def test_is_abandoned_after_a_plain_service_has_run(
         self, cluster: Cluster, entry: str
     ) -> None:
         for name in engines(cluster, "plain"):
@@ -234,9 +232,7 @@
             for name in engines(cluster, "plain")
         )
 
-    def test_is_left_between_hosts_of_the_system(
-        self, cluster: Cluster, entry: str
-    ) -> None:
+    def test_is_abandoned_between_hosts(self, cluster: Cluster, entry: str) -> None:
         for hop, proxy in cluster.proxy_by_hop.items():
             if hop[0] in cluster.entry_ids:
                 proxy.freeze()
@@ -252,15 +248,15 @@
         for answer in answers:
             assert_whole(answer.result(20))
 
-    def test_is_left_by_the_client_who_asks_elsewhere(
+    def test_is_abandoned_by_a_client_that_resends_elsewhere(
         self, cluster: Cluster, entry: str
     ) -> None:
-        """The first answer stays whole for the resend, and is computed once."""
+        """The resend gets the complete first answer, which is computed only once."""
         other = next(host for host in cluster.entry_ids if host != entry)
         pause(cluster, "decode")
         silent = open_call(cluster, entry, "silent-client", key="key-client")
-        # Kept until the end: dropped, it would close the connection, and a request
-        # whose client left may run again.
+        # Referenced until the end: garbage collection would close the connection, and a
+        # request whose client disconnected may run again.
         events = silent.events()
         read_tokens(events, DECODE_GATE_TOKENS)
         cluster.proxy_by_hop[("client", entry)].freeze()
@@ -277,13 +273,14 @@
         assert decoded == []
 
 
-class TestClientSideThatIsCut:
+class TestTruncatedClientConnection:
     """The connection to the client ends at any byte of the answer.
 
-    The client must be able to tell: without its end event an answer is not whole.
+    The client must be able to detect this: an answer without its end event is not
+    complete.
     """
 
-    def test_never_shows_a_short_answer_as_whole(
+    def test_never_reports_a_truncated_answer_as_complete(
         self, cluster: Cluster, entry: str
     ) -> None:
         address = cluster.client_address(entry)
--- a/tests/requests/test_whole_path.py
+++ b/tests/requests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes, without failures."""
+"""Requests through separate processes, without failures."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class TestModelRequest:
-    def test_streams_the_whole_answer_with_its_rule(self, cluster: Cluster) -> None:
+    def test_streams_the_complete_answer_with_its_rule(self, cluster: Cluster) -> None:
         message = {"prompt": PROMPT, "max_tokens": 12, "priority": "urgent"}
         answer = ask(cluster.client_address("entry-1"), "summaries", message)
         assert answer.whole, answer
@@ -58,7 +58,7 @@
 
 
 class TestPlainRequest:
-    def test_passes_the_answer_on(self, cluster: Cluster) -> None:
+    def test_forwards_the_answer(self, cluster: Cluster) -> None:
         message = {"shift": 7, "repeatable": False}
         answer = ask(cluster.client_address("entry-1"), "confirmations", message)
         assert answer.status == 200, answer
