--- a/src/jujubeslip/quarantine/__init__.py
+++ b/src/jujubeslip/quarantine/__init__.py
@@ -1,7 +1,7 @@
-"""Contents of requests that crash the endpoints which run them.
+"""Quarantine of request contents that crash the endpoints that run them.
 
-Each host keeps a book of crashes, and hosts tell each other what is new in it when
-they watch control hosts. It needs no leader and no majority.
+Each host has a registry of crashes. Hosts exchange the changes of their registries with
+the control hosts that they watch; this needs no leader and no majority.
 """
 
 from jujubeslip.quarantine._book import CrashBook
--- a/src/jujubeslip/quarantine/_book.py
+++ b/src/jujubeslip/quarantine/_book.py
@@ -1,4 +1,4 @@
-"""What a host knows of the contents whose requests crash endpoints."""
+"""Registry of the request contents that crash endpoints, as known to this host."""
 
 from __future__ import annotations
 
@@ -18,93 +18,96 @@
 
 logger = logging.getLogger(__name__)
 
-# Contents that are remembered at most; those with the fewest crashes give way first.
+# The maximum number of stored contents; those with the fewest crashes are evicted
+# first.
 MAXIMUM_CONTENTS = 500
-# Crashes of one content that are remembered, the latest ones.
+# The maximum number of stored crashes per content; the latest ones are kept.
 MAXIMUM_CRASHES = 8
-# Contents with too few crashes to be suspected that an entry host is told of with each
-# answer at most, the latest ones: any host may have seen them run without harm.
-MAXIMUM_TOLD = 20
+# The maximum number of contents with too few crashes to be suspected that one reply
+# reports to an entry host. The latest ones are reported, since any host may have seen
+# them run without a crash.
+MAXIMUM_UNSUSPECTED = 20
 
 
-def _tell_nobody() -> None:
+def _do_nothing() -> None:
     pass
 
 
-def _knows_none(fingerprint: str) -> bool:
+def _never_harmless(fingerprint: str) -> bool:
     return False
 
 
 class CrashBook:
-    """Crash histories by fingerprint, and a version for each change.
+    """Crash histories by fingerprint, with a version number for each change.
 
-    Hosts tell each other what has changed, in any order and more than once: of each
-    start the earliest account counts, and a content that was answered whole is cleared
-    of the crashes before that. May be used by many threads.
+    Hosts report changes to each other in any order and possibly repeatedly. Of several
+    reports of a start's crash the earliest time is used, and a complete answer to a
+    content clears the crashes before it. The registry is thread-safe.
     """
 
-    def __init__(self, on_news: Callable[[], None] = _tell_nobody) -> None:
+    def __init__(self, on_news: Callable[[], None] = _do_nothing) -> None:
         self._on_news = on_news
-        self._is_harmless: Callable[[str], bool] = _knows_none
-        self._on_cleared: Callable[[], None] = _tell_nobody
+        self._is_harmless: Callable[[str], bool] = _never_harmless
+        self._on_cleared: Callable[[], None] = _do_nothing
         self._history_by_fingerprint: dict[str, CrashHistory] = {}
         self._version_by_fingerprint: dict[str, int] = {}
         self._lock = threading.Lock()
         self.version = 0
-        """Of the newest change."""
+        """The version of the latest change."""
         self.suspects_version = 0
-        """Of the newest change that entry hosts are told of."""
+        """The version of the latest change that is reported to entry hosts."""
 
     @property
     def is_empty(self) -> bool:
-        """Say whether no content is remembered."""
+        """Return whether no content is stored."""
         return not self._history_by_fingerprint
 
     def clear_harmless(self, is_harmless: Callable[[str], bool]) -> None:
-        """Clear what this host has seen run, whenever crashes of it are told.
+        """Set the check for contents to clear when other hosts report crashes of them.
 
-        What a host has seen run is known to it alone, and crashes are told by another.
+        Only this host knows which contents it has seen run without a crash, and other
+        hosts report the crashes.
         """
         self._is_harmless = is_harmless
 
     def tell_cleared(self, on_cleared: Callable[[], None]) -> None:
-        """Call this whenever this host has cleared a content."""
+        """Set the callback for when this host has cleared a content."""
         self._on_cleared = on_cleared
 
     def find(self, fingerprint: str) -> CrashHistory | None:
-        """Return what is known of a content, None if nothing is."""
+        """Return the crash history of a content, or None if it has none."""
         return self._history_by_fingerprint.get(fingerprint)
 
     def note_crash(self, fingerprint: str, crash: Crash) -> None:
-        """Note that an endpoint has ended while it ran a request of this content."""
+        """Record that an endpoint exited while it ran a request of this content."""
         self.take([CrashHistory(fingerprint, (crash,))])
 
     def clear(self, fingerprint: str) -> bool:
-        """Note that a content is harmless now; say whether crashes were known of it."""
+        """Clear the crashes of a harmless content; return whether it had any."""
         with self._lock:
             known = self._history_by_fingerprint.get(fingerprint)
             if known is None or not known.crashes:
                 return False
             cleared = CrashHistory(fingerprint, cleared_at=steady_seconds())
             self._store(known, cleared)
-            self._excuse()
+            self._update_excused()
         self._on_news()
         self._on_cleared()
         return True
 
-    def take(self, told: Iterable[CrashHistory]) -> None:
-        """Take over what is new of what another host tells."""
+    def take(self, reported: Iterable[CrashHistory]) -> None:
+        """Merge the histories that another host reports."""
         harmless = []
         with self._lock:
-            before = self.version
-            for history in told:
-                self._take_one(history)
+            version_before = self.version
+            for history in reported:
+                self._merge_one(history)
                 if history.crashes and self._is_harmless(history.fingerprint):
                     harmless.append(history.fingerprint)
-            is_news = self.version > before
-            if is_news:
-                self._excuse()
-        if is_news:
+            is_changed = self.version > version_before
+            if is_changed:
+                self._update_excused()
+        if is_changed:
             self._on_news()
         for fingerprint in harmless:
             self.clear(fingerprint)
@@ -112,25 +115,33 @@
     def changes_since(
         self, version: int, suspects_only: bool = False
     ) -> tuple[int, list[CrashHistory]]:
-        """Return the newest version, and the histories changed since the given one.
+        """Return the current version, and the histories changed since the given one.
 
-        With `suspects_only`, leave out those with too few crashes to be suspected.
+        With `suspects_only`, histories with too few crashes to be suspected are left
+        out.
         """
         newest, changed = self._changed_since(version)
         if suspects_only:
-            changed = list(filter(_concerns_entry_hosts, changed))
+            changed = list(filter(_is_reported_to_entry_hosts, changed))
         return newest, changed
 
     def changes_for_entry_host(self, version: int) -> tuple[int, list[CrashHistory]]:
-        """Return the same, of those with few crashes the latest ones alone."""
+        """Return the changes since a version that are reported to an entry host.
+
+        These are all changed suspects, and the latest MAXIMUM_UNSUSPECTED of the other ones.
+        """
         newest, changed = self._changed_since(version)
-        suspects = [history for history in changed if _concerns_entry_hosts(history)]
-        others = [history for history in changed if not _concerns_entry_hosts(history)]
+        suspects = [
+            history for history in changed if _is_reported_to_entry_hosts(history)
+        ]
+        others = [
+            history for history in changed if not _is_reported_to_entry_hosts(history)
+        ]
         others.sort(key=lambda history: history.latest_at)
-        return newest, suspects + others[-MAXIMUM_TOLD:]
+        return newest, suspects + others[-MAXIMUM_UNSUSPECTED:]
 
     def held_back(self) -> list[CrashHistory]:
-        """Return the histories of the contents that are held back now."""
+        """Return the histories of the contents that are currently quarantined."""
         with self._lock:
             histories = list(self._history_by_fingerprint.values())
         return [
@@ -140,7 +151,7 @@
         ]
 
     def forget_old(self) -> None:
-        """Drop what needs not be known any more."""
+        """Drop histories that are no longer needed."""
         with self._lock:
             for fingerprint, history in list(self._history_by_fingerprint.items()):
                 if history.forgotten_at.expired:
@@ -155,25 +166,26 @@
             ]
             return self.version, changed
 
-    def _take_one(self, told: CrashHistory) -> None:
-        known = self._history_by_fingerprint.get(told.fingerprint)
+    def _merge_one(self, reported: CrashHistory) -> None:
+        known = self._history_by_fingerprint.get(reported.fingerprint)
         if known is None:
-            known = CrashHistory(told.fingerprint)
-        merged = _merged(known, told)
+            known = CrashHistory(reported.fingerprint)
+        merged = _merged(known, reported)
         if merged.crashes == known.crashes:
-            # A clearing alone is no change: told from host to host, its instant grows
-            # by the time on the way, and would be told for ever.
+            # A different clearing time is no change by itself: it grows by the network
+            # delay with each report, so it would be reported between hosts forever.
             return
-        if merged.says_as_much_as(known):
-            self._history_by_fingerprint[told.fingerprint] = merged
+        if merged.has_same_crashes_as(known):
+            self._history_by_fingerprint[reported.fingerprint] = merged
         else:
             self._store(known, merged)
 
-    def _excuse(self) -> None:
-        """Decide anew which crashes don't count against contents that were answered.
+    def _update_excused(self) -> None:
+        """Update which crashes don't count against contents that were being answered.
 
-        Such a crash is put down to another content that had not been answered there,
-        if that one ended endpoints before: what waits once beside proves nothing.
+        Such a crash is attributed to another content at the same endpoint that had no
+        answer yet, if that content is a suspect by its crashes without an answer. A
+        content that was at just one crashed endpoint is not blamed for it.
         """
         histories = list(self._history_by_fingerprint.values())
         ended = {
@@ -196,7 +208,7 @@
         self.version += 1
         self._history_by_fingerprint[fingerprint] = history
         self._version_by_fingerprint[fingerprint] = self.version
-        if _concerns_entry_hosts(history):
+        if _is_reported_to_entry_hosts(history):
             self.suspects_version = self.version
         _log_change(known, history)
         if len(self._history_by_fingerprint) > MAXIMUM_CONTENTS:
@@ -212,26 +224,26 @@
         del self._version_by_fingerprint[fingerprint]
 
 
-def _concerns_entry_hosts(history: CrashHistory) -> bool:
+def _is_reported_to_entry_hosts(history: CrashHistory) -> bool:
     return history.is_suspect or not history.crashes
 
 
-def _instant(crash: Crash) -> float:
+def _crash_time(crash: Crash) -> float:
     return crash.crashed_at
 
 
-def _merged(known: CrashHistory, told: CrashHistory) -> CrashHistory:
-    cleared_at = max(known.cleared_at, told.cleared_at)
+def _merged(known: CrashHistory, reported: CrashHistory) -> CrashHistory:
+    cleared_at = max(known.cleared_at, reported.cleared_at)
     crash_by_start: dict[str, Crash] = {}
-    for crash in (*known.crashes, *told.crashes):
+    for crash in (*known.crashes, *reported.crashes):
         if crash.crashed_at > cleared_at:
-            # Instants that are told come out later by the time on the way: the earliest
-            # account of a start is the truest.
+            # The network delay makes reported times later, so the earliest report of a
+            # start's crash is the most accurate.
             other = crash_by_start.get(crash.start_id, crash)
             answered = crash.answered or other.answered
-            earliest = min(crash, other, key=_instant)
+            earliest = min(crash, other, key=_crash_time)
             crash_by_start[crash.start_id] = replace(earliest, answered=answered)
-    crashes = sorted(crash_by_start.values(), key=_instant)
+    crashes = sorted(crash_by_start.values(), key=_crash_time)
     latest = tuple(crashes[-MAXIMUM_CRASHES:])
     return CrashHistory(known.fingerprint, latest, cleared_at, known.excused)
 
--- a/src/jujubeslip/quarantine/_harmless.py
+++ b/src/jujubeslip/quarantine/_harmless.py
@@ -1,4 +1,4 @@
-"""Contents of requests that endpoints have run lately without harm."""
+"""Request contents that endpoints have recently run without a crash."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from jujubeslip.kernel import steady_seconds
 
 MILLISECONDS = 1000
-# Contents that are remembered at most, the latest ones.
+# The maximum number of stored contents; the latest ones are kept.
 MAXIMUM_CONTENTS = 1000
-# How long a content counts as harmless after a run of it, in seconds. A version of an
-# endpoint that is rolled out may crash on what the one before has borne.
+# How long a content is considered harmless after a run of it, in seconds. A new version
+# of an endpoint may crash on a content that the previous version ran.
 HARMLESS_SECONDS = 60.0
 
 
 class HarmlessContents:
-    """The contents that this host saw run, by fingerprint; may be used by threads.
+    """The contents that this host has seen run, by fingerprint; thread-safe.
 
-    Equal requests that come often run at every endpoint, and so at each one that
-    another request ends; in a series of crashes none of them may be answered whole.
+    Equal requests that are sent often run at every endpoint, so also at each endpoint
+    that another request crashes. In a series of crashes, none of them may get a
+    complete answer, so an earlier run has to count as evidence.
     """
 
     def __init__(self) -> None:
@@ -28,7 +29,7 @@
         self._lock = threading.Lock()
 
     def note(self, fingerprint: str) -> None:
-        """Note that an endpoint has run the content, and goes on."""
+        """Record that an endpoint has run the content and is still running."""
         with self._lock:
             self._ran_at_by_fingerprint[fingerprint] = steady_seconds()
             self._ran_at_by_fingerprint.move_to_end(fingerprint)
@@ -36,16 +37,16 @@
                 self._ran_at_by_fingerprint.popitem(last=False)
 
     def ran_at(self, fingerprint: str) -> float:
-        """Return when it ran last, in seconds; long ago if that is not known."""
+        """Return when it ran last, in seconds; negative infinity if unknown."""
         return self._ran_at_by_fingerprint.get(fingerprint, -math.inf)
 
     def ran_ago_ms(self, fingerprint: str) -> int | None:
-        """Return the milliseconds since it ran last, None if that is not known."""
+        """Return the milliseconds since it ran last, or None if unknown."""
         ran_at = self._ran_at_by_fingerprint.get(fingerprint)
         if ran_at is None:
             return None
         return int((steady_seconds() - ran_at) * MILLISECONDS)
 
     def holds(self, fingerprint: str) -> bool:
-        """Say whether the content counts as harmless now."""
+        """Return whether the content is currently considered harmless."""
         return self.ran_at(fingerprint) > steady_seconds() - HARMLESS_SECONDS
--- a/src/jujubeslip/quarantine/_records.py
+++ b/src/jujubeslip/quarantine/_records.py
@@ -1,4 +1,4 @@
-"""Crash histories as hosts tell them to each other."""
+"""Conversion of crash histories to and from the records sent between hosts."""
 
 from __future__ import annotations
 
@@ -13,36 +13,38 @@
 from jujubeslip.kernel import StrictModel, Text, Whole, read_fields, steady_seconds
 from jujubeslip.peers import CrashRecord, RequestCrash
 from jujubeslip.quarantine._book import MAXIMUM_CRASHES
-from jujubeslip.quarantine._fingerprints import DIGITS
+from jujubeslip.quarantine._fingerprints import FINGERPRINT_DIGITS
 from jujubeslip.quarantine._models import Crash, CrashHistory
 
 logger = logging.getLogger(__name__)
 
 MILLISECONDS = 1000
-# Longest fingerprint in a log line, in characters.
-MAXIMUM_LOGGED = 64
+# The maximum length of a fingerprint in a log line, in characters.
+MAXIMUM_LOGGED_CHARACTERS = 64
 
-_Fingerprint = Annotated[str, StringConstraints(pattern=rf"^[0-9a-f]{{{DIGITS}}}$")]
+_Fingerprint = Annotated[
+    str, StringConstraints(pattern=rf"^[0-9a-f]{{{FINGERPRINT_DIGITS}}}$")
+]
 
 
-class _ToldCrash(StrictModel):
+class _ReportedCrash(StrictModel):
     start_id: Text
     sent_ago_ms: Whole
     crashed_ago_ms: Whole
     answered: bool | None = None
-    """None where a host of an older version tells it."""
+    """None if the record is from a host of an older version."""
 
 
-class _ToldHistory(StrictModel):
-    """The fields of a record, none of which Thrift itself insists on."""
+class _ReportedHistory(StrictModel):
+    """The fields of a record, which Thrift itself does not require to be set."""
 
     fingerprint: _Fingerprint
-    crashes: Annotated[list[_ToldCrash], Field(max_length=MAXIMUM_CRASHES)]
+    crashes: Annotated[list[_ReportedCrash], Field(max_length=MAXIMUM_CRASHES)]
     cleared_ago_ms: Whole | None
 
 
 def to_crash_record(history: CrashHistory) -> CrashRecord:
-    """Return what this host tells others of a history."""
+    """Return the record of a history that is sent to other hosts."""
     now = steady_seconds()
     crashes = [
         RequestCrash(
@@ -59,30 +61,30 @@
 
 
 def usable_histories(
-    teller: str, records: Sequence[CrashRecord]
+    sender: str, records: Sequence[CrashRecord]
 ) -> Iterator[CrashHistory]:
-    """Yield the histories of usable records, in instants of this host's clock.
+    """Yield the histories of the valid records, with times of this host's clock.
 
-    Each other record is logged: one of a host of another version must not cost the
-    others.
+    Invalid records are logged and skipped: a record from a host of another version must
+    not invalidate the other records.
     """
     now = steady_seconds()
     for record in records:
         values = vars(record)
         crashes = [vars(crash) for crash in values.get("crashes") or ()]
-        read = read_fields(_ToldHistory, {**values, "crashes": crashes})
-        if isinstance(read, Failure):
+        fields = read_fields(_ReportedHistory, {**values, "crashes": crashes})
+        if isinstance(fields, Failure):
             extra = {
-                "teller": teller,
-                "fingerprint": str(record.fingerprint)[:MAXIMUM_LOGGED],
-                "problem": read.failure(),
+                "teller": sender,
+                "fingerprint": str(record.fingerprint)[:MAXIMUM_LOGGED_CHARACTERS],
+                "problem": fields.failure(),
             }
             logger.info("crash history not usable", extra=extra)
             continue
-        yield _history(read.unwrap(), now)
+        yield _history(fields.unwrap(), now)
 
 
-def _history(told: _ToldHistory, now: float) -> CrashHistory:
+def _history(reported: _ReportedHistory, now: float) -> CrashHistory:
     crashes = tuple(
         Crash(
             crash.start_id,
@@ -90,11 +92,11 @@
             now - crash.crashed_ago_ms / MILLISECONDS,
             bool(crash.answered),
         )
-        for crash in told.crashes
+        for crash in reported.crashes
     )
-    cleared_ago = told.cleared_ago_ms
+    cleared_ago = reported.cleared_ago_ms
     cleared_at = -math.inf if cleared_ago is None else now - cleared_ago / MILLISECONDS
-    return CrashHistory(told.fingerprint, crashes, cleared_at)
+    return CrashHistory(reported.fingerprint, crashes, cleared_at)
 
 
 def _milliseconds(seconds: float) -> int:
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -1,4 +1,4 @@
-"""Which contents are held back, by the crashes that hosts know of."""
+"""Which contents are quarantined, depending on the crashes that hosts know."""
 
 from __future__ import annotations
 
@@ -47,32 +47,32 @@
     return [crash(f"start-{n}", first_at + n * pause) for n in range(count)]
 
 
-def note_all(book: CrashBook, found: Sequence[Crash], content: str = FATAL) -> None:
+def record_all(book: CrashBook, found: Sequence[Crash], content: str = FATAL) -> None:
     for item in found:
         book.note_crash(content, item)
 
 
-def held(book: CrashBook) -> list[str]:
+def quarantined(book: CrashBook) -> list[str]:
     return [history.fingerprint for history in book.held_back()]
 
 
-class TestCrashesThatAreToldApart:
-    """Guards against crashes that don't count, as each was told after another time."""
+class TestReportedCrashTimes:
+    """Guards against uncounted crashes, as network delays shift reported times."""
 
-    def test_count_one_after_another(self, clock: Clock) -> None:
+    def test_count_as_successive_crashes(self, clock: Clock) -> None:
         first = crash("first", clock.now)
         second = Crash("second", first.crashed_at, first.crashed_at + RUN_SECONDS)
         book = CrashBook()
-        for way_seconds, known in ((0.004, (first,)), (0.001, (first, second))):
+        for delay_seconds, known in ((0.004, (first,)), (0.001, (first, second))):
             record = to_crash_record(CrashHistory(FATAL, known))
-            clock.now += way_seconds
+            clock.now += delay_seconds
             book.take(usable_histories("host", [record]))
             clock.now += RUN_SECONDS
         history = book.find(FATAL)
         assert history is not None
         assert history.count == 2
 
-    def test_are_no_news_when_told_again(self, clock: Clock) -> None:
+    def test_do_not_change_the_version_when_repeated(self, clock: Clock) -> None:
         book = CrashBook()
         history = CrashHistory(FATAL, (crash("first", clock.now),))
         book.take([history])
@@ -84,139 +84,141 @@
         assert book.version == version
 
 
-class TestContentThatCrashesEndpoints:
-    def test_is_held_back_from_the_third_crash_on(self, clock: Clock) -> None:
+class TestFatalContentQuarantine:
+    def test_starts_at_the_third_crash(self, clock: Clock) -> None:
         book = CrashBook()
         first, second, third = crashes(3, clock.now)
-        note_all(book, [first, second])
-        assert held(book) == []
-        note_all(book, [third])
-        assert held(book) == [FATAL]
+        record_all(book, [first, second])
+        assert quarantined(book) == []
+        record_all(book, [third])
+        assert quarantined(book) == [FATAL]
 
-    def test_is_tried_again_in_the_end(self, clock: Clock) -> None:
+    def test_expires_and_restarts_at_the_next_crash(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(3, clock.now))
+        record_all(book, crashes(3, clock.now))
         clock.now += QUARANTINE_SECONDS + 3
-        assert held(book) == []
+        assert quarantined(book) == []
         book.note_crash(FATAL, crash("late", clock.now))
-        assert held(book) == [FATAL]
+        assert quarantined(book) == [FATAL]
 
-    def test_is_forgotten_in_the_end(self, clock: Clock) -> None:
+    def test_is_forgotten_after_the_storage_time(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(3, clock.now))
+        record_all(book, crashes(3, clock.now))
         clock.now += REMEMBERED_SECONDS + 3
         book.forget_old()
         assert book.is_empty
 
 
 class TestHarmlessContent:
-    """Guards against holding back what only ran beside a content that crashes."""
+    """Guards against quarantining a content that only ran beside a fatal one."""
 
     def test_two_crashes_are_not_enough(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(2, clock.now))
-        assert held(book) == []
+        record_all(book, crashes(2, clock.now))
+        assert quarantined(book) == []
 
-    def test_a_whole_answer_clears_it(self, clock: Clock) -> None:
+    def test_a_complete_answer_clears_it(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(2, clock.now))
+        record_all(book, crashes(2, clock.now))
         clock.now += 2
         assert book.clear(FATAL)
-        note_all(
+        record_all(
             book, [crash("start-8", clock.now + 1), crash("start-9", clock.now + 2)]
         )
-        assert held(book) == []
+        assert quarantined(book) == []
 
-    def test_equal_requests_at_many_endpoints_that_end_together_count_once(
+    def test_equal_requests_at_endpoints_that_crash_together_count_once(
         self, clock: Clock
     ) -> None:
         book = CrashBook()
-        note_all(book, [crash(f"start-{n}", clock.now + n / 1000) for n in range(5)])
-        assert held(book) == []
+        record_all(book, [crash(f"start-{n}", clock.now + n / 1000) for n in range(5)])
+        assert quarantined(book) == []
 
     def test_hosts_that_report_one_crash_count_once(self, clock: Clock) -> None:
         book = CrashBook()
         for late in range(5):
             book.note_crash(FATAL, crash("start-1", clock.now + late, ran_for=0.0))
-        assert held(book) == []
+        assert quarantined(book) == []
 
-    def test_a_late_report_from_before_its_whole_answer_does_not_count(
+    def test_a_late_report_from_before_its_complete_answer_does_not_count(
         self, clock: Clock
     ) -> None:
         book = CrashBook()
         found = crashes(3, clock.now)
-        note_all(book, found)
+        record_all(book, found)
         clock.now += 5
         book.clear(FATAL)
-        note_all(book, found)
-        assert held(book) == []
+        record_all(book, found)
+        assert quarantined(book) == []
 
 
-class TestBound:
-    def test_contents_are_limited_and_the_held_one_stays(self, clock: Clock) -> None:
+class TestStorageLimits:
+    def test_contents_are_limited_and_the_quarantined_one_is_kept(
+        self, clock: Clock
+    ) -> None:
         book = CrashBook()
-        note_all(book, crashes(3, clock.now))
+        record_all(book, crashes(3, clock.now))
         for number in range(2 * MAXIMUM_CONTENTS):
             book.note_crash(f"{number:016x}", crash("start-1", clock.now + number))
         assert len(book.changes_since(0)[1]) == MAXIMUM_CONTENTS
-        assert held(book) == [FATAL]
+        assert quarantined(book) == [FATAL]
 
     def test_crashes_of_a_content_are_limited(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(50, clock.now))
+        record_all(book, crashes(50, clock.now))
         history = book.find(FATAL)
         assert history is not None
         assert len(history.crashes) == MAXIMUM_CRASHES
 
 
-class TestHostsThatTellEachOther:
-    def test_end_with_the_same_in_any_order(self, clock: Clock) -> None:
-        told = [CrashHistory(FATAL, (item,)) for item in crashes(4, clock.now)]
-        told.append(CrashHistory(FATAL, cleared_at=clock.now + 0.5))
+class TestReportsBetweenHosts:
+    def test_lead_to_the_same_histories_in_any_order(self, clock: Clock) -> None:
+        reported = [CrashHistory(FATAL, (item,)) for item in crashes(4, clock.now)]
+        reported.append(CrashHistory(FATAL, cleared_at=clock.now + 0.5))
         known = set()
-        for order in itertools.permutations(told):
+        for order in itertools.permutations(reported):
             book = CrashBook()
             book.take(order)
             history = book.find(FATAL)
             assert history is not None
             known.add(history.crashes)
-        # A clearing of what is not known changes nothing; it then misses one crash.
+        # Clearing an unknown content changes nothing; one crash is not cleared then.
         assert {len(found) for found in known} <= {3, 4}
 
-    def test_stop_when_nothing_is_new(self, clock: Clock) -> None:
-        """Guards against histories that go round between hosts for ever."""
+    def test_stop_without_changes(self, clock: Clock) -> None:
+        """Guards against histories that circulate between hosts forever."""
         books = [CrashBook() for _ in range(3)]
-        note_all(books[0], crashes(2, clock.now))
+        record_all(books[0], crashes(2, clock.now))
         clock.now += 3
         for _ in range(3):
-            exchange(books, clock, 0.05)
+            exchange_all(books, clock, 0.05)
         books[2].clear(FATAL)
         for _ in range(3):
-            exchange(books, clock, 0.05)
+            exchange_all(books, clock, 0.05)
         versions = [book.version for book in books]
         for _ in range(10):
-            exchange(books, clock, 0.05)
+            exchange_all(books, clock, 0.05)
         assert [book.version for book in books] == versions
 
-    def test_entry_hosts_are_told_of_suspects_alone(self, clock: Clock) -> None:
+    def test_entry_hosts_get_only_suspects(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(1, clock.now), OTHER)
-        note_all(book, crashes(2, clock.now))
+        record_all(book, crashes(1, clock.now), OTHER)
+        record_all(book, crashes(2, clock.now))
         assert book.suspects_version == book.version
         found = book.changes_since(0, suspects_only=True)[1]
         assert [history.fingerprint for history in found] == [FATAL]
         assert len(book.changes_since(0)[1]) == 2
 
-    def test_a_record_survives_the_way(self, clock: Clock) -> None:
+    def test_a_record_can_be_read_by_the_receiver(self, clock: Clock) -> None:
         book = CrashBook()
-        note_all(book, crashes(3, clock.now))
+        record_all(book, crashes(3, clock.now))
         clock.now += 10
         history = book.find(FATAL)
         assert history is not None
         record = received(to_crash_record(history))
-        (told,) = usable_histories("host", [record])
-        assert told.count == 3
-        assert told.latest_at == pytest.approx(history.latest_at, abs=0.002)
+        (reported,) = usable_histories("host", [record])
+        assert reported.count == 3
+        assert reported.latest_at == pytest.approx(history.latest_at, abs=0.002)
 
     @pytest.mark.parametrize(
         ("name", "value"),
@@ -228,11 +230,11 @@
             ("cleared_ago_ms", -1),
         ],
     )
-    def test_a_record_that_is_not_usable_costs_no_other(
+    def test_an_invalid_record_does_not_affect_others(
         self, clock: Clock, name: str, value: object
     ) -> None:
         book = CrashBook()
-        note_all(book, crashes(3, clock.now))
+        record_all(book, crashes(3, clock.now))
         history = book.find(FATAL)
         assert history is not None
         sound, broken = to_crash_record(history), to_crash_record(history)
@@ -241,10 +243,10 @@
         assert [item.fingerprint for item in found] == [FATAL]
 
 
-def exchange(books: Sequence[CrashBook], clock: Clock, delay: float) -> None:
-    """Let each book tell each other one all that it knows, with a delay in seconds."""
-    for teller, hearer in itertools.permutations(books, 2):
-        _, histories = teller.changes_since(0)
+def exchange_all(books: Sequence[CrashBook], clock: Clock, delay: float) -> None:
+    """Report all histories of each registry to each other one, after a delay."""
+    for sender, receiver in itertools.permutations(books, 2):
+        _, histories = sender.changes_since(0)
         records = [to_crash_record(history) for history in histories]
         clock.now += delay
-        hearer.take(usable_histories("host", records))
+        receiver.take(usable_histories("host", records))
--- a/tests/quarantine/test_fingerprints.py
+++ b/tests/quarantine/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which requests have the same content."""
+"""Which requests have the same fingerprint."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TestFingerprint:
-    def test_equal_requests_have_the_same(self) -> None:
+    def test_is_equal_for_equal_requests(self) -> None:
         assert fingerprint_of(*FIRST) == fingerprint_of(*FIRST)
 
     @pytest.mark.parametrize(
@@ -23,9 +23,11 @@
             ("account", "POST", "host.example", "/path?query", b"other"),
         ],
     )
-    def test_every_part_counts(self, other: tuple[str, str, str, str, bytes]) -> None:
+    def test_depends_on_each_part(
+        self, other: tuple[str, str, str, str, bytes]
+    ) -> None:
         assert fingerprint_of(*other) != fingerprint_of(*FIRST)
 
-    def test_parts_do_not_run_into_each_other(self) -> None:
+    def test_depends_on_the_boundaries_of_parts(self) -> None:
         moved = ("accountP", "OST", *FIRST[2:])
         assert fingerprint_of(*moved) != fingerprint_of(*FIRST)
--- a/tests/quarantine/test_harmless.py
+++ b/tests/quarantine/test_harmless.py
@@ -1,4 +1,4 @@
-"""Contents that this host has seen run without harm."""
+"""Contents that this host has seen run without a crash."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TestHarmlessContents:
-    def test_counts_for_a_while(self, clock: Clock) -> None:
+    def test_expires(self, clock: Clock) -> None:
         harmless = HarmlessContents()
         assert not harmless.holds("content")
         harmless.note("content")
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -1,7 +1,7 @@
-"""Contents that run at the same endpoints as one that ends them, in virtual time.
+"""Contents that run at the same endpoints as a fatal content, in virtual time.
 
-Hosts note runs by the classes of the forwarding path and tell each other by records,
-as they do over the network.
+Hosts record runs with the classes of the forwarding path and exchange records, as they
+do over the network.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 FATAL = "f" * 16
 STREAM, OTHER_STREAM, POLL = "0" * 16, "1" * 16, "2" * 16
 ENDPOINTS = 3
-# Between two crashes, and from the first event of a stream to the end of its endpoint,
-# in seconds.
+# The time between two crashes, and from the first event of a stream to the crash of its
+# endpoint, in seconds.
 PAUSE_SECONDS = 0.6
 ANSWERED_SECONDS = BEGIN_SECONDS / 2
 CLOCKS = (
@@ -55,14 +55,14 @@
 
 
 class EndedEndpoints:
-    """Knows each endpoint whose run was cut as one that has ended."""
+    """Reports each endpoint with an interrupted run as ended."""
 
     def is_over(self, endpoint: object) -> bool:
         return True
 
 
 class Host:
-    """An entry host: what it has noted, and its verdict on a content."""
+    """An entry host, with its crash registry and its quarantine."""
 
     def __init__(self) -> None:
         endpoints: Any = EndedEndpoints()
@@ -91,17 +91,17 @@
     def begin_answer(self) -> None:
         self.attempts.answered_from = Deadline.after(0)
 
-    def go_on(self) -> None:
-        """Let a further event come, or the end of the answer."""
+    def receive_event(self) -> None:
+        """Receive a further event or the end of the answer."""
         self.host.quarantine.note_harmless(context_of(self.content))
 
-    def cut(self) -> None:
+    def interrupt(self) -> None:
         endpoint: Any = SimpleNamespace(start_id=self.start_id, address="")
         self.host.crashes.note_cut(context_of(self.content), self.attempts, endpoint)
 
 
 class Hosts:
-    """Three entry hosts and a control host, none of which knows anything at first."""
+    """Three entry hosts and a control host, all with empty registries at first."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -112,12 +112,12 @@
     def restart(self, number: int) -> None:
         self.all[number] = Host()
 
-    def end_endpoint(
+    def crash_endpoint(
         self, answered: list[str], silent: list[str], first_host: int = 0
     ) -> None:
-        """Let an endpoint end that answers some contents and others not yet.
+        """Crash an endpoint that answers some contents, but not yet the silent ones.
 
-        Each content is sent by the next host, from the first one on.
+        Successive hosts send one content each, beginning with `first_host`.
         """
         start_id = f"start-{next(self._starts)}"
         runs = [
@@ -128,32 +128,32 @@
             run.begin_answer()
         self.clock.now += ANSWERED_SECONDS
         for run in runs:
-            run.cut()
-        self.tell_all()
+            run.interrupt()
+        self.report_all()
         self.clock.now += PAUSE_SECONDS
-        self.tell_all()
+        self.report_all()
 
-    def run_harmlessly(self, content: str, number: int) -> None:
-        """Let one host see a stream that is answered for longer than a crash needs."""
+    def run_without_crash(self, content: str, number: int) -> None:
+        """Let a host see a stream answered for longer than a crash can take."""
         run = Run(self.all[number], content, f"start-{next(self._starts)}")
         run.begin_answer()
         self.clock.now += 2 * BEGIN_SECONDS
-        run.go_on()
+        run.receive_event()
 
-    def tell_all(self) -> None:
+    def report_all(self) -> None:
         for host in self.all:
-            _tell(host.book, self._control, suspects_only=False)
+            _report(host.book, self._control, suspects_only=False)
         for host in self.all:
-            _tell(self._control, host.book, suspects_only=True)
+            _report(self._control, host.book, suspects_only=True)
 
     def refusing(self, content: str) -> list[int]:
         return [n for n, host in enumerate(self.all) if host.refuses(content)]
 
 
-def _tell(teller: CrashBook, hearer: CrashBook, suspects_only: bool) -> None:
-    _, found = teller.changes_since(0, suspects_only)
+def _report(sender: CrashBook, receiver: CrashBook, suspects_only: bool) -> None:
+    _, found = sender.changes_since(0, suspects_only)
     records = [to_crash_record(history) for history in found]
-    hearer.take(usable_histories("host", records))
+    receiver.take(usable_histories("host", records))
 
 
 @pytest.fixture
@@ -161,8 +161,8 @@
     return Hosts(clock)
 
 
-class TestStreamBesideFatalContentAfterLossOfMemory:
-    """Guards against holding back a stream since nobody knows any more that it ran."""
+class TestStreamBesideFatalContentAfterRestart:
+    """Guards against quarantining a stream because restarted hosts forgot its runs."""
 
     @pytest.mark.parametrize("answered_at", [1, 2, 3])
     def test_is_served_if_an_endpoint_answered_it(
@@ -170,49 +170,49 @@
     ) -> None:
         for number in range(ENDPOINTS):
             is_answered = number < answered_at
-            hosts.end_endpoint(
+            hosts.crash_endpoint(
                 [STREAM] if is_answered else [],
                 [FATAL] if is_answered else [FATAL, STREAM],
             )
         assert hosts.refusing(STREAM) == []
 
-    def test_is_served_if_the_last_endpoint_alone_answered_it(
+    def test_is_served_if_only_the_last_endpoint_answered_it(
         self, hosts: Hosts
     ) -> None:
         for _ in range(ENDPOINTS - 1):
-            hosts.end_endpoint([], [FATAL, STREAM])
-        hosts.end_endpoint([STREAM], [FATAL])
+            hosts.crash_endpoint([], [FATAL, STREAM])
+        hosts.crash_endpoint([STREAM], [FATAL])
         assert hosts.refusing(STREAM) == []
 
-    def test_two_of_them_are_served(self, hosts: Hosts) -> None:
+    def test_two_concurrent_streams_are_served(self, hosts: Hosts) -> None:
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([STREAM, OTHER_STREAM], [FATAL])
+            hosts.crash_endpoint([STREAM, OTHER_STREAM], [FATAL])
         assert hosts.refusing(STREAM) == hosts.refusing(OTHER_STREAM) == []
 
-    def test_two_that_are_answered_in_turn_are_served(self, hosts: Hosts) -> None:
+    def test_two_streams_answered_in_turn_are_served(self, hosts: Hosts) -> None:
         for content, other in itertools.islice(
             itertools.cycle([(STREAM, OTHER_STREAM), (OTHER_STREAM, STREAM)]), ENDPOINTS
         ):
-            hosts.end_endpoint([content], [FATAL, other])
+            hosts.crash_endpoint([content], [FATAL, other])
         assert hosts.refusing(STREAM) == hosts.refusing(OTHER_STREAM) == []
 
 
-class TestContentThatAnotherHostHasSeenRun:
-    """Guards against blame by a host that has started anew, where another one knows."""
+class TestContentSeenRunByAnotherHost:
+    """Guards against a quarantine by a restarted host if another host saw it run."""
 
     def test_is_served_if_it_ran_before_the_first_crash(self, hosts: Hosts) -> None:
         for number in range(3):
-            hosts.run_harmlessly(POLL, number)
-        hosts.tell_all()
+            hosts.run_without_crash(POLL, number)
+        hosts.report_all()
         hosts.restart(0)
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([], [POLL, FATAL])
+            hosts.crash_endpoint([], [POLL, FATAL])
         assert hosts.refusing(POLL) == []
 
     def test_is_served_by_the_host_that_knows(self, hosts: Hosts) -> None:
-        hosts.run_harmlessly(POLL, 2)
+        hosts.run_without_crash(POLL, 2)
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([], [POLL, FATAL])
+            hosts.crash_endpoint([], [POLL, FATAL])
         assert 2 not in hosts.refusing(POLL)
 
     @pytest.mark.parametrize("crashes_before", [1, 2])
@@ -221,53 +221,55 @@
     ) -> None:
         for number in range(ENDPOINTS):
             if number == crashes_before:
-                hosts.run_harmlessly(POLL, 2)
-                hosts.tell_all()
-            hosts.end_endpoint([], [POLL, FATAL])
-        # The host that saw it run is asked last: its request tells the others.
+                hosts.run_without_crash(POLL, 2)
+                hosts.report_all()
+            hosts.crash_endpoint([], [POLL, FATAL])
+        # The host that saw it run is asked last, since its request clears the content.
         assert [host.refuses(POLL) for host in hosts.all] == [False] * 3
 
-    def test_is_served_if_hosts_start_anew_in_turn(self, hosts: Hosts) -> None:
+    def test_is_served_if_hosts_restart_in_turn(self, hosts: Hosts) -> None:
         for number in range(3):
-            hosts.run_harmlessly(POLL, number)
+            hosts.run_without_crash(POLL, number)
         for number in range(ENDPOINTS):
             hosts.restart(number)
-            hosts.tell_all()
-            hosts.end_endpoint([], [POLL, FATAL], first_host=number)
+            hosts.report_all()
+            hosts.crash_endpoint([], [POLL, FATAL], first_host=number)
         assert hosts.refusing(POLL) == []
 
 
 class TestFatalContent:
-    """Guards against sparing what ends endpoints, for the sake of what runs beside."""
+    """Guards against excusing a fatal content by contents that run beside it."""
 
     @pytest.mark.parametrize("beside", [[], [STREAM], [STREAM, OTHER_STREAM]])
     def test_is_refused_after_three_endpoints(
         self, hosts: Hosts, beside: list[str]
     ) -> None:
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint(beside, [FATAL])
+            hosts.crash_endpoint(beside, [FATAL])
         assert hosts.refusing(FATAL) == [0, 1, 2]
 
-    def test_is_refused_if_another_one_waits_beside_it(self, hosts: Hosts) -> None:
+    def test_is_refused_if_another_content_waits_concurrently(
+        self, hosts: Hosts
+    ) -> None:
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([], [FATAL, STREAM])
+            hosts.crash_endpoint([], [FATAL, STREAM])
         assert hosts.refusing(FATAL) == [0, 1, 2]
 
-    def test_is_refused_if_it_is_answered_for_a_moment(self, hosts: Hosts) -> None:
+    def test_is_refused_if_it_is_answered_briefly(self, hosts: Hosts) -> None:
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([FATAL], [])
+            hosts.crash_endpoint([FATAL], [])
         assert hosts.refusing(FATAL) == [0, 1, 2]
 
-    def test_is_refused_if_answered_beside_others_that_wait_once_each(
+    def test_is_refused_if_answered_while_others_wait_once_each(
         self, hosts: Hosts
     ) -> None:
         for number in range(ENDPOINTS):
-            hosts.end_endpoint([FATAL], [f"{number + 3:016x}"])
+            hosts.crash_endpoint([FATAL], [f"{number + 3:016x}"])
         assert hosts.refusing(FATAL) == [0, 1, 2]
 
     def test_is_refused_once_it_ran_without_the_other(self, hosts: Hosts) -> None:
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([FATAL], [STREAM])
+            hosts.crash_endpoint([FATAL], [STREAM])
         for _ in range(ENDPOINTS):
-            hosts.end_endpoint([FATAL], [])
+            hosts.crash_endpoint([FATAL], [])
         assert hosts.refusing(FATAL) == [0, 1, 2]
--- a/tests/quarantine/test_told_contents.py
+++ b/tests/quarantine/test_told_contents.py
@@ -1,4 +1,4 @@
-"""What a host makes of crashes that others tell, of contents it has seen run."""
+"""Reported crashes of contents that the receiving host has seen run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from jujubeslip.quarantine import Crash, CrashBook, CrashHistory, HarmlessContents
 from jujubeslip.quarantine import _book as book_module
 from jujubeslip.quarantine import _harmless as harmless_module
-from jujubeslip.quarantine._book import MAXIMUM_TOLD
+from jujubeslip.quarantine._book import MAXIMUM_UNSUSPECTED
 from jujubeslip.quarantine._harmless import HARMLESS_SECONDS
 from tests.fakes.clock import Clock
 
@@ -30,12 +30,12 @@
 
 def crashes(clock: Clock, count: int) -> tuple[Crash, ...]:
     """Return crashes one after another, the latest of them now."""
-    instants = [clock.now - number for number in reversed(range(count))]
-    return tuple(Crash(f"start-{at}", at - RUN_SECONDS, at) for at in instants)
+    times = [clock.now - number for number in reversed(range(count))]
+    return tuple(Crash(f"start-{at}", at - RUN_SECONDS, at) for at in times)
 
 
 class Host:
-    """What an entry host knows, and how often it has cleared a content."""
+    """An entry host's registries, and how often it has cleared a content."""
 
     def __init__(self) -> None:
         self.book = CrashBook()
@@ -48,11 +48,11 @@
         self.cleared += 1
 
 
-class TestContentThatThisHostHasSeenRun:
-    """Guards against holding back what a host knows well that was not asked."""
+class TestContentSeenRunByThisHost:
+    """Guards against quarantining a content that another host has seen run."""
 
     @pytest.mark.parametrize("count", [1, 2, 3])
-    def test_is_cleared_whatever_count_is_told(self, clock: Clock, count: int) -> None:
+    def test_is_cleared_for_any_reported_count(self, clock: Clock, count: int) -> None:
         host = Host()
         host.harmless.note(POLL)
         clock.now += count
@@ -61,8 +61,8 @@
         assert not history.crashes
         assert host.cleared == 1
 
-    def test_is_told_once_of_crashes_that_come_again(self, clock: Clock) -> None:
-        """Guards against hosts that tell each other the same for ever."""
+    def test_is_cleared_once_for_repeated_reports(self, clock: Clock) -> None:
+        """Guards against hosts that report the same change to each other forever."""
         host = Host()
         host.harmless.note(POLL)
         found = crashes(clock, 1)
@@ -71,15 +71,15 @@
             host.book.take([CrashHistory(POLL, found)])
         assert host.cleared == 1
 
-    def test_is_not_cleared_later(self, clock: Clock) -> None:
-        """Guards against sparing what a new version of endpoints can't bear."""
+    def test_is_not_cleared_after_it_expires(self, clock: Clock) -> None:
+        """Guards against excusing a content that crashes a new endpoint version."""
         host = Host()
         host.harmless.note(POLL)
         clock.now += HARMLESS_SECONDS + 1
         host.book.take([CrashHistory(POLL, crashes(clock, 1))])
         assert host.cleared == 0
 
-    def test_another_one_is_not_cleared(self, clock: Clock) -> None:
+    def test_another_content_is_not_cleared(self, clock: Clock) -> None:
         host = Host()
         host.harmless.note("1" * 16)
         host.book.take([CrashHistory(POLL, crashes(clock, 3))])
@@ -87,16 +87,16 @@
         assert host.book.held_back()
 
 
-class TestWhatEntryHostsAreTold:
+class TestReportsToEntryHosts:
     def test_suspects_and_the_latest_of_the_others(self, clock: Clock) -> None:
-        """Guards against answers that grow with what ran at an endpoint."""
+        """Guards against replies that grow with the contents run at an endpoint."""
         book = CrashBook()
         book.take([CrashHistory(POLL, crashes(clock, 2))])
-        others = [f"{number:016x}" for number in range(1, 2 * MAXIMUM_TOLD)]
+        others = [f"{number:016x}" for number in range(1, 2 * MAXIMUM_UNSUSPECTED)]
         for content in others:
             clock.now += 1
             book.take([CrashHistory(content, crashes(clock, 1))])
         version, found = book.changes_for_entry_host(0)
-        told = {history.fingerprint for history in found}
-        assert told == {POLL, *others[-MAXIMUM_TOLD:]}
+        reported = {history.fingerprint for history in found}
+        assert reported == {POLL, *others[-MAXIMUM_UNSUSPECTED:]}
         assert book.changes_for_entry_host(version) == (version, [])
