--- a/src/jujubeslip/notices/__init__.py
+++ b/src/jujubeslip/notices/__init__.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in the heads of their answers."""
+"""Notices of endpoints in the headers of their answers: limits, backoff, leaving."""
 
 from jujubeslip.notices._book import EndpointNotices
 from jujubeslip.notices._models import (
--- a/src/jujubeslip/notices/_book.py
+++ b/src/jujubeslip/notices/_book.py
@@ -1,4 +1,4 @@
-"""The notices of all endpoints that a host has had answers from."""
+"""Registry of the notices from all endpoints that have sent answers to this host."""
 
 from __future__ import annotations
 
@@ -12,80 +12,80 @@
 
 logger = logging.getLogger(__name__)
 
-# Starts that are not known, and whose notices are kept, at most.
-MAXIMUM_UNKNOWN = 1000
-NOTHING_SAID = Notice()
+# The maximum number of unknown starts whose notices are kept.
+MAXIMUM_UNKNOWN_STARTS = 1000
+EMPTY_NOTICE = Notice()
 
 
 class EndpointNotices:
-    """Keeps what endpoints say of themselves, by start; may be used by threads.
+    """Stores the notices of endpoints by start; thread-safe.
 
-    A new start has said nothing: what the one before asked for ended with it. Without a
-    book, each start counts as known.
+    A new start has no notice, since the requests of the previous start ended with it.
+    Without a registry of endpoints, each start is considered known.
     """
 
-    def __init__(self, book: EndpointBook | None = None) -> None:
-        self._book = book
+    def __init__(self, endpoint_registry: EndpointBook | None = None) -> None:
+        self._endpoint_registry = endpoint_registry
         self._notice_by_start: dict[str, Notice] = {}
         self._lifted_at_by_start: dict[str, float] = {}
-        """Of limits that the leader is still to be told of."""
+        """Lifted limits that have not been reported to the leader yet."""
         self._lock = threading.Lock()
 
-    # What answers say
+    # Notices in answers
 
     def note_answer(
         self, endpoint: Endpoint, head: EndpointHead, sent_at: float
     ) -> None:
-        """Note what the head of an answer says to a request sent at this instant.
+        """Record the notice in the headers of an answer to a request.
 
-        An answer without a limit lifts the one that is known, unless its request was
-        sent before that was named.
+        An answer without a limit lifts the known limit, unless its request was sent
+        before that limit was named.
         """
         known = self._get(endpoint.start_id)
-        if known is NOTHING_SAID and not head.says_of_itself:
+        if known is EMPTY_NOTICE and not head.says_of_itself:
             return
         now = steady_seconds()
         with self._lock:
             known = self._get(endpoint.start_id)
-            told = known.with_head(head, now)
+            updated = known.with_head(head, now)
             names_limit = head.limit_per_second is not None
             if names_limit or (known.limit and sent_at > known.limit.named_at):
-                told = told.with_limit(head.limit_per_second, now)
-            self._notice_by_start[endpoint.start_id] = told
-            if known.limit is not None and told.limit is None:
+                updated = updated.with_limit(head.limit_per_second, now)
+            self._notice_by_start[endpoint.start_id] = updated
+            if known.limit is not None and updated.limit is None:
                 self._lifted_at_by_start[endpoint.start_id] = now
-        _log_change(endpoint.start_id, known, told)
+        _log_change(endpoint.start_id, known, updated)
 
     def note_other_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
-        """Note what an answer says that is no answer to a client's request.
+        """Record the notice in an answer to another call than a client's request.
 
-        Such answers name no limits, so that they lift none.
+        Such answers name no limits, so they don't lift any.
         """
         if not head.says_of_itself:
             return
         with self._lock:
             known = self._get(endpoint.start_id)
-            told = known.with_head(head, steady_seconds())
-            self._notice_by_start[endpoint.start_id] = told
-        _log_change(endpoint.start_id, known, told)
+            updated = known.with_head(head, steady_seconds())
+            self._notice_by_start[endpoint.start_id] = updated
+        _log_change(endpoint.start_id, known, updated)
 
-    # What is known
+    # Queries
 
     def hold_of(self, start_id: str) -> Hold | None:
-        """Return why a start may not be asked, None if only its limit may say so."""
+        """Return the hold on a start apart from its limit, or None if there is none."""
         return self._get(start_id).hold
 
     def in_backoff(self, start_id: str) -> bool:
-        """Say whether a start wants no requests from this host for a while."""
+        """Return whether a backoff that a start asked this host for is in effect."""
         hold = self.hold_of(start_id)
         return hold is not None and hold.reason is HoldReason.BACKOFF
 
     def leaves(self, start_id: str) -> bool:
-        """Say whether a start has said that it is shutting down."""
+        """Return whether a start has announced that it is shutting down."""
         return self._get(start_id).is_leaving
 
     def limit_of(self, start_id: str) -> NamedLimit | None:
-        """Return the limit that a start has named, None without one."""
+        """Return the limit that a start has named, or None if it named none."""
         return self._get(start_id).limit
 
     @property
@@ -93,84 +93,93 @@
         """Return the starts that have named a limit."""
         with self._lock:
             return [
-                start for start, told in self._notice_by_start.items() if told.limit
+                start for start, notice in self._notice_by_start.items() if notice.limit
             ]
 
     @property
     def held_count(self) -> int:
-        """Return how many starts are in backoff or leave."""
+        """Return how many starts are in backoff or leaving."""
         with self._lock:
-            return sum(told.hold is not None for told in self._notice_by_start.values())
+            return sum(
+                notice.hold is not None for notice in self._notice_by_start.values()
+            )
 
-    # Limits that end
+    # Expiry of limits and notices
 
     def drop_limit(self, start_id: str, lifted_at: float) -> bool:
-        """Drop a limit that another host was told is lifted; say whether it counted."""
+        """Drop a limit that another host reported as lifted.
+
+        Return False if there is no limit, or if it was named after it was lifted.
+        """
         with self._lock:
             known = self._get(start_id)
             if known.limit is None or known.limit.named_at > lifted_at:
                 return False
-            told = known.with_limit(None, lifted_at)
-            self._notice_by_start[start_id] = told
-        _log_change(start_id, known, told)
+            updated = known.with_limit(None, lifted_at)
+            self._notice_by_start[start_id] = updated
+        _log_change(start_id, known, updated)
         return True
 
     def take_lifted(self) -> dict[str, float]:
-        """Return when limits were lifted that were not returned before, by start."""
+        """Return the times of lifted limits by start, and clear the pending ones."""
         with self._lock:
             lifted, self._lifted_at_by_start = self._lifted_at_by_start, {}
         return lifted
 
     def forget_old(self) -> list[str]:
-        """Drop what counts no more; return the starts whose limits are among it."""
-        unlimited = []
+        """Drop expired limits and notices; return the starts whose limits expired."""
+        expired = []
         with self._lock:
-            for start_id, told in list(self._notice_by_start.items()):
-                if told.limit is not None and told.limit.forgotten_at.expired:
-                    unlimited.append(start_id)
-                    told = told.with_limit(None, steady_seconds())
-                    self._notice_by_start[start_id] = told
-                if not told.counts:
+            for start_id, notice in list(self._notice_by_start.items()):
+                if notice.limit is not None and notice.limit.forgotten_at.expired:
+                    expired.append(start_id)
+                    notice = notice.with_limit(None, steady_seconds())
+                    self._notice_by_start[start_id] = notice
+                if not notice.is_in_effect:
                     del self._notice_by_start[start_id]
             self._forget_unknown()
-        return unlimited
+        return expired
 
     def _forget_unknown(self) -> None:
-        """Drop notices of starts that are not known, the oldest ones, if too many.
+        """Drop the oldest notices of unknown starts beyond MAXIMUM_UNKNOWN.
 
-        A start that was out of reach may be announced again; what it said counts then.
+        The others are kept, since a start that was unreachable may be announced again
+        and its notice is still valid then.
         """
         unknown = [item for item in self._notice_by_start if not self._is_known(item)]
-        unknown.sort(key=lambda item: self._notice_by_start[item].heard_at)
-        for start_id in unknown[: max(0, len(unknown) - MAXIMUM_UNKNOWN)]:
+        unknown.sort(key=lambda item: self._notice_by_start[item].received_at)
+        for start_id in unknown[: max(0, len(unknown) - MAXIMUM_UNKNOWN_STARTS)]:
             del self._notice_by_start[start_id]
 
     def _get(self, start_id: str) -> Notice:
-        return self._notice_by_start.get(start_id, NOTHING_SAID)
+        return self._notice_by_start.get(start_id, EMPTY_NOTICE)
 
     def _is_known(self, start_id: str) -> bool:
-        return self._book is None or self._book.find_start(start_id) is not None
+        return (
+            self._endpoint_registry is None
+            or self._endpoint_registry.find_start(start_id) is not None
+        )
 
 
-def _log_change(start_id: str, known: Notice, told: Notice) -> None:
-    """Log what an answer has changed; most change nothing."""
-    if known.limit != told.limit:
-        _log_limit(start_id, known.limit, told.limit)
-    if told.backoff_until > known.backoff_until:
+def _log_change(start_id: str, known: Notice, updated: Notice) -> None:
+    """Log the changes of a notice; most answers change nothing."""
+    if known.limit != updated.limit:
+        _log_limit(start_id, known.limit, updated.limit)
+    if updated.backoff_until > known.backoff_until:
         extra: dict[str, object] = {
             "start_id": start_id,
-            "seconds": round(told.backoff_until.remaining(), 3),
+            "seconds": round(updated.backoff_until.remaining(), 3),
         }
         logger.info("endpoint asked for backoff", extra=extra)
-    if told.is_leaving and not known.is_leaving:
+    if updated.is_leaving and not known.is_leaving:
         logger.info("endpoint said that it leaves", extra={"start_id": start_id})
 
 
 def _log_limit(
-    start_id: str, known: NamedLimit | None, told: NamedLimit | None
+    start_id: str, known: NamedLimit | None, updated: NamedLimit | None
 ) -> None:
     before = known.per_second if known else None
-    per_second = told.per_second if told else None
+    per_second = updated.per_second if updated else None
     extra = {
         "start_id": start_id,
         "per_second": per_second,
--- a/src/jujubeslip/notices/_models.py
+++ b/src/jujubeslip/notices/_models.py
@@ -1,4 +1,4 @@
-"""What one start of an endpoint has said of itself, and what follows from it."""
+"""Data classes of the notices of endpoints, and of the holds that they cause."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 from jujubeslip.interfaces import EndpointHead
 from jujubeslip.kernel import Deadline
 
-# How long a limit is kept that is not named again, in seconds.
+# How long a limit is kept after it was last named, in seconds.
 KEPT_SECONDS = 60.0
-# The longest backoff that counts, in seconds: a mistaken value must not withdraw an
-# endpoint for good.
+# The maximum backoff, in seconds; longer ones are reduced to it, since an erroneous
+# value must not disable an endpoint permanently.
 LONGEST_BACKOFF_SECONDS = 86_400.0
 LONG_AGO = float("-inf")
 NEVER = Deadline(float("inf"))
 
 
 class HoldReason(Enum):
-    """Why an endpoint is given no requests."""
+    """The reason why an endpoint gets no requests."""
 
     LIMIT = "limit"
-    """All hosts together have used the limit that it named."""
+    """All hosts together have used up the limit that it named."""
     BACKOFF = "backoff"
-    """It refused a request of this host, and asked it to send none for a while."""
+    """It refused a request of this host and asked for a backoff."""
     LEAVING = "leaving"
-    """It said that it is shutting down."""
+    """It announced that it is shutting down."""
 
 
 @dataclass(frozen=True)
 class Hold:
-    """An endpoint is given no requests by this host now."""
+    """A period in which this host sends no requests to an endpoint."""
 
     reason: HoldReason
     until: Deadline
-    """When it may be asked again; infinite if this start never may."""
+    """When the hold ends; infinite if it holds for the rest of this start."""
 
 
 @dataclass(frozen=True)
 class ServiceHolds:
-    """Which of a service's endpoints are on hold, all seen at one moment."""
+    """A snapshot of the holds on a service's endpoints."""
 
     hold_by_start: Mapping[str, Hold | None]
 
     @property
     def cover_all(self) -> bool:
-        """Say whether no endpoint may be asked, where there are any."""
+        """Return whether there are endpoints and all of them are on hold."""
         return bool(self.hold_by_start) and None not in self.hold_by_start.values()
 
     @property
     def first_to_end(self) -> Hold | None:
-        """Return the hold that ends first, None without one that ends."""
+        """Return the hold that ends first, or None if no hold ends."""
         holds = [hold for hold in self.hold_by_start.values() if hold is not None]
         first = min(holds, key=lambda hold: hold.until, default=None)
         return first if first is not None and first.until < NEVER else None
@@ -68,34 +68,34 @@
 
 @dataclass(frozen=True)
 class NamedLimit:
-    """How many requests an endpoint takes from all hosts together."""
+    """The request rate that an endpoint accepts from all hosts together."""
 
     per_second: float
-    """0 where hosts have told that it was lifted."""
+    """0 if hosts have reported that the limit was lifted."""
     named_at: float
-    """When an answer named it last, in seconds of this host's clock."""
+    """When an answer last named it, in seconds of this host's clock."""
 
     @property
     def forgotten_at(self) -> Deadline:
-        """Return when it counts no more, unless it is named again."""
+        """Return when the limit expires, unless it is named again."""
         return Deadline(self.named_at + KEPT_SECONDS)
 
 
 @dataclass(frozen=True)
 class Notice:
-    """All that one start of an endpoint has said and not taken back."""
+    """The backoff, limit and leaving that one start of an endpoint has announced."""
 
     limit: NamedLimit | None = None
     backoff_until: Deadline = Deadline(LONG_AGO)
-    """Until when it wants no requests from this host."""
+    """The end of the backoff that it asked this host for."""
     is_leaving: bool = False
-    heard_at: float = LONG_AGO
-    """When it last said any of this, in seconds of this host's clock."""
+    received_at: float = LONG_AGO
+    """When the last of these was received, in seconds of this host's clock."""
 
     def with_head(self, head: EndpointHead, now: float) -> Notice:
-        """Return the notice with what an answer adds to it.
+        """Return the notice updated with the headers of an answer.
 
-        A backoff is never shortened: it holds for as long as any answer asked for.
+        A backoff is never shortened: the latest end that any answer asked for is used.
         """
         seconds = min(LONGEST_BACKOFF_SECONDS, head.backoff_seconds)
         backoff_until = Deadline(now + seconds)
@@ -103,18 +103,20 @@
             self,
             backoff_until=max(self.backoff_until, backoff_until),
             is_leaving=self.is_leaving or head.is_leaving,
-            heard_at=now if head.backoff_seconds or head.is_leaving else self.heard_at,
+            received_at=now
+            if head.backoff_seconds or head.is_leaving
+            else self.received_at,
         )
 
     def with_limit(self, per_second: float | None, now: float) -> Notice:
-        """Return the notice with the limit that an answer names, or without one."""
+        """Return the notice with the given limit, or without a limit for None."""
         if per_second is None:
             return replace(self, limit=None)
-        return replace(self, limit=NamedLimit(per_second, now), heard_at=now)
+        return replace(self, limit=NamedLimit(per_second, now), received_at=now)
 
     @property
     def hold(self) -> Hold | None:
-        """Return why the endpoint may not be asked whatever its limit, if so."""
+        """Return the hold that applies regardless of the limit, or None."""
         if self.is_leaving:
             return Hold(HoldReason.LEAVING, NEVER)
         if not self.backoff_until.expired:
@@ -122,6 +124,6 @@
         return None
 
     @property
-    def counts(self) -> bool:
-        """Say whether anything of it still counts."""
+    def is_in_effect(self) -> bool:
+        """Return whether any part of the notice is still in effect."""
         return self.limit is not None or self.hold is not None
--- a/src/jujubeslip/quarantine/_book.py
+++ b/src/jujubeslip/quarantine/_book.py
@@ -128,7 +128,7 @@
     def changes_for_entry_host(self, version: int) -> tuple[int, list[CrashHistory]]:
         """Return the changes since a version that are reported to an entry host.
 
-        These are all changed suspects, and the latest MAXIMUM_UNSUSPECTED of the other ones.
+        These are all changed suspects, and the latest MAXIMUM_UNSUSPECTED others.
         """
         newest, changed = self._changed_since(version)
         suspects = [
--- a/tests/notices/test_book.py
+++ b/tests/notices/test_book.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in answers, and how long it counts."""
+"""Notices of endpoints in their answers, and how long they are in effect."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.interfaces import EndpointHead
 from jujubeslip.notices import EndpointNotices, HoldReason, _book, _models
-from jujubeslip.notices._book import MAXIMUM_UNKNOWN
+from jujubeslip.notices._book import MAXIMUM_UNKNOWN_STARTS
 from jujubeslip.notices._models import LONGEST_BACKOFF_SECONDS
 from jujubeslip.platform._endpoint_calls import read_head
 from tests.fakes.engines import engine
@@ -25,29 +25,31 @@
 
 @pytest.fixture
 def now(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Return a list whose only item is the instant of all clocks."""
-    instant = [1000.0]
+    """Return a list whose only item is the time of all clocks."""
+    current_time = [1000.0]
     for module in (_book, _models):
-        monkeypatch.setattr(module, "steady_seconds", lambda: instant[0], raising=False)
+        monkeypatch.setattr(
+            module, "steady_seconds", lambda: current_time[0], raising=False
+        )
     monkeypatch.setattr(
-        "jujubeslip.kernel._deadlines.steady_seconds", lambda: instant[0]
+        "jujubeslip.kernel._deadlines.steady_seconds", lambda: current_time[0]
     )
-    return instant
+    return current_time
 
 
 def after_refusal(backoff: str, known: Endpoint = ENDPOINT) -> EndpointNotices:
-    book = EndpointBook()
-    book.take([known])
-    notices = EndpointNotices(book)
+    endpoint_registry = EndpointBook()
+    endpoint_registry.take([known])
+    notices = EndpointNotices(endpoint_registry)
     notices.note_answer(ENDPOINT, head(Retry_After=backoff), 999.0)
     return notices
 
 
 class TestBackoff:
-    """Guards against an endpoint that is asked before the backoff it wanted is over."""
+    """Guards against requests to an endpoint before its requested backoff has ended."""
 
     @pytest.mark.parametrize("backoff", [("3", 3.0), ("0.25", 0.25), (".5", 0.5)])
-    def test_holds_until_it_ends(
+    def test_is_in_effect_until_it_ends(
         self, now: list[float], backoff: tuple[str, float]
     ) -> None:
         text, seconds = backoff
@@ -62,13 +64,13 @@
     @pytest.mark.parametrize(
         "backoff", ["", "-1", "0", "nan", "inf", "1e9", "soon", "3, 5", "٣"]
     )
-    def test_is_none_where_no_seconds_are_told(
+    def test_is_none_without_valid_seconds(
         self, now: list[float], backoff: str
     ) -> None:
         assert after_refusal(backoff).hold_of(ENDPOINT.start_id) is None
 
     @pytest.mark.parametrize("backoff", ["99999999", "9" * 400, "100000.5"])
-    def test_of_an_absurd_length_ends_all_the_same(
+    def test_is_limited_to_the_maximum_length(
         self, now: list[float], backoff: str
     ) -> None:
         notices = after_refusal(backoff)
@@ -84,13 +86,13 @@
         now[0] += 2.9
         assert notices.hold_of(ENDPOINT.start_id) is not None
 
-    def test_is_told_by_refusals_alone(self, now: list[float]) -> None:
+    def test_is_only_read_from_refusals(self, now: list[float]) -> None:
         notices = EndpointNotices()
         for status in (200, 429, 500):
             notices.note_answer(ENDPOINT, head(status, Retry_After="3"), 999.0)
         assert notices.hold_of(ENDPOINT.start_id) is None
 
-    def test_is_heard_in_answers_to_questions(self, now: list[float]) -> None:
+    def test_is_read_from_answers_to_other_calls(self, now: list[float]) -> None:
         notices = EndpointNotices()
         notices.note_other_answer(ENDPOINT, head(Retry_After="3"))
         assert notices.hold_of(ENDPOINT.start_id) is not None
@@ -100,9 +102,9 @@
 
 
 class TestLeaving:
-    """Guards against requests to an endpoint that has said that it leaves."""
+    """Guards against requests to an endpoint that announced that it is leaving."""
 
-    def test_is_never_taken_back(self, now: list[float]) -> None:
+    def test_is_final_for_the_start(self, now: list[float]) -> None:
         notices = EndpointNotices()
         notices.note_answer(ENDPOINT, head(200, Server_Leaving="1"), 999.0)
         notices.note_answer(ENDPOINT, head(200), 1000.0)
@@ -117,18 +119,16 @@
         assert not head(200, Server_Leaving=value).is_leaving
 
 
-class TestWhatIsKept:
-    """Guards against notices that outlast the endpoints that gave them."""
+class TestStorage:
+    """Guards against notices that are kept longer than they are in effect."""
 
-    def test_ends_with_what_counts(self, now: list[float]) -> None:
+    def test_ends_with_the_notice(self, now: list[float]) -> None:
         notices = after_refusal("3")
         now[0] += 4
         notices.forget_old()
         assert not notices._notice_by_start
 
-    def test_outlasts_a_time_in_which_the_endpoint_is_unknown(
-        self, now: list[float]
-    ) -> None:
+    def test_includes_unknown_endpoints(self, now: list[float]) -> None:
         notices = after_refusal("5000", known=replace(NEXT_START, started_at_ms=9))
         now[0] += 4999
         notices.forget_old()
@@ -137,19 +137,19 @@
         notices.forget_old()
         assert not notices._notice_by_start
 
-    def test_is_bounded_for_unknown_endpoints(self, now: list[float]) -> None:
+    def test_is_limited_for_unknown_endpoints(self, now: list[float]) -> None:
         notices = after_refusal("5000")
-        for number in range(MAXIMUM_UNKNOWN + 20):
+        for number in range(MAXIMUM_UNKNOWN_STARTS + 20):
             now[0] += 0.01
             unknown = engine(f"unknown-{number}")
             notices.note_answer(unknown, head(200, Server_Leaving="1"), 999.0)
         notices.forget_old()
         kept = notices._notice_by_start
-        assert len(kept) == MAXIMUM_UNKNOWN + 1
+        assert len(kept) == MAXIMUM_UNKNOWN_STARTS + 1
         assert ENDPOINT.start_id in kept
         assert engine("unknown-19").start_id not in kept
 
-    def test_nothing_is_kept_of_answers_that_say_nothing(self) -> None:
+    def test_excludes_answers_without_notice(self) -> None:
         notices = EndpointNotices()
         notices.note_answer(ENDPOINT, head(200), 999.0)
         notices.note_other_answer(ENDPOINT, head(503))
--- a/tests/quarantine/test_answered_crashes.py
+++ b/tests/quarantine/test_answered_crashes.py
@@ -33,47 +33,47 @@
 
 
 def record_crash(
-    book: CrashBook, clock: Clock, content: str, number: int, answered: bool
+    registry: CrashBook, clock: Clock, content: str, number: int, answered: bool
 ) -> None:
     crash = Crash(f"start-{number}", clock.now - RUN_SECONDS, clock.now, answered)
-    book.note_crash(content, crash)
+    registry.note_crash(content, crash)
 
 
-def quarantined(book: CrashBook) -> list[str]:
-    return [history.fingerprint for history in book.held_back()]
+def quarantined(registry: CrashBook) -> list[str]:
+    return [history.fingerprint for history in registry.held_back()]
 
 
-def crash_with_stream(book: CrashBook, clock: Clock) -> None:
+def crash_with_stream(registry: CrashBook, clock: Clock) -> None:
     """Crash endpoints that answer a stream, but not yet the fatal content."""
     for number in range(QUARANTINE_CRASHES):
         clock.now += 1
-        record_crash(book, clock, STREAM, number, answered=True)
-        record_crash(book, clock, FATAL, number, answered=False)
+        record_crash(registry, clock, STREAM, number, answered=True)
+        record_crash(registry, clock, FATAL, number, answered=False)
     clock.now += 2 * PROPAGATION_SECONDS
 
 
 class TestCrashDuringAnAnswer:
     def test_does_not_count_with_another_unanswered_content(self, clock: Clock) -> None:
-        book = CrashBook()
-        crash_with_stream(book, clock)
-        assert quarantined(book) == [FATAL]
+        registry = CrashBook()
+        crash_with_stream(registry, clock)
+        assert quarantined(registry) == [FATAL]
 
     def test_counts_once_the_other_content_is_harmless(self, clock: Clock) -> None:
         """Guards against excusing a content by one that only waited concurrently."""
-        book = CrashBook()
-        crash_with_stream(book, clock)
-        book.clear(FATAL)
-        assert quarantined(book) == [STREAM]
+        registry = CrashBook()
+        crash_with_stream(registry, clock)
+        registry.clear(FATAL)
+        assert quarantined(registry) == [STREAM]
 
     def test_counts_only_after_the_propagation_delay(self, clock: Clock) -> None:
         """Guards against a quarantine that a report in transit would prevent."""
-        book = CrashBook()
+        registry = CrashBook()
         for number in range(QUARANTINE_CRASHES):
             clock.now += 1
-            record_crash(book, clock, STREAM, number, answered=True)
-        assert quarantined(book) == []
+            record_crash(registry, clock, STREAM, number, answered=True)
+        assert quarantined(registry) == []
         clock.now += 2 * PROPAGATION_SECONDS
-        assert quarantined(book) == [STREAM]
+        assert quarantined(registry) == [STREAM]
 
     def test_is_reported_as_answered(self, clock: Clock) -> None:
         """Guards against reports that don't say which content was being answered."""
@@ -94,9 +94,9 @@
     def test_is_merged_in_any_order_for_equal_requests(self, clock: Clock) -> None:
         """Guards against registries that depend on the order of reports."""
         for first_answered in (True, False):
-            book = CrashBook()
-            record_crash(book, clock, STREAM, 1, answered=first_answered)
-            record_crash(book, clock, STREAM, 1, answered=not first_answered)
-            history = book.find(STREAM)
+            registry = CrashBook()
+            record_crash(registry, clock, STREAM, 1, answered=first_answered)
+            record_crash(registry, clock, STREAM, 1, answered=not first_answered)
+            history = registry.find(STREAM)
             assert history is not None
             assert [crash.answered for crash in history.crashes] == [True]
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -47,13 +47,15 @@
     return [crash(f"start-{n}", first_at + n * pause) for n in range(count)]
 
 
-def record_all(book: CrashBook, found: Sequence[Crash], content: str = FATAL) -> None:
+def record_all(
+    registry: CrashBook, found: Sequence[Crash], content: str = FATAL
+) -> None:
     for item in found:
-        book.note_crash(content, item)
+        registry.note_crash(content, item)
 
 
-def quarantined(book: CrashBook) -> list[str]:
-    return [history.fingerprint for history in book.held_back()]
+def quarantined(registry: CrashBook) -> list[str]:
+    return [history.fingerprint for history in registry.held_back()]
 
 
 class TestReportedCrashTimes:
@@ -62,111 +64,113 @@
     def test_count_as_successive_crashes(self, clock: Clock) -> None:
         first = crash("first", clock.now)
         second = Crash("second", first.crashed_at, first.crashed_at + RUN_SECONDS)
-        book = CrashBook()
+        registry = CrashBook()
         for delay_seconds, known in ((0.004, (first,)), (0.001, (first, second))):
             record = to_crash_record(CrashHistory(FATAL, known))
             clock.now += delay_seconds
-            book.take(usable_histories("host", [record]))
+            registry.take(usable_histories("host", [record]))
             clock.now += RUN_SECONDS
-        history = book.find(FATAL)
+        history = registry.find(FATAL)
         assert history is not None
         assert history.count == 2
 
     def test_do_not_change_the_version_when_repeated(self, clock: Clock) -> None:
-        book = CrashBook()
+        registry = CrashBook()
         history = CrashHistory(FATAL, (crash("first", clock.now),))
-        book.take([history])
-        version = book.version
+        registry.take([history])
+        version = registry.version
         record = to_crash_record(history)
         for _ in range(3):
             clock.now += 0.002
-            book.take(usable_histories("host", [record]))
-        assert book.version == version
+            registry.take(usable_histories("host", [record]))
+        assert registry.version == version
 
 
 class TestFatalContentQuarantine:
     def test_starts_at_the_third_crash(self, clock: Clock) -> None:
-        book = CrashBook()
+        registry = CrashBook()
         first, second, third = crashes(3, clock.now)
-        record_all(book, [first, second])
-        assert quarantined(book) == []
-        record_all(book, [third])
-        assert quarantined(book) == [FATAL]
+        record_all(registry, [first, second])
+        assert quarantined(registry) == []
+        record_all(registry, [third])
+        assert quarantined(registry) == [FATAL]
 
     def test_expires_and_restarts_at_the_next_crash(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(3, clock.now))
+        registry = CrashBook()
+        record_all(registry, crashes(3, clock.now))
         clock.now += QUARANTINE_SECONDS + 3
-        assert quarantined(book) == []
-        book.note_crash(FATAL, crash("late", clock.now))
-        assert quarantined(book) == [FATAL]
+        assert quarantined(registry) == []
+        registry.note_crash(FATAL, crash("late", clock.now))
+        assert quarantined(registry) == [FATAL]
 
     def test_is_forgotten_after_the_storage_time(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(3, clock.now))
+        registry = CrashBook()
+        record_all(registry, crashes(3, clock.now))
         clock.now += REMEMBERED_SECONDS + 3
-        book.forget_old()
-        assert book.is_empty
+        registry.forget_old()
+        assert registry.is_empty
 
 
 class TestHarmlessContent:
     """Guards against quarantining a content that only ran beside a fatal one."""
 
     def test_two_crashes_are_not_enough(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(2, clock.now))
-        assert quarantined(book) == []
+        registry = CrashBook()
+        record_all(registry, crashes(2, clock.now))
+        assert quarantined(registry) == []
 
     def test_a_complete_answer_clears_it(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(2, clock.now))
+        registry = CrashBook()
+        record_all(registry, crashes(2, clock.now))
         clock.now += 2
-        assert book.clear(FATAL)
+        assert registry.clear(FATAL)
         record_all(
-            book, [crash("start-8", clock.now + 1), crash("start-9", clock.now + 2)]
+            registry, [crash("start-8", clock.now + 1), crash("start-9", clock.now + 2)]
         )
-        assert quarantined(book) == []
+        assert quarantined(registry) == []
 
     def test_equal_requests_at_endpoints_that_crash_together_count_once(
         self, clock: Clock
     ) -> None:
-        book = CrashBook()
-        record_all(book, [crash(f"start-{n}", clock.now + n / 1000) for n in range(5)])
-        assert quarantined(book) == []
+        registry = CrashBook()
+        record_all(
+            registry, [crash(f"start-{n}", clock.now + n / 1000) for n in range(5)]
+        )
+        assert quarantined(registry) == []
 
     def test_hosts_that_report_one_crash_count_once(self, clock: Clock) -> None:
-        book = CrashBook()
+        registry = CrashBook()
         for late in range(5):
-            book.note_crash(FATAL, crash("start-1", clock.now + late, ran_for=0.0))
-        assert quarantined(book) == []
+            registry.note_crash(FATAL, crash("start-1", clock.now + late, ran_for=0.0))
+        assert quarantined(registry) == []
 
     def test_a_late_report_from_before_its_complete_answer_does_not_count(
         self, clock: Clock
     ) -> None:
-        book = CrashBook()
+        registry = CrashBook()
         found = crashes(3, clock.now)
-        record_all(book, found)
+        record_all(registry, found)
         clock.now += 5
-        book.clear(FATAL)
-        record_all(book, found)
-        assert quarantined(book) == []
+        registry.clear(FATAL)
+        record_all(registry, found)
+        assert quarantined(registry) == []
 
 
 class TestStorageLimits:
     def test_contents_are_limited_and_the_quarantined_one_is_kept(
         self, clock: Clock
     ) -> None:
-        book = CrashBook()
-        record_all(book, crashes(3, clock.now))
+        registry = CrashBook()
+        record_all(registry, crashes(3, clock.now))
         for number in range(2 * MAXIMUM_CONTENTS):
-            book.note_crash(f"{number:016x}", crash("start-1", clock.now + number))
-        assert len(book.changes_since(0)[1]) == MAXIMUM_CONTENTS
-        assert quarantined(book) == [FATAL]
+            registry.note_crash(f"{number:016x}", crash("start-1", clock.now + number))
+        assert len(registry.changes_since(0)[1]) == MAXIMUM_CONTENTS
+        assert quarantined(registry) == [FATAL]
 
     def test_crashes_of_a_content_are_limited(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(50, clock.now))
-        history = book.find(FATAL)
+        registry = CrashBook()
+        record_all(registry, crashes(50, clock.now))
+        history = registry.find(FATAL)
         assert history is not None
         assert len(history.crashes) == MAXIMUM_CRASHES
 
@@ -177,9 +181,9 @@
         reported.append(CrashHistory(FATAL, cleared_at=clock.now + 0.5))
         known = set()
         for order in itertools.permutations(reported):
-            book = CrashBook()
-            book.take(order)
-            history = book.find(FATAL)
+            registry = CrashBook()
+            registry.take(order)
+            history = registry.find(FATAL)
             assert history is not None
             known.add(history.crashes)
         # Clearing an unknown content changes nothing; one crash is not cleared then.
@@ -187,33 +191,33 @@
 
     def test_stop_without_changes(self, clock: Clock) -> None:
         """Guards against histories that circulate between hosts forever."""
-        books = [CrashBook() for _ in range(3)]
-        record_all(books[0], crashes(2, clock.now))
+        registries = [CrashBook() for _ in range(3)]
+        record_all(registries[0], crashes(2, clock.now))
         clock.now += 3
         for _ in range(3):
-            exchange_all(books, clock, 0.05)
-        books[2].clear(FATAL)
+            exchange_all(registries, clock, 0.05)
+        registries[2].clear(FATAL)
         for _ in range(3):
-            exchange_all(books, clock, 0.05)
-        versions = [book.version for book in books]
+            exchange_all(registries, clock, 0.05)
+        versions = [registry.version for registry in registries]
         for _ in range(10):
-            exchange_all(books, clock, 0.05)
-        assert [book.version for book in books] == versions
+            exchange_all(registries, clock, 0.05)
+        assert [registry.version for registry in registries] == versions
 
     def test_entry_hosts_get_only_suspects(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(1, clock.now), OTHER)
-        record_all(book, crashes(2, clock.now))
-        assert book.suspects_version == book.version
-        found = book.changes_since(0, suspects_only=True)[1]
+        registry = CrashBook()
+        record_all(registry, crashes(1, clock.now), OTHER)
+        record_all(registry, crashes(2, clock.now))
+        assert registry.suspects_version == registry.version
+        found = registry.changes_since(0, suspects_only=True)[1]
         assert [history.fingerprint for history in found] == [FATAL]
-        assert len(book.changes_since(0)[1]) == 2
+        assert len(registry.changes_since(0)[1]) == 2
 
     def test_a_record_can_be_read_by_the_receiver(self, clock: Clock) -> None:
-        book = CrashBook()
-        record_all(book, crashes(3, clock.now))
+        registry = CrashBook()
+        record_all(registry, crashes(3, clock.now))
         clock.now += 10
-        history = book.find(FATAL)
+        history = registry.find(FATAL)
         assert history is not None
         record = received(to_crash_record(history))
         (reported,) = usable_histories("host", [record])
@@ -233,9 +237,9 @@
     def test_an_invalid_record_does_not_affect_others(
         self, clock: Clock, name: str, value: object
     ) -> None:
-        book = CrashBook()
-        record_all(book, crashes(3, clock.now))
-        history = book.find(FATAL)
+        registry = CrashBook()
+        record_all(registry, crashes(3, clock.now))
+        history = registry.find(FATAL)
         assert history is not None
         sound, broken = to_crash_record(history), to_crash_record(history)
         setattr(broken, name, value)
@@ -243,9 +247,9 @@
         assert [item.fingerprint for item in found] == [FATAL]
 
 
-def exchange_all(books: Sequence[CrashBook], clock: Clock, delay: float) -> None:
+def exchange_all(registries: Sequence[CrashBook], clock: Clock, delay: float) -> None:
     """Report all histories of each registry to each other one, after a delay."""
-    for sender, receiver in itertools.permutations(books, 2):
+    for sender, receiver in itertools.permutations(registries, 2):
         _, histories = sender.changes_since(0)
         records = [to_crash_record(history) for history in histories]
         clock.now += delay
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -66,10 +66,12 @@
 
     def __init__(self) -> None:
         endpoints: Any = EndedEndpoints()
-        self.book = CrashBook()
+        self.registry = CrashBook()
         self._harmless = HarmlessContents()
-        self.crashes = CrashWatch(endpoints, self.book, self._harmless, lambda: None)
-        self.quarantine = Quarantine(self.book, self._harmless)
+        self.crashes = CrashWatch(
+            endpoints, self.registry, self._harmless, lambda: None
+        )
+        self.quarantine = Quarantine(self.registry, self._harmless)
 
     def refuses(self, content: str) -> bool:
         try:
@@ -142,9 +144,9 @@
 
     def report_all(self) -> None:
         for host in self.all:
-            _report(host.book, self._control, suspects_only=False)
+            _report(host.registry, self._control, suspects_only=False)
         for host in self.all:
-            _report(self._control, host.book, suspects_only=True)
+            _report(self._control, host.registry, suspects_only=True)
 
     def refusing(self, content: str) -> list[int]:
         return [n for n, host in enumerate(self.all) if host.refuses(content)]
--- a/tests/quarantine/test_spread.py
+++ b/tests/quarantine/test_spread.py
@@ -8,7 +8,7 @@
 import pytest
 
 from jujubeslip.quarantine import Crash, CrashBook, to_crash_record, usable_histories
-from jujubeslip.quarantine import _book as book_module
+from jujubeslip.quarantine import _book as registry_module
 from tests.fakes.clock import Clock
 
 FATAL, POLL = "f" * 16, "0" * 16
@@ -24,7 +24,7 @@
 @dataclass
 class Host:
     zone: int
-    book: CrashBook = field(default_factory=CrashBook)
+    registry: CrashBook = field(default_factory=CrashBook)
     next_watch_at: float = 0.0
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, clock: Clock, seed: int) -> None:
         self.clock = clock
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.entries = [Host(number % ZONES) for number in range(ENTRIES)]
         self.controls = [Host(number % ZONES) for number in range(CONTROLS)]
         self.partitioned_zone: int | None = None
@@ -41,7 +41,7 @@
         self.sent_at: list[float] = []
         self._starts = 0
         for host in (*self.entries, *self.controls):
-            host.next_watch_at = clock.now + self.random.uniform(0, WATCH_SECONDS)
+            host.next_watch_at = clock.now + self.rng.uniform(0, WATCH_SECONDS)
 
     def reaches(self, one: Host, other: Host) -> bool:
         is_cut = self.partitioned_zone is not None and one.zone != other.zone
@@ -62,21 +62,21 @@
     def send(self, zone: int | None = None) -> None:
         """Send the fatal content to a random host; if it runs, an endpoint crashes."""
         hosts = [host for host in self.entries if zone in (None, host.zone)]
-        host = self.random.choice(hosts)
-        if host.book.held_back():
+        host = self.rng.choice(hosts)
+        if host.registry.held_back():
             return
         self._starts += 1
         sent_at = self.clock.now
         self.sent_at.append(sent_at)
         crash = Crash(f"start-{self._starts}", sent_at, sent_at + STEP_SECONDS)
-        host.book.note_crash(FATAL, crash)
+        host.registry.note_crash(FATAL, crash)
         # A poll from another host runs at the same endpoint at each crash.
-        other_host = self.random.choice(self.entries)
-        other_host.book.note_crash(POLL, crash)
+        other_host = self.rng.choice(self.entries)
+        other_host.registry.note_crash(POLL, crash)
 
     def poll(self) -> None:
         """Let a random host get a complete answer to a poll."""
-        self.random.choice(self.entries).book.clear(POLL)
+        self.rng.choice(self.entries).registry.clear(POLL)
 
     def late_sends(self) -> int:
         known_from = self.sent_at[2] + CONTACT_SECONDS
@@ -89,16 +89,16 @@
                 self._report(control, host, suspects_only=host in self.entries)
 
     def _report(self, sender: Host, receiver: Host, suspects_only: bool) -> None:
-        _, found = sender.book.changes_since(0, suspects_only)
+        _, found = sender.registry.changes_since(0, suspects_only)
         records = [to_crash_record(history) for history in found]
-        receiver.book.take(usable_histories("host", records))
+        receiver.registry.take(usable_histories("host", records))
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
     for name in (
-        book_module.__name__,
+        registry_module.__name__,
         "jujubeslip.kernel._deadlines",
         "jujubeslip.quarantine._records",
     ):
@@ -116,11 +116,11 @@
         hosts = Hosts(clock, seed)
         for _ in range(100):
             hosts.send()
-            hosts.run(hosts.random.uniform(0.05, 0.5))
+            hosts.run(hosts.rng.uniform(0.05, 0.5))
             hosts.poll()
         assert hosts.late_sends() <= FURTHER_RUNS
         assert all(
-            [history.fingerprint for history in host.book.held_back()] == [FATAL]
+            [history.fingerprint for history in host.registry.held_back()] == [FATAL]
             for host in hosts.entries
         )
 
@@ -141,7 +141,7 @@
             hosts.run(0.3)
         hosts.partitioned_zone = None
         hosts.run(2 * WATCH_SECONDS)
-        assert all(host.book.held_back() for host in hosts.entries)
+        assert all(host.registry.held_back() for host in hosts.entries)
 
     def test_restarted_control_hosts_get_reports(self, clock: Clock) -> None:
         hosts = Hosts(clock, 9)
@@ -149,6 +149,6 @@
             hosts.send()
             hosts.run(0.3)
         for host in (*hosts.controls, *hosts.entries[1:]):
-            host.book = CrashBook()
+            host.registry = CrashBook()
         hosts.run(3 * WATCH_SECONDS)
-        assert all(host.book.held_back() for host in hosts.entries)
+        assert all(host.registry.held_back() for host in hosts.entries)
--- a/tests/quarantine/test_told_contents.py
+++ b/tests/quarantine/test_told_contents.py
@@ -6,8 +6,8 @@
 
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.quarantine import Crash, CrashBook, CrashHistory, HarmlessContents
-from jujubeslip.quarantine import _book as book_module
-from jujubeslip.quarantine import _harmless as harmless_module
+from jujubeslip.quarantine import _book as registry_module
+from jujubeslip.quarantine import _harmless as harmless_contents_module
 from jujubeslip.quarantine._book import MAXIMUM_UNSUSPECTED
 from jujubeslip.quarantine._harmless import HARMLESS_SECONDS
 from tests.fakes.clock import Clock
@@ -20,8 +20,8 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
     for module in (
-        book_module.__name__,
-        harmless_module.__name__,
+        registry_module.__name__,
+        harmless_contents_module.__name__,
         "jujubeslip.kernel._deadlines",
     ):
         monkeypatch.setattr(f"{module}.steady_seconds", clock.steady_seconds)
@@ -38,11 +38,11 @@
     """An entry host's registries, and how often it has cleared a content."""
 
     def __init__(self) -> None:
-        self.book = CrashBook()
+        self.registry = CrashBook()
         self.harmless = HarmlessContents()
-        Quarantine(self.book, self.harmless)
+        Quarantine(self.registry, self.harmless)
         self.cleared = 0
-        self.book.tell_cleared(self._count)
+        self.registry.tell_cleared(self._count)
 
     def _count(self) -> None:
         self.cleared += 1
@@ -56,8 +56,8 @@
         host = Host()
         host.harmless.note(POLL)
         clock.now += count
-        host.book.take([CrashHistory(POLL, crashes(clock, count))])
-        _, (history,) = host.book.changes_since(0)
+        host.registry.take([CrashHistory(POLL, crashes(clock, count))])
+        _, (history,) = host.registry.changes_since(0)
         assert not history.crashes
         assert host.cleared == 1
 
@@ -68,7 +68,7 @@
         found = crashes(clock, 1)
         for _ in range(5):
             clock.now += 1
-            host.book.take([CrashHistory(POLL, found)])
+            host.registry.take([CrashHistory(POLL, found)])
         assert host.cleared == 1
 
     def test_is_not_cleared_after_it_expires(self, clock: Clock) -> None:
@@ -76,27 +76,27 @@
         host = Host()
         host.harmless.note(POLL)
         clock.now += HARMLESS_SECONDS + 1
-        host.book.take([CrashHistory(POLL, crashes(clock, 1))])
+        host.registry.take([CrashHistory(POLL, crashes(clock, 1))])
         assert host.cleared == 0
 
     def test_another_content_is_not_cleared(self, clock: Clock) -> None:
         host = Host()
         host.harmless.note("1" * 16)
-        host.book.take([CrashHistory(POLL, crashes(clock, 3))])
+        host.registry.take([CrashHistory(POLL, crashes(clock, 3))])
         assert host.cleared == 0
-        assert host.book.held_back()
+        assert host.registry.held_back()
 
 
 class TestReportsToEntryHosts:
     def test_suspects_and_the_latest_of_the_others(self, clock: Clock) -> None:
         """Guards against replies that grow with the contents run at an endpoint."""
-        book = CrashBook()
-        book.take([CrashHistory(POLL, crashes(clock, 2))])
+        registry = CrashBook()
+        registry.take([CrashHistory(POLL, crashes(clock, 2))])
         others = [f"{number:016x}" for number in range(1, 2 * MAXIMUM_UNSUSPECTED)]
         for content in others:
             clock.now += 1
-            book.take([CrashHistory(content, crashes(clock, 1))])
-        version, found = book.changes_for_entry_host(0)
+            registry.take([CrashHistory(content, crashes(clock, 1))])
+        version, found = registry.changes_for_entry_host(0)
         reported = {history.fingerprint for history in found}
         assert reported == {POLL, *others[-MAXIMUM_UNSUSPECTED:]}
-        assert book.changes_for_entry_host(version) == (version, [])
+        assert registry.changes_for_entry_host(version) == (version, [])
