--- a/src/jujubeslip/notices/_book.py
+++ b/src/jujubeslip/notices/_book.py
@@ -128,17 +128,17 @@
 
     def forget_old(self) -> list[str]:
         """Drop expired limits and notices; return the starts whose limits expired."""
-        expired = []
+        expired_starts = []
         with self._lock:
             for start_id, notice in list(self._notice_by_start.items()):
                 if notice.limit is not None and notice.limit.forgotten_at.expired:
-                    expired.append(start_id)
+                    expired_starts.append(start_id)
                     notice = notice.with_limit(None, steady_seconds())
                     self._notice_by_start[start_id] = notice
                 if not notice.is_in_effect:
                     del self._notice_by_start[start_id]
             self._forget_unknown()
-        return expired
+        return expired_starts
 
     def _forget_unknown(self) -> None:
         """Drop the oldest notices of unknown starts beyond MAXIMUM_UNKNOWN.
--- a/src/jujubeslip/requests/_key_keeper.py
+++ b/src/jujubeslip/requests/_key_keeper.py
@@ -36,7 +36,7 @@
         self._lock = threading.Lock()
 
     def claim(self, claim: KeyClaim) -> KeyReply:
-        """Return FIRST if the claim may run, else the state of the run in progress."""
+        """Return FIRST if the claim may run, else the state of the known run."""
         key = (claim.client, claim.key)
         with self._lock:
             record = self._record_by_key.get(key)
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -245,7 +245,7 @@
         "can't know whether a request with this key is running.",
         ran=Ran.NO,
         retry_after=RETRY_SECONDS,
-        remedy="Ask another entry host, or send the request without a key.",
+        remedy="Send the request to another entry host, or without a key.",
     )
 
 
--- a/src/jujubeslip/requests/_models.py
+++ b/src/jujubeslip/requests/_models.py
@@ -50,7 +50,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """Return a digest that tells a resend from a different request."""
+        """Return a digest that distinguishes a resend from another request."""
         digest = hashlib.sha256(self.body)
         digest.update(self.service.name.encode())
         return digest.hexdigest()
--- a/src/jujubeslip/requests/_parse.py
+++ b/src/jujubeslip/requests/_parse.py
@@ -33,7 +33,7 @@
     request_id: str,
     idempotency_key: str,
 ) -> ClientRequest:
-    """Return the request, or raise RequestRefusedError that says what is wrong."""
+    """Return the request, or raise RequestRefusedError with the reason."""
     service = declaration.service_by_name.get(service_name)
     if service is None:
         raise RequestRefusedError(
--- a/src/jujubeslip/requests/_plain_path.py
+++ b/src/jujubeslip/requests/_plain_path.py
@@ -126,7 +126,7 @@
     has started, and the client's resend gets the recorded answer. If the call ended
     with the connection, the resend would run the request a second time. A request that
     is not repeatable continues too. An operator can still abandon the call; its client
-    then gets an error that says that it may have run.
+    then gets an error with `ran` UNKNOWN.
     """
     request = context.request
     if request.idempotency_key or not request.repeatable:
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -257,5 +257,5 @@
         status=409,
         ran=Ran.UNKNOWN,
         retry_after=1.0 if request.repeatable else 5.0,
-        remedy="Ask again with the same key to get its outcome.",
+        remedy="Send the request again with the same key to get its outcome.",
     )
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -112,7 +112,7 @@
 
 
 class TestHarmlessContent:
-    """Guards against quarantining a content that only ran beside a fatal one."""
+    """Guards against quarantining a content that only ran alongside a fatal one."""
 
     def test_two_crashes_are_not_enough(self, clock: Clock) -> None:
         registry = CrashBook()
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -163,7 +163,7 @@
     return Hosts(clock)
 
 
-class TestStreamBesideFatalContentAfterRestart:
+class TestStreamWithFatalContentAfterRestart:
     """Guards against quarantining a stream because restarted hosts forgot its runs."""
 
     @pytest.mark.parametrize("answered_at", [1, 2, 3])
@@ -226,7 +226,7 @@
                 hosts.run_without_crash(POLL, 2)
                 hosts.report_all()
             hosts.crash_endpoint([], [POLL, FATAL])
-        # The host that saw it run is asked last, since its request clears the content.
+        # The host that saw it run is checked last, since its check clears the content.
         assert [host.refuses(POLL) for host in hosts.all] == [False] * 3
 
     def test_is_served_if_hosts_restart_in_turn(self, hosts: Hosts) -> None:
@@ -240,14 +240,14 @@
 
 
 class TestFatalContent:
-    """Guards against excusing a fatal content by contents that run beside it."""
+    """Guards against excusing a fatal content by contents that run concurrently."""
 
-    @pytest.mark.parametrize("beside", [[], [STREAM], [STREAM, OTHER_STREAM]])
+    @pytest.mark.parametrize("concurrent", [[], [STREAM], [STREAM, OTHER_STREAM]])
     def test_is_refused_after_three_endpoints(
-        self, hosts: Hosts, beside: list[str]
+        self, hosts: Hosts, concurrent: list[str]
     ) -> None:
         for _ in range(ENDPOINTS):
-            hosts.crash_endpoint(beside, [FATAL])
+            hosts.crash_endpoint(concurrent, [FATAL])
         assert hosts.refusing(FATAL) == [0, 1, 2]
 
     def test_is_refused_if_another_content_waits_concurrently(
--- a/tests/requests/support.py
+++ b/tests/requests/support.py
@@ -58,8 +58,8 @@
     return {"prompt": PROMPT, "max_tokens": tokens, **fields}
 
 
-def whole_text(tokens: int = 8) -> str:
-    """Return the whole answer to `model_message`."""
+def expected_text(tokens: int = 8) -> str:
+    """Return the expected answer to `model_message`."""
     return answer_text(PROMPT, tokens)
 
 
@@ -147,7 +147,7 @@
 def assert_whole(answer: ClientAnswer, tokens: int = 8) -> None:
     """Check that the answer equals that of an undisturbed run, byte for byte."""
     assert answer.whole, answer
-    assert answer.text == whole_text(tokens)
+    assert answer.text == expected_text(tokens)
 
 
 def heal(cluster: Cluster) -> None:
--- a/tests/requests/test_keys.py
+++ b/tests/requests/test_keys.py
@@ -101,7 +101,9 @@
 def copies_made(cluster: Cluster, entry: str, hosts: int) -> int:
     """Return how often an entry host copied its keys with this many live hosts."""
     output = cluster.process_by_name[entry].output().splitlines()
-    lines = [line for line in output if "keys copied" in line]
+    lines = [
+        line for line in output if "idempotency keys copied to their owners" in line
+    ]
     return sum(1 for line in lines if line.count("entry-") == hosts)
 
 
--- a/tests/requests/test_rediscovery.py
+++ b/tests/requests/test_rediscovery.py
@@ -22,7 +22,7 @@
     def reserve(self, *_: Any) -> str:
         self.left -= 1
         if self.left >= 0:
-            raise RequestRefusedError("no_capacity", "Nobody is known.")
+            raise RequestRefusedError("no_capacity", "No endpoint is known.")
         return "granted"
 
 
--- a/tests/requests/test_whole_answers.py
+++ b/tests/requests/test_whole_answers.py
@@ -15,6 +15,7 @@
     DECODE_GATE_TOKENS,
     assert_whole,
     engines,
+    expected_text,
     heal,
     held_phases,
     in_background,
@@ -25,7 +26,6 @@
     resume,
     runs_named,
     wait_in_phase,
-    whole_text,
 )
 
 ENDPOINTS: tuple[EngineSpec | PlainSpec, ...] = (
@@ -125,7 +125,7 @@
         resume(cluster, "decode")
         tokens += [item.fields["token"] for item in events if item.name == "token"]
         call.close()
-        assert "".join(tokens) == whole_text()
+        assert "".join(tokens) == expected_text()
 
 
 class TestMisdirectedReply:
@@ -195,7 +195,7 @@
         resume(cluster, "decode")
         tokens += [item.fields["token"] for item in events if item.name == "token"]
         call.close()
-        assert "".join(tokens) == whole_text()
+        assert "".join(tokens) == expected_text()
 
     @pytest.mark.parametrize("phase", ["prefill", "transfer"])
     def test_is_abandoned_while_waiting_for_a_reply(
@@ -295,4 +295,4 @@
                 continue
             finally:
                 proxy.heal()
-            assert not answer.whole or answer.text == whole_text()
+            assert not answer.whole or answer.text == expected_text()
