--- a/tests/quarantine/test_answered_crashes.py
+++ b/tests/quarantine/test_answered_crashes.py
@@ -32,7 +32,7 @@
     return clock
 
 
-def record_crash(
+def add_crash(
     registry: CrashBook, clock: Clock, content: str, number: int, answered: bool
 ) -> None:
     crash = Crash(f"start-{number}", clock.now - RUN_SECONDS, clock.now, answered)
@@ -47,8 +47,8 @@
     """Crash endpoints that answer a stream, but not yet the fatal content."""
     for number in range(QUARANTINE_CRASHES):
         clock.now += 1
-        record_crash(registry, clock, STREAM, number, answered=True)
-        record_crash(registry, clock, FATAL, number, answered=False)
+        add_crash(registry, clock, STREAM, number, answered=True)
+        add_crash(registry, clock, FATAL, number, answered=False)
     clock.now += 2 * PROPAGATION_SECONDS
 
 
@@ -70,7 +70,7 @@
         registry = CrashBook()
         for number in range(QUARANTINE_CRASHES):
             clock.now += 1
-            record_crash(registry, clock, STREAM, number, answered=True)
+            add_crash(registry, clock, STREAM, number, answered=True)
         assert quarantined(registry) == []
         clock.now += 2 * PROPAGATION_SECONDS
         assert quarantined(registry) == [STREAM]
@@ -95,8 +95,8 @@
         """Guards against registries that depend on the order of reports."""
         for first_answered in (True, False):
             registry = CrashBook()
-            record_crash(registry, clock, STREAM, 1, answered=first_answered)
-            record_crash(registry, clock, STREAM, 1, answered=not first_answered)
+            add_crash(registry, clock, STREAM, 1, answered=first_answered)
+            add_crash(registry, clock, STREAM, 1, answered=not first_answered)
             history = registry.find(STREAM)
             assert history is not None
             assert [crash.answered for crash in history.crashes] == [True]
