--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -101,9 +101,9 @@
             accepted_by.append(key_owner)
             if len(accepted_by) == self._quorum(key_owners):
                 return reply
-        # This includes owners that did not reply: they may have recorded the claim,
-        # which would block the key. It runs in the background, since the caller must
-        # not wait for hosts that may be unresponsive.
+        # The claim is freed at all owners, also at those that did not reply: they may
+        # have recorded it, which would block the key. The caller doesn't wait for this,
+        # since hosts may be unresponsive.
         self._process.start_task(self._abandon_at_all, key_owners, claim)
         raise _key_owners_unavailable()
 
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -36,7 +36,7 @@
 JOIN_POLL_INTERVAL = 0.1
 MAXIMUM_OUTCOME_BYTES = 1_000_000
 
-Step = str | PlainServiceAnswer
+AnswerPart = str | PlainServiceAnswer
 
 
 class RequestService:
@@ -117,7 +117,7 @@
             availability_zone=self._availability_zone,
         )
 
-    def steps(self, context: RequestContext) -> Iterator[Step]:
+    def steps(self, context: RequestContext) -> Iterator[AnswerPart]:
         """Yield the tokens, or the single answer of a plain service.
 
         Returns only once the answer is complete.
@@ -174,7 +174,7 @@
         status = self._directory.status_of(host_id, int(incarnation))
         return bool(status == HostStatus.DEAD)
 
-    def _run(self, context: RequestContext) -> Iterator[Step]:
+    def _run(self, context: RequestContext) -> Iterator[AnswerPart]:
         if context.request.service.kind is ServiceKind.PLAIN:
             yield self._plain_path.answer(context)
             return
@@ -182,16 +182,16 @@
 
     def _run_and_record(
         self, context: RequestContext, keys: Keys, claim: KeyClaim
-    ) -> Iterator[Step]:
+    ) -> Iterator[AnswerPart]:
         steps = []
         try:
-            for step in self._run(context):
-                if isinstance(step, PlainServiceAnswer):
+            for part in self._run(context):
+                if isinstance(part, PlainServiceAnswer):
                     # Recorded before it is yielded: the client may have disconnected,
                     # but its resend needs the answer.
-                    self._record(keys, claim, step)
-                steps.append(step)
-                yield step
+                    self._record(keys, claim, part)
+                steps.append(part)
+                yield part
         except BaseException as error:
             # BaseException includes GeneratorExit: a client that disconnects closes
             # this generator.
@@ -202,7 +202,7 @@
                 self._record(keys, claim, UnknownAnswer(_reason(error)))
             raise
         if not (steps and isinstance(steps[0], PlainServiceAnswer)):
-            tokens = tuple(str(step) for step in steps)
+            tokens = tuple(str(part) for part in steps)
             self._record(keys, claim, ModelAnswer(tokens, context.rule_name))
 
     def _record(self, keys: Keys, claim: KeyClaim, answer: Answer) -> None:
@@ -241,7 +241,7 @@
     )
 
 
-def _replay(answer: Answer) -> Iterator[Step]:
+def _replay(answer: Answer) -> Iterator[AnswerPart]:
     if isinstance(answer, UnknownAnswer):
         raise _outcome_unknown(answer.reason)
     if isinstance(answer, PlainServiceAnswer):
