--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -56,7 +56,7 @@
     WatchReply,
     WatchRequest,
 )
-from jujubeslip.quarantine import CrashBook, to_crash_record, usable_histories
+from jujubeslip.quarantine import CrashRegistry, to_crash_record, usable_histories
 
 APPLY_SECONDS = 5.0
 READ_SECONDS = 2.0
@@ -75,11 +75,11 @@
         watches: Watches,
         admissions: AdmissionHome | None = None,
         accounts: AccountLimitManager | None = None,
-        crash_registry: CrashBook | None = None,
+        crash_registry: CrashRegistry | None = None,
         endpoint_limits: EndpointLimitManager | None = None,
     ) -> None:
         self._endpoint_limits = endpoint_limits
-        self._crash_registry = crash_registry or CrashBook()
+        self._crash_registry = crash_registry or CrashRegistry()
         self._accounts = accounts
         self._replica = replica
         self._receiver = receiver
@@ -253,7 +253,8 @@
     def quarantined(self) -> list[CrashRecord]:
         """Return the quarantined contents that this host knows."""
         return [
-            to_crash_record(history) for history in self._crash_registry.held_back()
+            to_crash_record(history)
+            for history in self._crash_registry.quarantined_contents()
         ]
 
     def lift_quarantine(self, fingerprint: str) -> bool:
--- a/src/jujubeslip/control/_meters.py
+++ b/src/jujubeslip/control/_meters.py
@@ -10,12 +10,12 @@
 
 from jujubeslip.control._replica import Replica
 from jujubeslip.discovery import EndpointBook
-from jujubeslip.quarantine import CrashBook
+from jujubeslip.quarantine import CrashRegistry
 from jujubeslip.telemetry import observed
 
 
 def observe_replica(
-    replica: Replica, registry: EndpointBook, crash_registry: CrashBook
+    replica: Replica, registry: EndpointBook, crash_registry: CrashRegistry
 ) -> None:
     """Register gauges of the replica's state, which are read with the metrics."""
     meter = metrics.get_meter("jujubeslip.control")
@@ -47,7 +47,7 @@
 
     meter.create_observable_gauge(
         "jujubeslip.control.quarantined_contents",
-        [observed(lambda: len(crash_registry.held_back()))],
+        [observed(lambda: len(crash_registry.quarantined_contents()))],
         description="Quarantined contents of requests, which crash endpoints.",
     )
 
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -48,7 +48,7 @@
 )
 from jujubeslip.notices import EndpointNotices
 from jujubeslip.peers import ControlPeer, PeerIdentity, PeerServer
-from jujubeslip.quarantine import CrashBook
+from jujubeslip.quarantine import CrashRegistry
 from jujubeslip.routes import RouteTable
 from jujubeslip.telemetry import configure_telemetry, serve_metrics
 
@@ -78,7 +78,7 @@
         self._changes = MembershipChanges(self._replica)
         self._registry = EndpointBook()
         self._notices = EndpointNotices(self._registry)
-        self._crash_registry = CrashBook(on_news=self._registry.wake)
+        self._crash_registry = CrashRegistry(on_change=self._registry.wake)
         self._watches = Watches(
             self._replica, self._registry, self._control_addresses, self._crash_registry
         )
@@ -91,7 +91,7 @@
             self._registry,
             self._ignore_configuration,
             settings.peer_address,
-            crash_book=self._crash_registry,
+            crash_registry=self._crash_registry,
         )
         self._orders = OutstandingOrders()
         self._routes = ActiveRoutes(
--- a/src/jujubeslip/control/_watches.py
+++ b/src/jujubeslip/control/_watches.py
@@ -20,7 +20,7 @@
     steady_seconds,
 )
 from jujubeslip.peers import ServicePressure, WatchReply, WatchRequest
-from jujubeslip.quarantine import CrashBook, to_crash_record, usable_histories
+from jujubeslip.quarantine import CrashRegistry, to_crash_record, usable_histories
 
 logger = logging.getLogger(__name__)
 
@@ -87,9 +87,9 @@
         replica: Replica,
         registry: EndpointBook,
         addresses: Callable[[], list[str]],
-        crash_registry: CrashBook | None = None,
+        crash_registry: CrashRegistry | None = None,
     ) -> None:
-        self._crash_registry = crash_registry or CrashBook()
+        self._crash_registry = crash_registry or CrashRegistry()
         self._replica = replica
         self._registry = registry
         self._addresses = addresses
--- a/src/jujubeslip/discovery/_follower.py
+++ b/src/jujubeslip/discovery/_follower.py
@@ -24,7 +24,7 @@
     WatchReply,
     WatchRequest,
 )
-from jujubeslip.quarantine import CrashBook, to_crash_record, usable_histories
+from jujubeslip.quarantine import CrashRegistry, to_crash_record, usable_histories
 
 logger = logging.getLogger(__name__)
 
@@ -84,9 +84,9 @@
         own_address: str = "",
         is_entry_host: bool = False,
         pressures: Callable[[], list[ServicePressure]] = list,
-        crash_book: CrashBook | None = None,
+        crash_registry: CrashRegistry | None = None,
     ) -> None:
-        self._crash_book = crash_book or CrashBook()
+        self._crash_registry = crash_registry or CrashRegistry()
         self._process = process
         self._identity = identity
         self._book = book
@@ -143,7 +143,7 @@
     ) -> tuple[WatchRequest, int]:
         """Return what to ask next, and the version of the crash book that it tells."""
         watcher_id = f"{self._identity.host_id}/{self._identity.incarnation}"
-        crash_version, crashes = self._crash_book.changes_since(told_crash_version)
+        crash_version, crashes = self._crash_registry.changes_since(told_crash_version)
         request = WatchRequest(
             known.book_id,
             known.book_version,
@@ -163,7 +163,7 @@
         """Take over an answer."""
         self._book.take(list(usable_endpoints(address, reply.endpoints or ())))
         self._book.take_removals(usable_removals(address, reply.removals or ()))
-        self._crash_book.take(usable_histories(address, reply.crashes or ()))
+        self._crash_registry.take(usable_histories(address, reply.crashes or ()))
         self.learn(reply.control_addresses or ())
         news = News(
             address,
--- a/src/jujubeslip/entry/_client_call.py
+++ b/src/jujubeslip/entry/_client_call.py
@@ -74,9 +74,9 @@
                 self._request, self._interrupted, self._services.abandoning.is_set
             )
             self._rule_name = context.rule_name
-            steps = self._services.service.steps(context)
-            self._stack.callback(steps.close)  # type: ignore[attr-defined]
-            first = next(steps, None)
+            answer_parts = self._services.service.answer_parts(context)
+            self._stack.callback(answer_parts.close)  # type: ignore[attr-defined]
+            first = next(answer_parts, None)
         except RequestRefusedError as refusal:
             self._note_refusal(refusal)
             self._close()
@@ -87,7 +87,7 @@
         except BaseException:
             self._close()
             raise
-        return self._body(start_response, context, first, steps)
+        return self._body(start_response, context, first, answer_parts)
 
     def _interrupted(self) -> bool:
         return self._services.abandoning.is_set() or bool(self._gone())
@@ -108,9 +108,9 @@
             self._note_refusal(refusal)
         return refusal
 
-    def _until_abandoned(self, steps: Iterator[object]) -> Iterator[object]:
+    def _until_abandoned(self, answer_parts: Iterator[object]) -> Iterator[object]:
         """Yield the steps; tokens that come fast leave no wait in which to look."""
-        for step in steps:
+        for step in answer_parts:
             if self._services.abandoning.is_set():
                 raise CallerGoneError("The request was abandoned.", Ran.UNKNOWN)
             yield step
@@ -138,7 +138,7 @@
         start_response: StartResponse,
         context: RequestContext,
         first: object,
-        steps: Iterator[object],
+        answer_parts: Iterator[object],
     ) -> Iterable[bytes]:
         headers = [("X-Request-Id", self._request.request_id)]
         if isinstance(first, PlainServiceAnswer):
@@ -147,20 +147,20 @@
             return plain_answer(start_response, first, headers)
         self._note_first_token()
         if not self._request.stream:
-            return self._collected(start_response, first, steps, headers)
+            return self._collected(start_response, first, answer_parts, headers)
         start_answer(start_response, 200, STREAM_TYPE, headers)
         # The thread's trace context goes with the generator to its own steps.
-        return _Stream(self._events(first, steps), self._close)
+        return _Stream(self._events(first, answer_parts), self._close)
 
     def _collected(
         self,
         start_response: StartResponse,
         first: object,
-        steps: Iterator[object],
+        answer_parts: Iterator[object],
         headers: list[tuple[str, str]],
     ) -> Iterable[bytes]:
         try:
-            rest = self._until_abandoned(steps)
+            rest = self._until_abandoned(answer_parts)
             tokens = [str(first), *(str(step) for step in rest)]
         except RequestRefusedError as refusal:
             self._note_refusal(refusal)
@@ -179,13 +179,13 @@
         finally:
             self._close()
 
-    def _events(self, first: object, steps: Iterator[object]) -> Iterator[bytes]:
+    def _events(self, first: object, answer_parts: Iterator[object]) -> Iterator[bytes]:
         count = 0
         try:
             if first is not None:
                 yield event("token", {"index": 0, "token": str(first)})
                 count = 1
-            for step in self._until_abandoned(steps):
+            for step in self._until_abandoned(answer_parts):
                 yield event("token", {"index": count, "token": str(step)})
                 count += 1
         except RequestRefusedError as refusal:
--- a/src/jujubeslip/entry/_peer_handler.py
+++ b/src/jujubeslip/entry/_peer_handler.py
@@ -21,7 +21,7 @@
     ReserveReply,
     ReserveRequest,
 )
-from jujubeslip.requests import KeyKeeper, OpenRequests
+from jujubeslip.requests import KeyTable, OpenRequests
 from jujubeslip.routing import LimitReports
 
 
@@ -34,7 +34,7 @@
         directory: HostDirectory,
         gossip: Gossip,
         homes: Homes,
-        keeper: KeyKeeper,
+        key_table: KeyTable,
         open_requests: OpenRequests,
         configuration: ConfigurationFollower,
         limit_reports: LimitReports,
@@ -43,7 +43,7 @@
         self._directory = directory
         self._gossip = gossip
         self._homes = homes
-        self._keeper = keeper
+        self._key_table = key_table
         self._open_requests = open_requests
         self._configuration = configuration
         self._limit_reports = limit_reports
@@ -78,15 +78,15 @@
 
     def claim_key(self, claim: KeyClaim) -> KeyReply:
         """Claim an idempotency key, as its keeper."""
-        return self._keeper.claim(claim)
+        return self._key_table.claim(claim)
 
     def finish_key(self, claim: KeyClaim, outcome: bytes) -> None:
         """Record the answer of a key's run."""
-        self._keeper.finish(claim, outcome)
+        self._key_table.finish(claim, outcome)
 
     def abandon_key(self, claim: KeyClaim) -> None:
         """Free a key whose run ended without an answer."""
-        self._keeper.abandon(claim)
+        self._key_table.abandon(claim)
 
     def closed_requests(
         self, incarnation: int, held: list[HeldRequest]
--- a/src/jujubeslip/entry/_process.py
+++ b/src/jujubeslip/entry/_process.py
@@ -22,10 +22,10 @@
 )
 from jujubeslip.requests import (
     Canceller,
-    ControlKeys,
-    KeeperKeys,
-    KeyCopies,
-    KeyKeeper,
+    DurableKeys,
+    InMemoryKeys,
+    KeyReplicator,
+    KeyTable,
     ModelPath,
     OpenRequests,
     PlainPath,
@@ -90,7 +90,7 @@
         self._limits = ClientLimits(lambda: len(self._directory.live_hosts()))
         self._limit_reports = LimitReports(self._directory, self._clients, self._limits)
         self._open_requests = OpenRequests()
-        self._keeper = KeyKeeper(self._directory)
+        self._key_table = KeyTable(self._directory)
         self._http = HttpServer(http_options(settings), self._build_app())
         self._peers = PeerServer(
             settings.peer_listen_address or settings.peer_address,
@@ -132,14 +132,14 @@
             self._limits,
             ModelPath(self._owner, self._router, canceller, retries, self._meters),
             PlainPath(self._owner, self._router, retries),
-            KeeperKeys(
+            InMemoryKeys(
                 self._directory,
                 self._clients,
-                self._keeper,
+                self._key_table,
                 self._process,
                 has_peers=bool(self._settings.entry_peers),
             ),
-            ControlKeys(self._control, self._process),
+            DurableKeys(self._control, self._process),
             self._directory,
         )
         return HttpApp(
@@ -158,7 +158,7 @@
             self._directory,
             self._gossip,
             self._homes,
-            self._keeper,
+            self._key_table,
             self._open_requests,
             self._configuration,
             self._limit_reports,
@@ -172,7 +172,9 @@
         self._configuration.start(self._process)
         self._homes.start()
         self._limit_reports.start(self._process)
-        KeyCopies(self._directory, self._clients, self._keeper).start(self._process)
+        KeyReplicator(self._directory, self._clients, self._key_table).start(
+            self._process
+        )
         self._http.start(self._process)
         extra = {"http": self._settings.http_address, "peers": self._peers.address}
         logger.info("entry host serves", extra=extra)
--- a/src/jujubeslip/forwarding/_crash_detector.py
+++ b/src/jujubeslip/forwarding/_crash_detector.py
@@ -11,7 +11,7 @@
 from jujubeslip.endpoints import has_ended
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.kernel import steady_seconds
-from jujubeslip.quarantine import Crash, CrashBook, HarmlessContents
+from jujubeslip.quarantine import Crash, CrashRegistry, HarmlessContents
 
 logger = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
     def __init__(
         self,
         registry: EndpointBook,
-        crash_registry: CrashBook,
+        crash_registry: CrashRegistry,
         harmless_contents: HarmlessContents,
         report_crashes: Callable[[], None],
     ) -> None:
@@ -55,7 +55,7 @@
             sent_at = attempts.latest_sent_at.instant
             was_answered = attempts.answer_started is not None
             crash = Crash(endpoint.start_id, sent_at, steady_seconds(), was_answered)
-            self._crash_registry.note_crash(context.fingerprint, crash)
+            self._crash_registry.record_crash(context.fingerprint, crash)
             self._report_crashes()
         extra = {
             "request_id": context.request.request_id,
--- a/src/jujubeslip/forwarding/_crash_reporter.py
+++ b/src/jujubeslip/forwarding/_crash_reporter.py
@@ -10,7 +10,7 @@
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.kernel import Deadline, Process
 from jujubeslip.peers import CrashRecord
-from jujubeslip.quarantine import CrashBook, to_crash_record
+from jujubeslip.quarantine import CrashRegistry, to_crash_record
 
 logger = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
         self,
         process: Process,
         host_id: str,
-        crash_registry: CrashBook,
+        crash_registry: CrashRegistry,
         followers: ControlFollowers,
         leader_contact: LeaderContact,
     ) -> None:
--- a/src/jujubeslip/forwarding/_endpoint_limits.py
+++ b/src/jujubeslip/forwarding/_endpoint_limits.py
@@ -152,7 +152,7 @@
 
     def _report_lifted(self) -> None:
         # Reported once: the other hosts get answers without the limit, too.
-        for start_id, lifted_at in self.notices.take_lifted().items():
+        for start_id, lifted_at in self.notices.pop_lifted().items():
             self._forget_spending(start_id)
             spending = _to_spending(start_id, 0.0, 0.0, lifted_at)
             self._charges.charge_at_leader("", partial(_charge, spending))
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -47,7 +47,7 @@
 )
 from jujubeslip.notices import EndpointNotices
 from jujubeslip.peers import PeerIdentity
-from jujubeslip.quarantine import CrashBook, HarmlessContents
+from jujubeslip.quarantine import CrashRegistry, HarmlessContents
 from jujubeslip.telemetry import (
     configure_logging,
     configure_telemetry,
@@ -88,7 +88,7 @@
         self._connection_pool = ConnectionPool()
         self._pressures = Pressures()
         self._registry = EndpointBook()
-        self._crash_registry = CrashBook()
+        self._crash_registry = CrashRegistry()
         self._harmless_contents = HarmlessContents()
         quarantine = Quarantine(self._crash_registry, self._harmless_contents)
         self._routes_follower = RoutesFollower(interface, identity)
@@ -99,7 +99,7 @@
             self._apply_update,
             is_entry_host=True,
             pressures=self._pressures.report,
-            crash_book=self._crash_registry,
+            crash_registry=self._crash_registry,
         )
         self._leader_contact = LeaderContact(identity, self._followers.reaches)
         self._crash_reporter = CrashReporter(
@@ -109,7 +109,7 @@
             self._followers,
             self._leader_contact,
         )
-        self._crash_registry.tell_cleared(self._crash_reporter.report)
+        self._crash_registry.set_cleared_callback(self._crash_reporter.report)
         # This contact has its own pauses: a leader that does not know the engines yet,
         # and is skipped for grants, may already know the limits.
         self._limit_leader_contact = LeaderContact(identity, self._followers.reaches)
@@ -176,7 +176,7 @@
             self._routes_follower.version,
             self._routes_follower.age_seconds,
             self._retry_budgets.left_by_service(),
-            len(self._crash_registry.held_back()),
+            len(self._crash_registry.quarantined_contents()),
             self._endpoint_limits.count,
             self._endpoint_limits.notices.held_count,
         )
--- a/src/jujubeslip/forwarding/_quarantine.py
+++ b/src/jujubeslip/forwarding/_quarantine.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.forwarding._models import ForwardContext
 from jujubeslip.kernel import RequestRefusedError
-from jujubeslip.quarantine import CrashBook, CrashHistory, HarmlessContents
+from jujubeslip.quarantine import CrashHistory, CrashRegistry, HarmlessContents
 
 logger = logging.getLogger(__name__)
 
@@ -15,11 +15,11 @@
     """Refuses requests of quarantined contents, and clears harmless contents."""
 
     def __init__(
-        self, crash_registry: CrashBook, harmless_contents: HarmlessContents
+        self, crash_registry: CrashRegistry, harmless_contents: HarmlessContents
     ) -> None:
         self._crash_registry = crash_registry
         self._harmless_contents = harmless_contents
-        crash_registry.clear_harmless(harmless_contents.holds)
+        crash_registry.set_harmless_check(harmless_contents.holds)
 
     def holds(self, context: ForwardContext) -> bool:
         """Return whether the request's content is quarantined now."""
@@ -28,21 +28,21 @@
     def check(self, context: ForwardContext) -> None:
         """Raise RequestRefusedError if the request's content is quarantined now."""
         history = self._find_held(context)
-        if history is None or history.held_until is None:
+        if history is None or history.quarantined_until is None:
             return
         extra = {
             "request_id": context.request.request_id,
             "fingerprint": history.fingerprint,
             "crashes": history.count,
             "start_ids": [crash.start_id for crash in history.crashes],
-            "held_for_ms": history.held_until.remaining_ms(),
+            "held_for_ms": history.quarantined_until.remaining_ms(),
             "harmless_ago_ms": self._harmless_contents.ran_ago_ms(history.fingerprint),
         }
         logger.info("request quarantined", extra=extra)
         raise RequestRefusedError(
             "request_quarantined",
             f"Equal requests have crashed {history.count} endpoints in succession.",
-            retry_after=history.held_until.remaining(),
+            retry_after=history.quarantined_until.remaining(),
             remedy="Ask the operators to look into it; once it is harmless, they can "
             f"run `jujubeslip quarantine lift {history.fingerprint}`.",
         )
@@ -57,7 +57,7 @@
         if self._crash_registry.is_empty:
             return None
         history = self._crash_registry.find(context.fingerprint)
-        if history is None or history.held_until is None:
+        if history is None or history.quarantined_until is None:
             return None
         if (
             self._harmless_contents.ran_at(history.fingerprint)
@@ -66,4 +66,4 @@
             # Other hosts only saw the crashes, and may not know of this run.
             self._crash_registry.clear(history.fingerprint)
             return None
-        return None if history.held_until.expired else history
+        return None if history.quarantined_until.expired else history
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -29,7 +29,7 @@
     RequestRefusedError,
     steady_seconds,
 )
-from jujubeslip.quarantine import CrashBook, HarmlessContents
+from jujubeslip.quarantine import CrashRegistry, HarmlessContents
 from jujubeslip.routes import ForwardedRequest, Route, RouteKind, RouteTable
 
 logger = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         initial_discovery: InitialDiscovery | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
-        self._quarantine = quarantine or Quarantine(CrashBook(), HarmlessContents())
+        self._quarantine = quarantine or Quarantine(CrashRegistry(), HarmlessContents())
         self._limits = limits
         self._initial_discovery = initial_discovery
         self._meters = meters
--- a/src/jujubeslip/notices/_book.py
+++ b/src/jujubeslip/notices/_book.py
@@ -120,7 +120,7 @@
         _log_change(start_id, known, updated)
         return True
 
-    def take_lifted(self) -> dict[str, float]:
+    def pop_lifted(self) -> dict[str, float]:
         """Return the times of lifted limits by start, and clear the pending ones."""
         with self._lock:
             lifted, self._lifted_at_by_start = self._lifted_at_by_start, {}
--- a/src/jujubeslip/quarantine/__init__.py
+++ b/src/jujubeslip/quarantine/__init__.py
@@ -4,7 +4,7 @@
 the control hosts that they watch; this needs no leader and no majority.
 """
 
-from jujubeslip.quarantine._book import CrashBook
+from jujubeslip.quarantine._book import CrashRegistry
 from jujubeslip.quarantine._fingerprints import fingerprint_of
 from jujubeslip.quarantine._harmless import HarmlessContents
 from jujubeslip.quarantine._models import Crash, CrashHistory
@@ -12,7 +12,7 @@
 
 __all__ = [
     "Crash",
-    "CrashBook",
+    "CrashRegistry",
     "CrashHistory",
     "HarmlessContents",
     "fingerprint_of",
--- a/src/jujubeslip/quarantine/_book.py
+++ b/src/jujubeslip/quarantine/_book.py
@@ -37,7 +37,7 @@
     return False
 
 
-class CrashBook:
+class CrashRegistry:
     """Crash histories by fingerprint, with a version number for each change.
 
     Hosts report changes to each other in any order and possibly repeatedly. Of several
@@ -45,8 +45,8 @@
     content clears the crashes before it. The registry is thread-safe.
     """
 
-    def __init__(self, on_news: Callable[[], None] = _do_nothing) -> None:
-        self._on_news = on_news
+    def __init__(self, on_change: Callable[[], None] = _do_nothing) -> None:
+        self._on_change = on_change
         self._is_harmless: Callable[[str], bool] = _never_harmless
         self._on_cleared: Callable[[], None] = _do_nothing
         self._history_by_fingerprint: dict[str, CrashHistory] = {}
@@ -62,7 +62,7 @@
         """Return whether no content is stored."""
         return not self._history_by_fingerprint
 
-    def clear_harmless(self, is_harmless: Callable[[str], bool]) -> None:
+    def set_harmless_check(self, is_harmless: Callable[[str], bool]) -> None:
         """Set the check for contents to clear when other hosts report crashes of them.
 
         Only this host knows which contents it has seen run without a crash, and other
@@ -70,7 +70,7 @@
         """
         self._is_harmless = is_harmless
 
-    def tell_cleared(self, on_cleared: Callable[[], None]) -> None:
+    def set_cleared_callback(self, on_cleared: Callable[[], None]) -> None:
         """Set the callback for when this host has cleared a content."""
         self._on_cleared = on_cleared
 
@@ -78,7 +78,7 @@
         """Return the crash history of a content, or None if it has none."""
         return self._history_by_fingerprint.get(fingerprint)
 
-    def note_crash(self, fingerprint: str, crash: Crash) -> None:
+    def record_crash(self, fingerprint: str, crash: Crash) -> None:
         """Record that an endpoint exited while it ran a request of this content."""
         self.take([CrashHistory(fingerprint, (crash,))])
 
@@ -91,7 +91,7 @@
             cleared = CrashHistory(fingerprint, cleared_at=steady_seconds())
             self._store(known, cleared)
             self._update_excused()
-        self._on_news()
+        self._on_change()
         self._on_cleared()
         return True
 
@@ -108,7 +108,7 @@
             if is_changed:
                 self._update_excused()
         if is_changed:
-            self._on_news()
+            self._on_change()
         for fingerprint in harmless:
             self.clear(fingerprint)
 
@@ -140,14 +140,14 @@
         others.sort(key=lambda history: history.latest_at)
         return newest, suspects + others[-MAXIMUM_UNSUSPECTED:]
 
-    def held_back(self) -> list[CrashHistory]:
+    def quarantined_contents(self) -> list[CrashHistory]:
         """Return the histories of the contents that are currently quarantined."""
         with self._lock:
             histories = list(self._history_by_fingerprint.values())
         return [
             history
             for history in histories
-            if (until := history.held_until) is not None and not until.expired
+            if (until := history.quarantined_until) is not None and not until.expired
         ]
 
     def forget_old(self) -> None:
--- a/src/jujubeslip/quarantine/_models.py
+++ b/src/jujubeslip/quarantine/_models.py
@@ -89,7 +89,7 @@
         return self.count >= SUSPECT_CRASHES
 
     @property
-    def held_until(self) -> Deadline | None:
+    def quarantined_until(self) -> Deadline | None:
         """Return the end of the quarantine, or None if there are too few crashes."""
         settled = (
             crash
--- a/src/jujubeslip/requests/__init__.py
+++ b/src/jujubeslip/requests/__init__.py
@@ -7,9 +7,9 @@
 from jujubeslip.requests._answers import ModelAnswer, PlainServiceAnswer
 from jujubeslip.requests._authentication import authenticate, require_secret
 from jujubeslip.requests._cancellation import Canceller
-from jujubeslip.requests._key_copies import KeyCopies
-from jujubeslip.requests._key_keeper import KeyKeeper
-from jujubeslip.requests._keys import ControlKeys, KeeperKeys, Keys
+from jujubeslip.requests._key_copies import KeyReplicator
+from jujubeslip.requests._key_keeper import KeyTable
+from jujubeslip.requests._keys import DurableKeys, InMemoryKeys, Keys
 from jujubeslip.requests._model_path import ModelPath
 from jujubeslip.requests._models import ClientRequest, RequestContext
 from jujubeslip.requests._open_requests import OpenRequests
@@ -21,10 +21,10 @@
 __all__ = [
     "Canceller",
     "ClientRequest",
-    "ControlKeys",
-    "KeeperKeys",
-    "KeyCopies",
-    "KeyKeeper",
+    "DurableKeys",
+    "InMemoryKeys",
+    "KeyReplicator",
+    "KeyTable",
     "Keys",
     "ModelAnswer",
     "ModelPath",
--- a/src/jujubeslip/requests/_key_copies.py
+++ b/src/jujubeslip/requests/_key_copies.py
@@ -7,7 +7,7 @@
 from jujubeslip.kernel import PeerUnavailableError, Process
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, PeerRefusal
-from jujubeslip.requests._key_keeper import KeyKeeper, KeyRecord
+from jujubeslip.requests._key_keeper import KeyRecord, KeyTable
 
 logger = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
 COPY_TIMEOUT = 0.8
 
 
-class KeyCopies:
+class KeyReplicator:
     """Copies the key records of this host to the current owners of each key.
 
     The owners of a key change as entry hosts join and leave, one after the other in a
@@ -27,7 +27,7 @@
     """
 
     def __init__(
-        self, directory: HostDirectory, clients: PeerClients, key_table: KeyKeeper
+        self, directory: HostDirectory, clients: PeerClients, key_table: KeyTable
     ) -> None:
         self._directory = directory
         self._clients = clients
--- a/src/jujubeslip/requests/_key_keeper.py
+++ b/src/jujubeslip/requests/_key_keeper.py
@@ -27,7 +27,7 @@
     expires_at: Deadline
 
 
-class KeyKeeper:
+class KeyTable:
     """Decides, together with the other owners of a key, which claim may run."""
 
     def __init__(self, directory: HostDirectory) -> None:
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -17,7 +17,7 @@
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, KeyClaim, KeyReply, KeyStatus, PeerRefusal
 from jujubeslip.requests._key_copies import KEY_OWNERS
-from jujubeslip.requests._key_keeper import KeyKeeper
+from jujubeslip.requests._key_keeper import KeyTable
 
 logger = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         """Free the key if the run ended with `ran` NO or its client disconnected."""
 
 
-class KeeperKeys:
+class InMemoryKeys:
     """Keys of repeatable requests, in memory at owners chosen by rendezvous hashing.
 
     A claim is valid once a majority of the key's owners has accepted it. Hosts whose
@@ -59,7 +59,7 @@
         self,
         directory: HostDirectory,
         clients: PeerClients,
-        key_table: KeyKeeper,
+        key_table: KeyTable,
         process: Process,
         has_peers: bool,
     ) -> None:
@@ -181,7 +181,7 @@
             return
 
 
-class ControlKeys:
+class DurableKeys:
     """Keys of non-repeatable requests, committed and synced by a control quorum.
 
     A claim is freed only if its request certainly did not run: running it twice is
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -117,7 +117,7 @@
             availability_zone=self._availability_zone,
         )
 
-    def steps(self, context: RequestContext) -> Iterator[AnswerPart]:
+    def answer_parts(self, context: RequestContext) -> Iterator[AnswerPart]:
         """Yield the tokens, or the single answer of a plain service.
 
         Returns only once the answer is complete.
@@ -183,14 +183,14 @@
     def _run_and_record(
         self, context: RequestContext, keys: Keys, claim: KeyClaim
     ) -> Iterator[AnswerPart]:
-        steps = []
+        answer_parts = []
         try:
             for part in self._run(context):
                 if isinstance(part, PlainServiceAnswer):
                     # Recorded before it is yielded: the client may have disconnected,
                     # but its resend needs the answer.
                     self._record(keys, claim, part)
-                steps.append(part)
+                answer_parts.append(part)
                 yield part
         except BaseException as error:
             # BaseException includes GeneratorExit: a client that disconnects closes
@@ -201,8 +201,8 @@
                 # Lets resends fail immediately instead of waiting for a run that ended.
                 self._record(keys, claim, UnknownAnswer(_reason(error)))
             raise
-        if not (steps and isinstance(steps[0], PlainServiceAnswer)):
-            tokens = tuple(str(part) for part in steps)
+        if not (answer_parts and isinstance(answer_parts[0], PlainServiceAnswer)):
+            tokens = tuple(str(part) for part in answer_parts)
             self._record(keys, claim, ModelAnswer(tokens, context.rule_name))
 
     def _record(self, keys: Keys, claim: KeyClaim, answer: Answer) -> None:
--- a/tests/control/test_watches.py
+++ b/tests/control/test_watches.py
@@ -16,7 +16,7 @@
 from jujubeslip.discovery import EndpointBook
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import ServicePressure, WatchRequest
-from jujubeslip.quarantine import Crash, CrashBook, CrashHistory
+from jujubeslip.quarantine import Crash, CrashHistory, CrashRegistry
 from tests.fakes.broken_fields import received
 from tests.fakes.clock import Clock
 from tests.fakes.engines import engine
@@ -127,7 +127,7 @@
     """
 
     def test_is_sent_to_entry_hosts(self, watches: Watches) -> None:
-        crash_registry = CrashBook()
+        crash_registry = CrashRegistry()
         watches._crash_registry = crash_registry
         crash = Crash("start-1", 0.0, 1.0)
         crash_registry.take([CrashHistory("f" * 16, (crash,))])
--- a/tests/endpoints/test_leaving.py
+++ b/tests/endpoints/test_leaving.py
@@ -17,7 +17,7 @@
 from tests.fakes.processes import call_json, wait_until
 from tests.fakes.scenarios import FAST, model_endpoints, small_system
 from tests.requests.support import (
-    PATIENT_DECLARATION,
+    LONG_TIMEOUT_DECLARATION,
     SERVICE,
     in_background,
     open_call,
@@ -48,7 +48,7 @@
     spec = small_system(
         model_endpoints(1, 1, SLOW),
         entries=2,
-        declaration=PATIENT_DECLARATION,
+        declaration=LONG_TIMEOUT_DECLARATION,
         hops=frozenset((("*", "entry-1"), ("*", "entry-2"))),
     )
     with Cluster(spec, tmp_path_factory.mktemp("leaving")) as cluster:
--- a/tests/entry/support.py
+++ b/tests/entry/support.py
@@ -16,7 +16,7 @@
 )
 from tests.fakes.processes import wait_until
 from tests.fakes.scenarios import model_endpoints, small_system
-from tests.requests.support import SERVICE, WAIT_SECONDS, assert_whole, model_message
+from tests.requests.support import SERVICE, WAIT_SECONDS, assert_complete, model_message
 
 RECEIVE_MS = 2000
 BODY_BYTES = 100_000
@@ -75,7 +75,7 @@
 def check_unharmed(cluster: Cluster) -> None:
     """Check that another client is served, and that nothing stays held."""
     address = cluster.client_address("entry-1")
-    assert_whole(ask(address, SERVICE, model_message()))
+    assert_complete(ask(address, SERVICE, model_message()))
     wait_until(
         lambda: cluster.entry_status("entry-1").open_requests == 0,
         "no request is open",
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -38,7 +38,7 @@
 from tests.requests.support import (
     SERVICE,
     WAIT_SECONDS,
-    assert_whole,
+    assert_complete,
     engines,
     model_message,
     open_call,
@@ -135,9 +135,9 @@
             "X-Request-Id": "odd",
         }
         call = open_call(cluster, "entry-1", "odd")
-        assert_whole(call.answer())
+        assert_complete(call.answer())
         address = cluster.client_address("entry-1")
-        assert_whole(ask(address, SERVICE, model_message(), headers))
+        assert_complete(ask(address, SERVICE, model_message(), headers))
 
     def test_leaves_streams_alone_and_reaches_no_endpoint(
         self, cluster: Cluster
@@ -150,7 +150,7 @@
             send(cluster, content)
         assert self._runs(cluster) == before
         cluster.order_faults("prefill-1", resume_phase="prefill")
-        assert_whole(call.answer())
+        assert_complete(call.answer())
         check_unharmed(cluster)
 
     def _runs(self, cluster: Cluster) -> int:
@@ -294,7 +294,9 @@
     def test_hold_no_key(self, cluster: Cluster) -> None:
         send(cluster, body(), key=WRONG_KEY)
         send(cluster, b"{", ENDPOINTS, WRONG_KEY)
-        assert_whole(ask(cluster.client_address("entry-2"), SERVICE, model_message()))
+        assert_complete(
+            ask(cluster.client_address("entry-2"), SERVICE, model_message())
+        )
         identity = PeerIdentity("stranger", 1, WRONG_KEY)
         address = cluster.peer_address_by_id["entry-1"]
         client = PeerClient(EntryPeer.Client, address, identity)
--- a/tests/entry/test_planned_stops.py
+++ b/tests/entry/test_planned_stops.py
@@ -21,10 +21,10 @@
 from tests.fakes.scenarios import model_endpoints, small_system
 from tests.requests.support import (
     DECODE_GATE_TOKENS,
-    PATIENT_DECLARATION,
+    LONG_TIMEOUT_DECLARATION,
     SERVICE,
     WAIT_SECONDS,
-    assert_whole,
+    assert_complete,
     engines,
     heal,
     in_background,
@@ -44,7 +44,7 @@
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     plain = PlainSpec("plain-1", PLAIN, options={"slots": 1})
     endpoints: tuple[EngineSpec | PlainSpec, ...] = (*model_endpoints(2, 2), plain)
-    spec = small_system(endpoints, entries=3, declaration=PATIENT_DECLARATION)
+    spec = small_system(endpoints, entries=3, declaration=LONG_TIMEOUT_DECLARATION)
     with Cluster(spec, tmp_path_factory.mktemp("stops")) as cluster:
         yield cluster
 
@@ -131,7 +131,7 @@
         assert (seen.stopping, seen.open_requests) == (True, len(streams))
         resume(cluster, "decode")
         for stream in streams:
-            assert_whole(stream.result())
+            assert_complete(stream.result())
         assert process.wait() == 0
         kept.close()
 
@@ -259,7 +259,7 @@
         resume(cluster, "prefill")
         resume(cluster, "decode")
         for future in (*streams, *waiting):
-            assert_whole(future.result())
+            assert_complete(future.result())
         assert process.wait() == 0
 
 
@@ -336,7 +336,7 @@
         client.close()
         assert refused.value.error_id == "not_stopping"
         resume(cluster, "decode")
-        assert_whole(stream.result())
+        assert_complete(stream.result())
 
 
 class TestEngineThatIsDrained:
@@ -362,11 +362,11 @@
         wait_until(lambda: _leaves(cluster, leaver), f"{leaver} leaves")
         resume(cluster, phase)
         for future in calls:
-            assert_whole(future.result())
+            assert_complete(future.result())
         assert process.wait() == 0
         for number in range(4):
             answer = open_call(cluster, other, f"after-{number}").answer()
-            assert_whole(answer)
+            assert_complete(answer)
 
 
 def _leaves(cluster: Cluster, endpoint_id: str) -> bool:
--- a/tests/entry/test_slow_clients.py
+++ b/tests/entry/test_slow_clients.py
@@ -18,7 +18,7 @@
 )
 from tests.fakes.client import ask
 from tests.fakes.cluster import Cluster
-from tests.requests.support import SERVICE, assert_whole, model_message
+from tests.requests.support import SERVICE, assert_complete, model_message
 
 SLOW_CLIENTS = 300
 SLOW_BYTE_SECONDS = 1.0
@@ -62,7 +62,7 @@
                 next_byte = started + sent * SLOW_BYTE_SECONDS
                 while time.monotonic() < next_byte:
                     asked = time.monotonic()
-                    assert_whole(ask(address, SERVICE, model_message()))
+                    assert_complete(ask(address, SERVICE, model_message()))
                     assert time.monotonic() - asked < 1.0
             assert clients == []
         finally:
--- a/tests/forwarding/test_endpoint_starts.py
+++ b/tests/forwarding/test_endpoint_starts.py
@@ -32,7 +32,7 @@
 from jujubeslip.interfaces import EndpointCall, interfaces
 from jujubeslip.kernel import Deadline, RequestRefusedError, load_plugins
 from jujubeslip.peers import EndpointRole, PeerIdentity
-from jujubeslip.quarantine import CrashBook, HarmlessContents
+from jujubeslip.quarantine import CrashRegistry, HarmlessContents
 from tests.fakes.engines import engine
 from tests.fakes.platform_worker import PlatformWorker
 from tests.forwarding.test_grants import Leader, find
@@ -63,7 +63,7 @@
 
 def build_sender(registry: EndpointBook) -> EndpointSender:
     health = EndpointHealth()
-    crash_book, harmless = CrashBook(), HarmlessContents()
+    crash_registry, harmless = CrashRegistry(), HarmlessContents()
     contact = LeaderContact(PeerIdentity("host", 1, "secret"), lambda _: False)
     charges = SharedCharges(contact, HostSpending(ENDPOINT_BOUNDS, lambda: 1, 0.0))
     return EndpointSender(
@@ -72,8 +72,8 @@
         Chooser(registry, health, LeastCost(health, "zone-1"), 10.0),
         health,
         RetryBudgets(BudgetOptions(0.1, 10.0, 100), lambda: 1),
-        CrashDetector(registry, crash_book, harmless, lambda: None),
-        Quarantine(crash_book, harmless),
+        CrashDetector(registry, crash_registry, harmless, lambda: None),
+        Quarantine(crash_registry, harmless),
         EndpointLimits(charges, "host", lambda: 1),
     )
 
--- a/tests/notices/test_book.py
+++ b/tests/notices/test_book.py
@@ -8,9 +8,9 @@
 
 from jujubeslip.discovery import Endpoint, EndpointBook
 from jujubeslip.interfaces import EndpointHead
-from jujubeslip.notices import EndpointNotices, HoldReason, _book, _models
-from jujubeslip.notices._book import MAXIMUM_UNKNOWN_STARTS
+from jujubeslip.notices import EndpointNotices, HoldReason, _models, _registry
 from jujubeslip.notices._models import LONGEST_BACKOFF_SECONDS
+from jujubeslip.notices._registry import MAXIMUM_UNKNOWN_STARTS
 from jujubeslip.platform._endpoint_calls import read_head
 from tests.fakes.engines import engine
 
@@ -27,7 +27,7 @@
 def now(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """Return a list whose only item is the time of all clocks."""
     current_time = [1000.0]
-    for module in (_book, _models):
+    for module in (_registry, _models):
         monkeypatch.setattr(
             module, "steady_seconds", lambda: current_time[0], raising=False
         )
--- a/tests/quarantine/test_answered_crashes.py
+++ b/tests/quarantine/test_answered_crashes.py
@@ -6,9 +6,9 @@
 
 from jujubeslip.quarantine import (
     Crash,
-    CrashBook,
     CrashHistory,
-    _book,
+    CrashRegistry,
+    _registry,
     to_crash_record,
     usable_histories,
 )
@@ -24,7 +24,7 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
     for module in (
-        _book.__name__,
+        _registry.__name__,
         "jujubeslip.kernel._deadlines",
         "jujubeslip.quarantine._records",
     ):
@@ -33,17 +33,17 @@
 
 
 def add_crash(
-    registry: CrashBook, clock: Clock, content: str, number: int, answered: bool
+    registry: CrashRegistry, clock: Clock, content: str, number: int, answered: bool
 ) -> None:
     crash = Crash(f"start-{number}", clock.now - RUN_SECONDS, clock.now, answered)
-    registry.note_crash(content, crash)
+    registry.record_crash(content, crash)
 
 
-def quarantined(registry: CrashBook) -> list[str]:
-    return [history.fingerprint for history in registry.held_back()]
+def quarantined(registry: CrashRegistry) -> list[str]:
+    return [history.fingerprint for history in registry.quarantined_contents()]
 
 
-def crash_with_stream(registry: CrashBook, clock: Clock) -> None:
+def crash_with_stream(registry: CrashRegistry, clock: Clock) -> None:
     """Crash endpoints that answer a stream, but not yet the fatal content."""
     for number in range(QUARANTINE_CRASHES):
         clock.now += 1
@@ -54,20 +54,20 @@
 
 class TestCrashDuringAnAnswer:
     def test_does_not_count_with_another_unanswered_content(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         crash_with_stream(registry, clock)
         assert quarantined(registry) == [FATAL]
 
     def test_counts_once_the_other_content_is_harmless(self, clock: Clock) -> None:
         """Guards against excusing a content by one that only waited concurrently."""
-        registry = CrashBook()
+        registry = CrashRegistry()
         crash_with_stream(registry, clock)
         registry.clear(FATAL)
         assert quarantined(registry) == [STREAM]
 
     def test_counts_only_after_the_propagation_delay(self, clock: Clock) -> None:
         """Guards against a quarantine that a report in transit would prevent."""
-        registry = CrashBook()
+        registry = CrashRegistry()
         for number in range(QUARANTINE_CRASHES):
             clock.now += 1
             add_crash(registry, clock, STREAM, number, answered=True)
@@ -77,7 +77,7 @@
 
     def test_is_reported_as_answered(self, clock: Clock) -> None:
         """Guards against reports that don't say which content was being answered."""
-        sender, receiver = CrashBook(), CrashBook()
+        sender, receiver = CrashRegistry(), CrashRegistry()
         crash_with_stream(sender, clock)
         _, histories = sender.changes_since(0)
         records = [received(to_crash_record(history)) for history in histories]
@@ -94,7 +94,7 @@
     def test_is_merged_in_any_order_for_equal_requests(self, clock: Clock) -> None:
         """Guards against registries that depend on the order of reports."""
         for first_answered in (True, False):
-            registry = CrashBook()
+            registry = CrashRegistry()
             add_crash(registry, clock, STREAM, 1, answered=first_answered)
             add_crash(registry, clock, STREAM, 1, answered=not first_answered)
             history = registry.find(STREAM)
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_book.py
@@ -10,14 +10,14 @@
 from jujubeslip.peers import RequestCrash
 from jujubeslip.quarantine import (
     Crash,
-    CrashBook,
     CrashHistory,
-    _book,
+    CrashRegistry,
+    _registry,
     to_crash_record,
     usable_histories,
 )
-from jujubeslip.quarantine._book import MAXIMUM_CONTENTS, MAXIMUM_CRASHES
 from jujubeslip.quarantine._models import QUARANTINE_SECONDS, REMEMBERED_SECONDS
+from jujubeslip.quarantine._registry import MAXIMUM_CONTENTS, MAXIMUM_CRASHES
 from tests.fakes.broken_fields import received
 from tests.fakes.clock import Clock
 
@@ -30,7 +30,7 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
     for module in (
-        _book,
+        _registry,
         "jujubeslip.kernel._deadlines",
         "jujubeslip.quarantine._records",
     ):
@@ -48,14 +48,14 @@
 
 
 def record_all(
-    registry: CrashBook, found: Sequence[Crash], content: str = FATAL
+    registry: CrashRegistry, found: Sequence[Crash], content: str = FATAL
 ) -> None:
     for item in found:
-        registry.note_crash(content, item)
+        registry.record_crash(content, item)
 
 
-def quarantined(registry: CrashBook) -> list[str]:
-    return [history.fingerprint for history in registry.held_back()]
+def quarantined(registry: CrashRegistry) -> list[str]:
+    return [history.fingerprint for history in registry.quarantined_contents()]
 
 
 class TestReportedCrashTimes:
@@ -64,7 +64,7 @@
     def test_count_as_successive_crashes(self, clock: Clock) -> None:
         first = crash("first", clock.now)
         second = Crash("second", first.crashed_at, first.crashed_at + RUN_SECONDS)
-        registry = CrashBook()
+        registry = CrashRegistry()
         for delay_seconds, known in ((0.004, (first,)), (0.001, (first, second))):
             record = to_crash_record(CrashHistory(FATAL, known))
             clock.now += delay_seconds
@@ -75,7 +75,7 @@
         assert history.count == 2
 
     def test_do_not_change_the_version_when_repeated(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         history = CrashHistory(FATAL, (crash("first", clock.now),))
         registry.take([history])
         version = registry.version
@@ -88,7 +88,7 @@
 
 class TestFatalContentQuarantine:
     def test_starts_at_the_third_crash(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         first, second, third = crashes(3, clock.now)
         record_all(registry, [first, second])
         assert quarantined(registry) == []
@@ -96,15 +96,15 @@
         assert quarantined(registry) == [FATAL]
 
     def test_expires_and_restarts_at_the_next_crash(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(3, clock.now))
         clock.now += QUARANTINE_SECONDS + 3
         assert quarantined(registry) == []
-        registry.note_crash(FATAL, crash("late", clock.now))
+        registry.record_crash(FATAL, crash("late", clock.now))
         assert quarantined(registry) == [FATAL]
 
     def test_is_forgotten_after_the_storage_time(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(3, clock.now))
         clock.now += REMEMBERED_SECONDS + 3
         registry.forget_old()
@@ -115,12 +115,12 @@
     """Guards against quarantining a content that only ran alongside a fatal one."""
 
     def test_two_crashes_are_not_enough(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(2, clock.now))
         assert quarantined(registry) == []
 
     def test_a_complete_answer_clears_it(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(2, clock.now))
         clock.now += 2
         assert registry.clear(FATAL)
@@ -132,22 +132,24 @@
     def test_equal_requests_at_endpoints_that_crash_together_count_once(
         self, clock: Clock
     ) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(
             registry, [crash(f"start-{n}", clock.now + n / 1000) for n in range(5)]
         )
         assert quarantined(registry) == []
 
     def test_hosts_that_report_one_crash_count_once(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         for late in range(5):
-            registry.note_crash(FATAL, crash("start-1", clock.now + late, ran_for=0.0))
+            registry.record_crash(
+                FATAL, crash("start-1", clock.now + late, ran_for=0.0)
+            )
         assert quarantined(registry) == []
 
     def test_a_late_report_from_before_its_complete_answer_does_not_count(
         self, clock: Clock
     ) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         found = crashes(3, clock.now)
         record_all(registry, found)
         clock.now += 5
@@ -160,15 +162,17 @@
     def test_contents_are_limited_and_the_quarantined_one_is_kept(
         self, clock: Clock
     ) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(3, clock.now))
         for number in range(2 * MAXIMUM_CONTENTS):
-            registry.note_crash(f"{number:016x}", crash("start-1", clock.now + number))
+            registry.record_crash(
+                f"{number:016x}", crash("start-1", clock.now + number)
+            )
         assert len(registry.changes_since(0)[1]) == MAXIMUM_CONTENTS
         assert quarantined(registry) == [FATAL]
 
     def test_crashes_of_a_content_are_limited(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(50, clock.now))
         history = registry.find(FATAL)
         assert history is not None
@@ -181,7 +185,7 @@
         reported.append(CrashHistory(FATAL, cleared_at=clock.now + 0.5))
         known = set()
         for order in itertools.permutations(reported):
-            registry = CrashBook()
+            registry = CrashRegistry()
             registry.take(order)
             history = registry.find(FATAL)
             assert history is not None
@@ -191,7 +195,7 @@
 
     def test_stop_without_changes(self, clock: Clock) -> None:
         """Guards against histories that circulate between hosts forever."""
-        registries = [CrashBook() for _ in range(3)]
+        registries = [CrashRegistry() for _ in range(3)]
         record_all(registries[0], crashes(2, clock.now))
         clock.now += 3
         for _ in range(3):
@@ -205,7 +209,7 @@
         assert [registry.version for registry in registries] == versions
 
     def test_entry_hosts_get_only_suspects(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(1, clock.now), OTHER)
         record_all(registry, crashes(2, clock.now))
         assert registry.suspects_version == registry.version
@@ -214,7 +218,7 @@
         assert len(registry.changes_since(0)[1]) == 2
 
     def test_a_record_can_be_read_by_the_receiver(self, clock: Clock) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(3, clock.now))
         clock.now += 10
         history = registry.find(FATAL)
@@ -237,7 +241,7 @@
     def test_an_invalid_record_does_not_affect_others(
         self, clock: Clock, name: str, value: object
     ) -> None:
-        registry = CrashBook()
+        registry = CrashRegistry()
         record_all(registry, crashes(3, clock.now))
         history = registry.find(FATAL)
         assert history is not None
@@ -247,7 +251,9 @@
         assert [item.fingerprint for item in found] == [FATAL]
 
 
-def exchange_all(registries: Sequence[CrashBook], clock: Clock, delay: float) -> None:
+def exchange_all(
+    registries: Sequence[CrashRegistry], clock: Clock, delay: float
+) -> None:
     """Report all histories of each registry to each other one, after a delay."""
     for sender, receiver in itertools.permutations(registries, 2):
         _, histories = sender.changes_since(0)
--- a/tests/quarantine/test_harmless.py
+++ b/tests/quarantine/test_harmless.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from jujubeslip.quarantine import HarmlessContents, _harmless
-from jujubeslip.quarantine._harmless import HARMLESS_SECONDS, MAXIMUM_CONTENTS
+from jujubeslip.quarantine import HarmlessContents, _harmless_contents
+from jujubeslip.quarantine._harmless_contents import HARMLESS_SECONDS, MAXIMUM_CONTENTS
 from tests.fakes.clock import Clock
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(_harmless, "steady_seconds", clock.steady_seconds)
+    monkeypatch.setattr(_harmless_contents, "steady_seconds", clock.steady_seconds)
     return clock
 
 
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_side_by_side.py
@@ -18,7 +18,7 @@
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.kernel import Deadline, RequestRefusedError
 from jujubeslip.quarantine import (
-    CrashBook,
+    CrashRegistry,
     HarmlessContents,
     to_crash_record,
     usable_histories,
@@ -66,7 +66,7 @@
 
     def __init__(self) -> None:
         endpoints: Any = EndedEndpoints()
-        self.registry = CrashBook()
+        self.registry = CrashRegistry()
         self._harmless = HarmlessContents()
         self.crashes = CrashDetector(
             endpoints, self.registry, self._harmless, lambda: None
@@ -110,7 +110,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.all = [Host() for _ in range(3)]
-        self._control = CrashBook()
+        self._control = CrashRegistry()
         self._starts = itertools.count()
 
     def restart(self, number: int) -> None:
@@ -154,7 +154,9 @@
         return [n for n, host in enumerate(self.all) if host.refuses(content)]
 
 
-def _report(sender: CrashBook, receiver: CrashBook, suspects_only: bool) -> None:
+def _report(
+    sender: CrashRegistry, receiver: CrashRegistry, suspects_only: bool
+) -> None:
     _, found = sender.changes_since(0, suspects_only)
     records = [to_crash_record(history) for history in found]
     receiver.take(usable_histories("host", records))
--- a/tests/quarantine/test_spread.py
+++ b/tests/quarantine/test_spread.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from jujubeslip.quarantine import Crash, CrashBook, to_crash_record, usable_histories
+from jujubeslip.quarantine import (
+    Crash,
+    CrashRegistry,
+    to_crash_record,
+    usable_histories,
+)
 from jujubeslip.quarantine import _book as registry_module
 from tests.fakes.clock import Clock
 
@@ -24,7 +29,7 @@
 @dataclass
 class Host:
     zone: int
-    registry: CrashBook = field(default_factory=CrashBook)
+    registry: CrashRegistry = field(default_factory=CrashRegistry)
     next_watch_at: float = 0.0
 
 
@@ -63,16 +68,16 @@
         """Send the fatal content to a random host; if it runs, an endpoint crashes."""
         hosts = [host for host in self.entries if zone in (None, host.zone)]
         host = self.rng.choice(hosts)
-        if host.registry.held_back():
+        if host.registry.quarantined_contents():
             return
         self._starts += 1
         sent_at = self.clock.now
         self.sent_at.append(sent_at)
         crash = Crash(f"start-{self._starts}", sent_at, sent_at + STEP_SECONDS)
-        host.registry.note_crash(FATAL, crash)
+        host.registry.record_crash(FATAL, crash)
         # A poll from another host runs at the same endpoint at each crash.
         other_host = self.rng.choice(self.entries)
-        other_host.registry.note_crash(POLL, crash)
+        other_host.registry.record_crash(POLL, crash)
 
     def poll(self) -> None:
         """Let a random host get a complete answer to a poll."""
@@ -120,7 +125,8 @@
             hosts.poll()
         assert hosts.late_sends() <= FURTHER_RUNS
         assert all(
-            [history.fingerprint for history in host.registry.held_back()] == [FATAL]
+            [history.fingerprint for history in host.registry.quarantined_contents()]
+            == [FATAL]
             for host in hosts.entries
         )
 
@@ -141,7 +147,7 @@
             hosts.run(0.3)
         hosts.partitioned_zone = None
         hosts.run(2 * WATCH_SECONDS)
-        assert all(host.registry.held_back() for host in hosts.entries)
+        assert all(host.registry.quarantined_contents() for host in hosts.entries)
 
     def test_restarted_control_hosts_get_reports(self, clock: Clock) -> None:
         hosts = Hosts(clock, 9)
@@ -149,6 +155,6 @@
             hosts.send()
             hosts.run(0.3)
         for host in (*hosts.controls, *hosts.entries[1:]):
-            host.registry = CrashBook()
+            host.registry = CrashRegistry()
         hosts.run(3 * WATCH_SECONDS)
-        assert all(host.registry.held_back() for host in hosts.entries)
+        assert all(host.registry.quarantined_contents() for host in hosts.entries)
--- a/tests/quarantine/test_told_contents.py
+++ b/tests/quarantine/test_told_contents.py
@@ -5,7 +5,7 @@
 import pytest
 
 from jujubeslip.forwarding._quarantine import Quarantine
-from jujubeslip.quarantine import Crash, CrashBook, CrashHistory, HarmlessContents
+from jujubeslip.quarantine import Crash, CrashHistory, CrashRegistry, HarmlessContents
 from jujubeslip.quarantine import _book as registry_module
 from jujubeslip.quarantine import _harmless as harmless_contents_module
 from jujubeslip.quarantine._book import MAXIMUM_UNSUSPECTED
@@ -38,11 +38,11 @@
     """An entry host's registries, and how often it has cleared a content."""
 
     def __init__(self) -> None:
-        self.registry = CrashBook()
+        self.registry = CrashRegistry()
         self.harmless = HarmlessContents()
         Quarantine(self.registry, self.harmless)
         self.cleared = 0
-        self.registry.tell_cleared(self._count)
+        self.registry.set_cleared_callback(self._count)
 
     def _count(self) -> None:
         self.cleared += 1
@@ -84,13 +84,13 @@
         host.harmless.note("1" * 16)
         host.registry.take([CrashHistory(POLL, crashes(clock, 3))])
         assert host.cleared == 0
-        assert host.registry.held_back()
+        assert host.registry.quarantined_contents()
 
 
 class TestReportsToEntryHosts:
     def test_suspects_and_the_latest_of_the_others(self, clock: Clock) -> None:
         """Guards against replies that grow with the contents run at an endpoint."""
-        registry = CrashBook()
+        registry = CrashRegistry()
         registry.take([CrashHistory(POLL, crashes(clock, 2))])
         others = [f"{number:016x}" for number in range(1, 2 * MAXIMUM_UNSUSPECTED)]
         for content in others:
--- a/tests/requests/support.py
+++ b/tests/requests/support.py
@@ -20,7 +20,7 @@
 WAIT_SECONDS = 12.0
 # The timeouts are long enough that a request held at a gate is neither refused nor
 # treated as a silent stream.
-PATIENT_DECLARATION = DECLARATION.replace(
+LONG_TIMEOUT_DECLARATION = DECLARATION.replace(
     'name = "everything-else"',
     """name = "everything-else"
 [rule.then]
@@ -144,7 +144,7 @@
     return [run for run in runs if run["request_id"].startswith(f"{name}.")]
 
 
-def assert_whole(answer: ClientAnswer, tokens: int = 8) -> None:
+def assert_complete(answer: ClientAnswer, tokens: int = 8) -> None:
     """Check that the answer equals that of an undisturbed run, byte for byte."""
     assert answer.whole, answer
     assert answer.text == expected_text(tokens)
--- a/tests/requests/test_held_memory.py
+++ b/tests/requests/test_held_memory.py
@@ -11,9 +11,9 @@
 from tests.fakes.scenarios import model_endpoints, small_system
 from tests.requests.support import (
     DECODE_GATE_TOKENS,
-    PATIENT_DECLARATION,
+    LONG_TIMEOUT_DECLARATION,
     PHASES,
-    assert_whole,
+    assert_complete,
     heal,
     held_phases,
     in_background,
@@ -34,7 +34,7 @@
     spec = small_system(
         model_endpoints(prefills=2, decodes=2),
         entries=3,
-        declaration=PATIENT_DECLARATION,
+        declaration=LONG_TIMEOUT_DECLARATION,
         hops=frozenset(("*", name) for name in DECODES),
     )
     with Cluster(spec, tmp_path_factory.mktemp("held")) as cluster:
@@ -80,7 +80,7 @@
         wait_not_held(cluster, closed_name)
         assert held_phases(cluster, open_name)
         resume(cluster, phase)
-        assert_whole(open_answer.result())
+        assert_complete(open_answer.result())
         cluster.wait_nothing_held()
 
     def test_frees_what_waits_in_the_queue(
@@ -100,7 +100,7 @@
         wait_not_held(cluster, "queued")
         resume(cluster, "prefill")
         for future in ahead:
-            assert_whole(future.result())
+            assert_complete(future.result())
         cluster.wait_nothing_held()
         assert held_phases(cluster, "queued") == []
 
@@ -146,7 +146,7 @@
         wait_not_held(cluster, closed_name)
         assert held_phases(cluster, open_name)
         resume(cluster, phase)
-        assert_whole(open_answer.result())
+        assert_complete(open_answer.result())
         closed_call.close()
         cluster.wait_nothing_held()
 
--- a/tests/requests/test_key_quorum.py
+++ b/tests/requests/test_key_quorum.py
@@ -14,8 +14,8 @@
 )
 from jujubeslip.membership import HostDirectory
 from jujubeslip.peers import HostState, HostStatus, KeyClaim, KeyStatus
-from jujubeslip.requests._key_keeper import KeyKeeper
-from jujubeslip.requests._keys import KeeperKeys
+from jujubeslip.requests._key_keeper import KeyTable
+from jujubeslip.requests._keys import InMemoryKeys
 
 HOST_IDS = ("entry-1", "entry-2", "entry-3")
 
@@ -33,13 +33,13 @@
         self.lost: set[str] = set()
         self.directory_by_id = {host_id: _directory(host_id) for host_id in HOST_IDS}
         self.key_table_by_id = {
-            host_id: KeyKeeper(self.directory_by_id[host_id]) for host_id in HOST_IDS
+            host_id: KeyTable(self.directory_by_id[host_id]) for host_id in HOST_IDS
         }
 
-    def keys_of(self, host_id: str) -> KeeperKeys:
+    def keys_of(self, host_id: str) -> InMemoryKeys:
         clients: Any = _Clients(self)
         process: Any = _SynchronousProcess()
-        return KeeperKeys(
+        return InMemoryKeys(
             self.directory_by_id[host_id],
             clients,
             self.key_table_by_id[host_id],
@@ -92,7 +92,7 @@
 class _Peer:
     """The calls of a key table under their names in the peer protocol."""
 
-    def __init__(self, key_table: KeyKeeper) -> None:
+    def __init__(self, key_table: KeyTable) -> None:
         self.claim_key = key_table.claim
         self.finish_key = key_table.finish
         self.abandon_key = key_table.abandon
--- a/tests/requests/test_keys.py
+++ b/tests/requests/test_keys.py
@@ -14,8 +14,8 @@
 from tests.fakes.scenarios import model_endpoints, small_system
 from tests.requests.support import (
     DECODE_GATE_TOKENS,
-    PATIENT_DECLARATION,
-    assert_whole,
+    LONG_TIMEOUT_DECLARATION,
+    assert_complete,
     engines,
     heal,
     in_background,
@@ -40,7 +40,7 @@
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     spec = small_system(
-        ENDPOINTS, entries=3, controls=3, declaration=PATIENT_DECLARATION
+        ENDPOINTS, entries=3, controls=3, declaration=LONG_TIMEOUT_DECLARATION
     )
     with Cluster(spec, tmp_path_factory.mktemp("keys")) as cluster:
         yield cluster
@@ -128,15 +128,15 @@
         resume(cluster, "decode")
         tokens += [item.fields["token"] for item in events if item.name == "token"]
         for answer in resends:
-            assert_whole(answer.result())
+            assert_complete(answer.result())
         assert "".join(tokens) == resends[0].result().text
         self._assert_not_run(cluster, "again")
 
     def test_gets_the_recorded_answer_afterwards(self, cluster: Cluster) -> None:
         first, *others = cluster.entry_ids
-        assert_whole(open_call(cluster, first, "done", key="ended").answer())
+        assert_complete(open_call(cluster, first, "done", key="ended").answer())
         for host in others:
-            assert_whole(open_call(cluster, host, "later", key="ended").answer())
+            assert_complete(open_call(cluster, host, "later", key="ended").answer())
         self._assert_not_run(cluster, "later")
 
     @staticmethod
--- a/tests/requests/test_leaving.py
+++ b/tests/requests/test_leaving.py
@@ -12,8 +12,8 @@
 from tests.fakes.processes import call_json, wait_until
 from tests.fakes.scenarios import model_endpoints, small_system
 from tests.requests.support import (
-    PATIENT_DECLARATION,
-    assert_whole,
+    LONG_TIMEOUT_DECLARATION,
+    assert_complete,
     heal,
     in_background,
     open_call,
@@ -32,7 +32,7 @@
     entries = ("entry-1", "entry-2", "entry-3")
     hops = {(one, other) for one in entries for other in entries if one != other}
     spec = small_system(
-        ENDPOINTS, entries=3, hops=frozenset(hops), declaration=PATIENT_DECLARATION
+        ENDPOINTS, entries=3, hops=frozenset(hops), declaration=LONG_TIMEOUT_DECLARATION
     )
     with Cluster(spec, tmp_path_factory.mktemp("leaving")) as cluster:
         yield cluster
@@ -74,7 +74,7 @@
     while now_ms() < left_ms + OBSERVATION_MS:
         number += 1
         host = hosts[number % len(hosts)]
-        assert_whole(open_call(cluster, host, f"new-{number}").answer())
+        assert_complete(open_call(cluster, host, f"new-{number}").answer())
     runs = cluster.endpoint_call(leaving, "GET", "/v1/records")["runs"]
     late = [run for run in runs if run["started_ms"] > left_ms + LEAVE_LIMIT_MS]
     assert late == []
@@ -148,4 +148,4 @@
             spec = next(spec for spec in ENDPOINTS if spec.endpoint_id == name)
             cluster.start_endpoint(spec).wait_ready()
         cluster.wait_endpoints_usable()
-        assert_whole(open_call(cluster, "entry-1", "back").answer())
+        assert_complete(open_call(cluster, "entry-1", "back").answer())
--- a/tests/requests/test_not_run.py
+++ b/tests/requests/test_not_run.py
@@ -13,7 +13,7 @@
 from tests.fakes.processes import wait_until
 from tests.fakes.scenarios import model_endpoints, small_system
 from tests.requests.support import (
-    PATIENT_DECLARATION,
+    LONG_TIMEOUT_DECLARATION,
     heal,
     in_background,
     model_message,
@@ -31,7 +31,7 @@
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
     hops = frozenset(("*", spec.endpoint_id) for spec in ENDPOINTS)
-    spec = small_system(ENDPOINTS, hops=hops, declaration=PATIENT_DECLARATION)
+    spec = small_system(ENDPOINTS, hops=hops, declaration=LONG_TIMEOUT_DECLARATION)
     with Cluster(spec, tmp_path_factory.mktemp("not-run")) as cluster:
         yield cluster
 
--- a/tests/requests/test_whole_answers.py
+++ b/tests/requests/test_whole_answers.py
@@ -13,7 +13,7 @@
 from tests.fakes.scenarios import DECLARATION, model_endpoints, small_system
 from tests.requests.support import (
     DECODE_GATE_TOKENS,
-    assert_whole,
+    assert_complete,
     engines,
     expected_text,
     heal,
@@ -78,7 +78,7 @@
 def refill_retries(cluster: Cluster, entry: str) -> None:
     """Send requests that need no retry, to refill the budget for the next retries."""
     for number in range(3):
-        assert_whole(open_call(cluster, entry, f"refill-{number}").answer())
+        assert_complete(open_call(cluster, entry, f"refill-{number}").answer())
 
 
 class TestTruncatedStream:
@@ -99,7 +99,7 @@
             answer = open_call(cluster, entry, f"cut-{offset}").answer()
             for proxy in decode_proxies(cluster):
                 proxy.heal()
-            assert_whole(answer)
+            assert_complete(answer)
             refill_retries(cluster, entry)
 
     def test_is_resumed_when_the_engine_stops_after_some_tokens(
@@ -110,7 +110,7 @@
                 cluster.order_faults(
                     name, truncate_after_tokens=tokens, truncate_next_decode=1
                 )
-            assert_whole(open_call(cluster, entry, f"short-{tokens}").answer())
+            assert_complete(open_call(cluster, entry, f"short-{tokens}").answer())
             refill_retries(cluster, entry)
 
     def test_is_resumed_when_the_engine_dies(
@@ -140,7 +140,7 @@
         for name in engines(cluster, role):
             cluster.order_faults(name, crossed_replies=1)
         name = f"crossed-{role}"
-        assert_whole(open_call(cluster, entry, name).answer())
+        assert_complete(open_call(cluster, entry, name).answer())
         runs = [
             run
             for engine in engines(cluster, "decode")
@@ -163,7 +163,7 @@
             "the late prefill is freed",
         )
         resume(cluster, "decode")
-        assert_whole(answer.result(30))
+        assert_complete(answer.result(30))
 
     def test_of_a_plain_service_is_not_forwarded(
         self, cluster: Cluster, entry: str
@@ -208,7 +208,7 @@
         for engine in engines(cluster):
             cluster.proxy_by_hop[("*", engine)].freeze()
         resume(cluster, phase)
-        assert_whole(answer.result(30))
+        assert_complete(answer.result(30))
 
     def test_is_abandoned_after_a_plain_service_has_run(
         self, cluster: Cluster, entry: str
@@ -246,7 +246,7 @@
         )
         assert claimed.answer().status == 200
         for answer in answers:
-            assert_whole(answer.result(20))
+            assert_complete(answer.result(20))
 
     def test_is_abandoned_by_a_client_that_resends_elsewhere(
         self, cluster: Cluster, entry: str
@@ -263,7 +263,7 @@
         resend = open_call(cluster, other, "resend", key="key-client")
         answer = in_background(resend.answer)
         resume(cluster, "decode")
-        assert_whole(answer.result(20))
+        assert_complete(answer.result(20))
         silent.close()
         decoded = [
             run
