--- a/src/jujubeslip/notices/__init__.py
+++ b/src/jujubeslip/notices/__init__.py
@@ -1,6 +1,5 @@
 """Notices of endpoints in the headers of their answers: limits, backoff, leaving."""
 
-from jujubeslip.notices._book import EndpointNotices
 from jujubeslip.notices._models import (
     KEPT_SECONDS,
     Hold,
@@ -8,6 +7,7 @@
     NamedLimit,
     ServiceHolds,
 )
+from jujubeslip.notices._registry import EndpointNotices
 
 __all__ = [
     "KEPT_SECONDS",
--- a/src/jujubeslip/quarantine/__init__.py
+++ b/src/jujubeslip/quarantine/__init__.py
@@ -4,11 +4,11 @@
 the control hosts that they watch; this needs no leader and no majority.
 """
 
-from jujubeslip.quarantine._book import CrashRegistry
 from jujubeslip.quarantine._fingerprints import fingerprint_of
-from jujubeslip.quarantine._harmless import HarmlessContents
+from jujubeslip.quarantine._harmless_contents import HarmlessContents
 from jujubeslip.quarantine._models import Crash, CrashHistory
 from jujubeslip.quarantine._records import to_crash_record, usable_histories
+from jujubeslip.quarantine._registry import CrashRegistry
 
 __all__ = [
     "Crash",
--- a/src/jujubeslip/quarantine/_records.py
+++ b/src/jujubeslip/quarantine/_records.py
@@ -12,9 +12,9 @@
 
 from jujubeslip.kernel import StrictModel, Text, Whole, read_fields, steady_seconds
 from jujubeslip.peers import CrashRecord, RequestCrash
-from jujubeslip.quarantine._book import MAXIMUM_CRASHES
 from jujubeslip.quarantine._fingerprints import FINGERPRINT_DIGITS
 from jujubeslip.quarantine._models import Crash, CrashHistory
+from jujubeslip.quarantine._registry import MAXIMUM_CRASHES
 
 logger = logging.getLogger(__name__)
 
--- a/src/jujubeslip/requests/__init__.py
+++ b/src/jujubeslip/requests/__init__.py
@@ -7,8 +7,8 @@
 from jujubeslip.requests._answers import ModelAnswer, PlainServiceAnswer
 from jujubeslip.requests._authentication import authenticate, require_secret
 from jujubeslip.requests._cancellation import Canceller
-from jujubeslip.requests._key_copies import KeyReplicator
-from jujubeslip.requests._key_keeper import KeyTable
+from jujubeslip.requests._key_replicator import KeyReplicator
+from jujubeslip.requests._key_table import KeyTable
 from jujubeslip.requests._keys import DurableKeys, InMemoryKeys, Keys
 from jujubeslip.requests._model_path import ModelPath
 from jujubeslip.requests._models import ClientRequest, RequestContext
--- a/src/jujubeslip/requests/_key_copies.py
+++ b/src/jujubeslip/requests/_key_replicator.py
@@ -7,7 +7,7 @@
 from jujubeslip.kernel import PeerUnavailableError, Process
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, PeerRefusal
-from jujubeslip.requests._key_keeper import KeyRecord, KeyTable
+from jujubeslip.requests._key_table import KeyRecord, KeyTable
 
 logger = logging.getLogger(__name__)
 
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -16,8 +16,8 @@
 )
 from jujubeslip.membership import HostDirectory, PeerClients
 from jujubeslip.peers import HostState, KeyClaim, KeyReply, KeyStatus, PeerRefusal
-from jujubeslip.requests._key_copies import KEY_OWNERS
-from jujubeslip.requests._key_keeper import KeyTable
+from jujubeslip.requests._key_replicator import KEY_OWNERS
+from jujubeslip.requests._key_table import KeyTable
 
 logger = logging.getLogger(__name__)
 
--- a/tests/quarantine/test_side_by_side.py
+++ b/tests/quarantine/test_concurrent_contents.py
@@ -34,8 +34,8 @@
 ANSWERED_SECONDS = CRASH_WINDOW_SECONDS / 2
 CLOCKS = (
     "jujubeslip.kernel._deadlines",
-    "jujubeslip.quarantine._book",
-    "jujubeslip.quarantine._harmless",
+    "jujubeslip.quarantine._registry",
+    "jujubeslip.quarantine._harmless_contents",
     "jujubeslip.quarantine._records",
     "jujubeslip.forwarding._crash_detector",
 )
--- a/tests/quarantine/test_spread.py
+++ b/tests/quarantine/test_many_hosts.py
@@ -13,7 +13,7 @@
     to_crash_record,
     usable_histories,
 )
-from jujubeslip.quarantine import _book as registry_module
+from jujubeslip.quarantine import _registry as registry_module
 from tests.fakes.clock import Clock
 
 FATAL, POLL = "f" * 16, "0" * 16
--- a/tests/quarantine/test_told_contents.py
+++ b/tests/quarantine/test_reported_crashes.py
@@ -6,10 +6,10 @@
 
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.quarantine import Crash, CrashHistory, CrashRegistry, HarmlessContents
-from jujubeslip.quarantine import _book as registry_module
-from jujubeslip.quarantine import _harmless as harmless_contents_module
-from jujubeslip.quarantine._book import MAXIMUM_UNSUSPECTED
-from jujubeslip.quarantine._harmless import HARMLESS_SECONDS
+from jujubeslip.quarantine import _harmless_contents as harmless_contents_module
+from jujubeslip.quarantine import _registry as registry_module
+from jujubeslip.quarantine._harmless_contents import HARMLESS_SECONDS
+from jujubeslip.quarantine._registry import MAXIMUM_UNSUSPECTED
 from tests.fakes.clock import Clock
 
 POLL = "0" * 16
--- a/tests/requests/test_key_quorum.py
+++ b/tests/requests/test_key_quorum.py
@@ -14,7 +14,7 @@
 )
 from jujubeslip.membership import HostDirectory
 from jujubeslip.peers import HostState, HostStatus, KeyClaim, KeyStatus
-from jujubeslip.requests._key_keeper import KeyTable
+from jujubeslip.requests._key_table import KeyTable
 from jujubeslip.requests._keys import InMemoryKeys
 
 HOST_IDS = ("entry-1", "entry-2", "entry-3")
