--- a/src/jujubeslip/discovery/__init__.py
+++ b/src/jujubeslip/discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints and control hosts, as control hosts and entry hosts know them."""
+"""The registry of endpoints on control and entry hosts, and how it is kept current."""
 
 from jujubeslip.discovery._book import EndpointBook
 from jujubeslip.discovery._follower import ControlFollowers, News
--- a/src/jujubeslip/discovery/_addresses.py
+++ b/src/jujubeslip/discovery/_addresses.py
@@ -1,9 +1,9 @@
-"""Which endpoint still serves at an address that another one has announced, too.
+"""Decides which endpoint serves at an address that several have announced.
 
-An endpoint that crashed says nothing. Its address is soon given to another one, which
-answers reports in its place, and an announcement of the earlier one may still arrive:
-taken for alive, it gets requests whose prompts are read first, and that the new one
-then refuses.
+An endpoint that crashes doesn't sign off. Its address may soon be assigned to another
+endpoint, which then answers the report requests meant for the first, while a delayed
+announcement of the first may still arrive. If the first were considered alive, requests
+for it would be prefilled and then refused by the new endpoint.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from jujubeslip.discovery._models import Endpoint
 
-# How late an announcement may arrive, in seconds. One that is heard again later than
-# this after another one came to its address does run: it isn't put out of service.
-LATE_SECONDS = 5.0
+# Maximum delay of an announcement, in seconds. An endpoint that is heard from later
+# than this after another one claimed its address is still running and stays in service.
+MAXIMUM_DELAY_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
 class AddressClaim:
-    """A start of an endpoint, and since when it is known at its address."""
+    """One start of an endpoint and the time at which it claimed its address."""
 
     endpoint: Endpoint
     since: float
-    """By the steady clock of the host that knows it, in seconds."""
+    """In seconds, on the steady clock of the host that keeps the claim."""
 
 
 def has_lost_address(claim: AddressClaim, others: Iterable[AddressClaim]) -> bool:
-    """Say whether another endpoint has taken the address of this one."""
+    """Return whether another endpoint has taken over the address of this one."""
     return any(_is_taken_by(claim, other) for other in others)
 
 
@@ -37,6 +37,6 @@
         return False
     heard_at = claim.endpoint.heard_at
     if other.since == claim.since:
-        # A host that has just started hears of both at once.
-        return heard_at + LATE_SECONDS < other.endpoint.heard_at
-    return other.since > claim.since and heard_at <= other.since + LATE_SECONDS
+        # A host that has just started receives both in one update.
+        return heard_at + MAXIMUM_DELAY_SECONDS < other.endpoint.heard_at
+    return other.since > claim.since and heard_at <= other.since + MAXIMUM_DELAY_SECONDS
--- a/src/jujubeslip/discovery/_book.py
+++ b/src/jujubeslip/discovery/_book.py
@@ -1,4 +1,4 @@
-"""The endpoints that a host has heard of, and a version for each change."""
+"""The registry of endpoints known to a host, with a version for each change."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from jujubeslip.discovery._addresses import AddressClaim, has_lost_address
 from jujubeslip.discovery._models import Endpoint
 from jujubeslip.discovery._removals import (
-    REMEMBERED_SECONDS,
-    KeptRemovals,
+    RETENTION_SECONDS,
     Removal,
+    RemovalStore,
     latest_removal,
 )
 from jujubeslip.kernel import Deadline, new_incarnation, steady_seconds
@@ -20,15 +20,16 @@
 
 logger = logging.getLogger(__name__)
 
-# A start that was not heard for this long gives way to one with an earlier time, in
-# seconds. The clock of an endpoint may go back between two starts: the new one would
-# be kept out for as long as the one before is remembered. Entry hosts pass a start over
-# by then, so that little is lost where it is only cut off; an announcement of a start
-# that is gone would have to be delayed for longer to be tried.
-GIVES_WAY_SECONDS = 10.0
-# An engine that was not heard for this long is given nothing by the leader, in seconds:
-# engines announce themselves about once a second, at times some seconds late.
-SILENT_SECONDS = 5.0
+# A start that has not been heard from for this long is replaced by one with an earlier
+# start time, in seconds. The clock of an endpoint may go back between two starts, and
+# the new start would otherwise be ignored for as long as the previous one is retained.
+# Entry hosts skip a start by then, so little is lost if it is only partitioned. An
+# announcement of a start that has ended would need a longer delay to be accepted.
+STALE_START_SECONDS = 10.0
+# The leader grants no requests to an engine that has not been heard from for this long,
+# in seconds. Engines announce themselves about once a second, sometimes several seconds
+# late.
+ENGINE_TIMEOUT_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -38,34 +39,34 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return the latest start that is known."""
+        """Return the latest known start."""
         return self.claim.endpoint
 
 
 class EndpointBook:
-    """What is known of each endpoint's latest start; may be used by many threads.
+    """Keeps the latest known start of each endpoint; thread-safe.
 
-    Announcements reach different hosts, late and out of order, so two rules hold for
-    each start. Only a higher sequence brings newer facts. And `leaving` is never taken
-    back: an older "ready" that arrives after it would otherwise send work to an
+    Announcements reach different hosts, delayed and out of order, so two rules apply
+    to each start. Only a higher sequence number updates it. And `leaving` is never
+    reset: an older "ready" that arrives afterwards would otherwise send work to an
     endpoint that is about to exit.
 
-    Of two starts under one id the later one counts, by the time that the endpoint
-    tells; nothing that the earlier one said, or says late, holds for it.
+    Of two starts with one id the one with the later start time, as reported by the
+    endpoint, is valid; no announcement of the earlier start applies to it.
     """
 
     def __init__(self) -> None:
         self.book_id = new_incarnation()
         self._entry_by_id: dict[str, _Entry] = {}
         self._ids_by_address: dict[str, set[str]] = {}
-        self._removals = KeptRemovals()
+        self._removals = RemovalStore()
         self._version = 0
-        # When the latest announcements were taken over; those that one host tells
-        # together are known since the same instant.
-        self._taken_at = steady_seconds()
+        # When the latest announcements were applied; those that one host reports in
+        # one update get the same time.
+        self._updated_at = steady_seconds()
         self._changed = threading.Condition()
-        # Grows only when a caller should be told at once, not at each renewal.
-        self._material_version = 0
+        # Increases only on changes that wake waiting callers, not on renewals.
+        self._significant_version = 0
 
     @property
     def version(self) -> int:
@@ -74,9 +75,9 @@
             return self._version
 
     def endpoints(self) -> list[Endpoint]:
-        """Return all that are known, those that leave among them.
+        """Return all known endpoints, including those that are leaving.
 
-        Left out are those whose address another one has taken.
+        Endpoints whose address another one has taken over are left out.
         """
         with self._changed:
             return [
@@ -86,7 +87,7 @@
             ]
 
     def engines(self, service_name: str, role: EndpointRole) -> list[Endpoint]:
-        """Return a service's engines of a role that stay and were heard lately."""
+        """Return a service's engines of a role that accept work and are not silent."""
         return [
             endpoint
             for endpoint in self._live_engines()
@@ -94,33 +95,33 @@
         ]
 
     def engine_services(self) -> set[str]:
-        """Return the services of all engines that stay and were heard lately."""
+        """Return the services of all engines that accept work and are not silent."""
         return {endpoint.service_name for endpoint in self._live_engines()}
 
     def _live_engines(self) -> list[Endpoint]:
-        heard_since = steady_seconds() - SILENT_SECONDS
+        recent_since = steady_seconds() - ENGINE_TIMEOUT_SECONDS
         return [
             endpoint
             for endpoint in self.endpoints()
             if endpoint.role != EndpointRole.PLAIN
             and endpoint.stays
-            and endpoint.heard_at >= heard_since
+            and endpoint.heard_at >= recent_since
         ]
 
     def find(self, endpoint_id: str) -> Endpoint | None:
-        """Return what is known of an endpoint's latest start."""
+        """Return the latest known start of an endpoint."""
         with self._changed:
             entry = self._entry_by_id.get(endpoint_id)
             return entry.endpoint if entry else None
 
     def find_start(self, start_id: str) -> Endpoint | None:
-        """Return what is known of a start, None if it is not the latest one."""
+        """Return the endpoint with this start, None if it is not the latest one."""
         return next(
             (item for item in self.endpoints() if item.start_id == start_id), None
         )
 
     def is_over(self, endpoint: Endpoint) -> bool:
-        """Say whether another start, or another endpoint, has taken its place."""
+        """Return whether another start or another endpoint has replaced this one."""
         with self._changed:
             entry = self._entry_by_id.get(endpoint.endpoint_id)
             if entry is None:
@@ -128,25 +129,25 @@
             is_later = entry.endpoint.start_id != endpoint.start_id
             return is_later or self._has_lost_address(entry)
 
-    def take(self, told: Iterable[Endpoint]) -> int:
-        """Take over what is newer, and return the version that includes it."""
+    def take(self, reported: Iterable[Endpoint]) -> int:
+        """Apply newer announcements and return the version that includes them."""
         with self._changed:
-            self._taken_at = steady_seconds()
-            for endpoint in told:
-                self._take_one(endpoint)
+            self._updated_at = steady_seconds()
+            for endpoint in reported:
+                self._update_endpoint(endpoint)
             return self._version
 
     def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> int:
-        """Note that an endpoint has left, and return the version that includes it.
+        """Record the removal of an endpoint and return the version that includes it.
 
-        One that says which start it is for is final, and nothing to other starts.
+        A removal that names its start is final, and doesn't affect other starts.
         """
         return self.take_removals([self.removal_of(endpoint_id, started_at_ms)])
 
     def removal_of(self, endpoint_id: str, started_at_ms: int = 0) -> Removal:
         """Return the removal of an endpoint that signs off now.
 
-        It is for the start that is named, else for the one that is known.
+        It applies to the given start, or else to the known one.
         """
         now = steady_seconds()
         if started_at_ms:
@@ -161,20 +162,20 @@
         )
         return replace(unbound, started_at_ms=known.started_at_ms, scope=scope)
 
-    def take_removals(self, told: Iterable[Removal]) -> int:
-        """Take over removals, and return the version that includes them."""
+    def take_removals(self, reported: Iterable[Removal]) -> int:
+        """Apply removals and return the version that includes them."""
         with self._changed:
-            for removal in told:
-                self._take_removal(removal)
+            for removal in reported:
+                self._add_removal(removal)
             return self._version
 
     def removals_since(self, version: int) -> Sequence[Removal]:
-        """Return removals kept since a version, the latest where they are many."""
+        """Return the removals added since a version, only the latest of many."""
         with self._changed:
             return self._removals.since(version)
 
     def changes_since(self, version: int) -> tuple[int, list[Endpoint]]:
-        """Return the newest version, and the endpoints changed since the given one."""
+        """Return the current version and the endpoints changed since the given one."""
         with self._changed:
             changed = [
                 entry.endpoint
@@ -184,56 +185,62 @@
             return self._version, changed
 
     def wait_for_news(
-        self, known_version: int, other_news: Callable[[], bool], deadline: Deadline
+        self,
+        known_version: int,
+        has_other_changes: Callable[[], bool],
+        deadline: Deadline,
     ) -> None:
-        """Return once an endpoint came, left or changed, or at the deadline.
+        """Wait until an endpoint is added, removed or changed, or the deadline.
 
-        Also once `other_news` is true, which is looked at after each `wake`.
+        Also returns once `has_other_changes` is true, as checked after each `wake`.
         """
         with self._changed:
             self._changed.wait_for(
-                lambda: self._material_version > known_version or other_news(),
+                lambda: (
+                    self._significant_version > known_version or has_other_changes()
+                ),
                 deadline.remaining(),
             )
 
     def wake(self) -> None:
-        """Let those who wait for news look at what else they wait for."""
+        """Make waiting callers check their additional condition."""
         with self._changed:
             self._changed.notify_all()
 
-    def _take_one(self, told: Endpoint) -> None:
-        known = self._entry_by_id.get(told.endpoint_id)
+    def _update_endpoint(self, reported: Endpoint) -> None:
+        known = self._entry_by_id.get(reported.endpoint_id)
         if known is None:
-            unbound = self._removals.take_unbound(told.endpoint_id)
+            unbound = self._removals.pop_unbound(reported.endpoint_id)
             if unbound is not None:
-                self._take_removal(unbound.for_start(told))
-            self._store(self._with_removal(told), material=True)
+                self._add_removal(unbound.for_start(reported))
+            self._store(self._with_removal(reported), significant=True)
             return
         older = known.endpoint
-        same_start = told.started_at_ms == older.started_at_ms
-        newer = _merged(older, told) if same_start else _latest(older, told)
+        same_start = reported.started_at_ms == older.started_at_ms
+        newer = _merged(older, reported) if same_start else _latest(older, reported)
         self._replace(older, self._with_removal(newer))
 
     def _with_removal(self, endpoint: Endpoint) -> Endpoint:
         removal = self._removals.find(endpoint)
         return endpoint if removal is None else removal.apply_to(endpoint)
 
-    def _take_removal(self, removal: Removal) -> None:
-        """Keep a removal, and apply it to its endpoint where that is known.
+    def _add_removal(self, removal: Removal) -> None:
+        """Store a removal and apply it to its endpoint if that is known.
 
-        A host that has started anew, or hears of endpoints from other hosts alone, may
-        be told of a removal first. Forgotten, it would be undone by the announcement
-        that comes after it: requests go to an endpoint that exits. Other control hosts
-        are told: that announcement may come to one of them.
+        A host that has restarted, or that learns of endpoints only from other hosts,
+        may receive a removal before the announcement of its endpoint. If the removal
+        were dropped, that announcement would undo it and requests would go to an
+        endpoint that exits. Other control hosts get the removal too, since the
+        announcement may arrive at one of them.
         """
         entry = self._entry_by_id.get(removal.endpoint_id)
         known = entry.endpoint if entry else None
         bound = removal.for_start(known) if known else removal
         numbered = replace(bound, version=self._version + 1)
-        if not self._removals.keep(numbered, steady_seconds()):
+        if not self._removals.add(numbered, steady_seconds()):
             return
         self._version += 1
-        self._material_version = self._version
+        self._significant_version = self._version
         self._changed.notify_all()
         extra = {
             "endpoint_id": bound.endpoint_id,
@@ -248,7 +255,7 @@
 
     def _replace(self, older: Endpoint, newer: Endpoint) -> None:
         if newer != older:
-            self._store(newer, material=_differs(older, newer))
+            self._store(newer, significant=_differs(older, newer))
 
     def _has_lost_address(self, entry: _Entry) -> bool:
         ids = self._ids_by_address[entry.endpoint.address]
@@ -258,14 +265,14 @@
         return has_lost_address(entry.claim, claims)
 
     def _claim(self, endpoint: Endpoint) -> AddressClaim:
-        """Take an address for the endpoint, now unless its start has it already."""
+        """Return the endpoint's claim to its address; a start keeps its earlier one."""
         known = self._entry_by_id.get(endpoint.endpoint_id)
         if known is not None:
             earlier = known.endpoint
             is_same_start = earlier.start_id == endpoint.start_id
             if is_same_start and earlier.address == endpoint.address:
                 return AddressClaim(endpoint, known.claim.since)
-            self._forget_address(earlier)
+            self._release_address(earlier)
         ids = self._ids_by_address.setdefault(endpoint.address, set())
         if ids:
             extra = {
@@ -275,22 +282,22 @@
             }
             logger.info("address announced by another endpoint", extra=extra)
         ids.add(endpoint.endpoint_id)
-        return AddressClaim(endpoint, self._taken_at)
+        return AddressClaim(endpoint, self._updated_at)
 
-    def _forget_address(self, endpoint: Endpoint) -> None:
+    def _release_address(self, endpoint: Endpoint) -> None:
         ids = self._ids_by_address[endpoint.address]
         ids.discard(endpoint.endpoint_id)
         if not ids:
             del self._ids_by_address[endpoint.address]
 
-    def _store(self, endpoint: Endpoint, material: bool) -> None:
+    def _store(self, endpoint: Endpoint, significant: bool) -> None:
         self._version += 1
         claim = self._claim(endpoint)
         self._entry_by_id[endpoint.endpoint_id] = _Entry(claim, self._version)
-        if not material:
+        if not significant:
             return
-        self._material_version = self._version
-        self._forget_old()
+        self._significant_version = self._version
+        self._remove_expired()
         self._changed.notify_all()
         logger.info(
             "endpoint changed",
@@ -306,43 +313,43 @@
             },
         )
 
-    def _forget_old(self) -> None:
-        oldest = steady_seconds() - REMEMBERED_SECONDS
+    def _remove_expired(self) -> None:
+        oldest = steady_seconds() - RETENTION_SECONDS
         for endpoint_id, entry in list(self._entry_by_id.items()):
             if entry.endpoint.heard_at < oldest:
                 del self._entry_by_id[endpoint_id]
-                self._forget_address(entry.endpoint)
+                self._release_address(entry.endpoint)
 
 
-def _merged(older: Endpoint, told: Endpoint) -> Endpoint:
-    """Return what is known of one start after a further account of it."""
+def _merged(older: Endpoint, reported: Endpoint) -> Endpoint:
+    """Return one start with a further report of it applied."""
     newer = older
-    if told.sequence > older.sequence:
-        newer = replace(told, heard_at=max(older.heard_at, told.heard_at))
+    if reported.sequence > older.sequence:
+        newer = replace(reported, heard_at=max(older.heard_at, reported.heard_at))
     return replace(
         newer,
-        leaving=older.leaving or told.leaving,
-        restarted=older.restarted or told.restarted,
-        removed_at=latest_removal(older.removed_at, told.removed_at),
+        leaving=older.leaving or reported.leaving,
+        restarted=older.restarted or reported.restarted,
+        removed_at=latest_removal(older.removed_at, reported.removed_at),
     )
 
 
-def _latest(older: Endpoint, told: Endpoint) -> Endpoint:
-    """Return the start that counts of two that differ.
+def _latest(older: Endpoint, reported: Endpoint) -> Endpoint:
+    """Return the valid one of two different starts.
 
-    Decided by the two alone, so that hosts which hear of them in another order, or
-    tell each other, end with the same one.
+    The decision depends only on the two starts, so that hosts which receive them in
+    a different order, or from each other, arrive at the same one.
     """
-    heard_since = steady_seconds() - GIVES_WAY_SECONDS
+    recent_since = steady_seconds() - STALE_START_SECONDS
     latest = max(
-        (older, told),
-        key=lambda item: (item.heard_at > heard_since, item.started_at_ms),
+        (older, reported),
+        key=lambda item: (item.heard_at > recent_since, item.started_at_ms),
     )
     return replace(latest, restarted=True)
 
 
 def _differs(older: Endpoint, newer: Endpoint) -> bool:
-    """Say whether more than a renewal has changed."""
+    """Return whether the change is more than a renewal."""
     return (
         older.started_at_ms != newer.started_at_ms
         or older.stays != newer.stays
--- a/src/jujubeslip/discovery/_follower.py
+++ b/src/jujubeslip/discovery/_follower.py
@@ -1,4 +1,4 @@
-"""Follows what every control host knows, one task for each of them."""
+"""Keeps a registry current by watching every control host, one task for each."""
 
 from __future__ import annotations
 
@@ -28,37 +28,37 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a control host lets a watch wait when there are no news, in milliseconds.
-# Endpoints renew about once a second; a shorter wait would only ask more often.
+# How long a control host holds a watch request open without changes, in milliseconds.
+# Endpoints renew about once a second; a shorter wait would only send more requests.
 WAIT_MS = 700
-# How much longer than that an answer may take, in seconds. It is then taken for a
-# connection that went silent, and asked again over a fresh one.
-ANSWER_SECONDS = 0.5
-# Between two tries to reach a control host that doesn't answer, in seconds.
+# How much longer than that a reply may take, in seconds. After that the connection is
+# considered dead, and the request is sent again over a new one.
+REPLY_MARGIN_SECONDS = 0.5
+# Initial and maximum delay between attempts to reach a control host, in seconds.
 RETRY_SECONDS = 0.3
 MAXIMUM_RETRY_SECONDS = 1.2
-# A control host that no other one names and that has not answered for this long is
-# asked no more, in seconds: a replaced host never comes back at its address.
-FORGOTTEN_SECONDS = 60.0
+# A control host that no other host lists and that has not replied for this long is no
+# longer watched, in seconds: a replaced host never returns to its address.
+DROP_AFTER_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
 class News:
-    """What one answer of a control host said beside its endpoints."""
+    """The contents of one watch reply of a control host other than its endpoints."""
 
     address: str
     configuration_version: int
     entry_hosts: int
-    """How many entry hosts ask it; it knows no other way to count them."""
+    """Number of entry hosts that watch it; it has no other way to count them."""
     leader_address: str = ""
-    """Peer address of the control host that leads, empty while none is known."""
+    """Peer address of the leader, empty while none is known."""
     leader_term: int = 0
-    """The term in which it leads, 0 where that was not told."""
+    """Term of the leader, 0 if it was not reported."""
 
 
 @dataclass(frozen=True)
-class Known:
-    """What one control host has told so far."""
+class ReportedState:
+    """The versions and the leader that one control host has reported so far."""
 
     book_id: int = 0
     book_version: int = 0
@@ -69,18 +69,19 @@
 
 
 class ControlFollowers:
-    """Keeps a book up to date from all control hosts that are known.
+    """Keeps an endpoint registry up to date from all known control hosts.
 
-    Each host is asked, not only one: an endpoint announces itself to any of them, also
-    behind a cut, and the host that acknowledged a leaving endpoint tells of it at once.
+    Every control host is watched, not only one: an endpoint may announce itself to any
+    of them, also within a network partition, and the host that acknowledged that an
+    endpoint leaves reports it at once.
     """
 
     def __init__(
         self,
         process: Process,
         identity: PeerIdentity,
-        book: EndpointBook,
-        on_news: Callable[[News], None],
+        registry: EndpointBook,
+        on_update: Callable[[News], None],
         own_address: str = "",
         is_entry_host: bool = False,
         pressures: Callable[[], list[ServicePressure]] = list,
@@ -89,8 +90,8 @@
         self._crash_book = crash_book or CrashBook()
         self._process = process
         self._identity = identity
-        self._book = book
-        self._on_news = on_news
+        self._registry = registry
+        self._on_update = on_update
         self._own_address = own_address
         self._is_entry_host = is_entry_host
         self._pressures = pressures
@@ -98,12 +99,12 @@
         self._lock = threading.Lock()
 
     def addresses(self) -> list[str]:
-        """Return the peer addresses of the control hosts that are followed."""
+        """Return the peer addresses of the followed control hosts."""
         with self._lock:
             return list(self._follower_by_address)
 
     def learn(self, addresses: Iterable[str]) -> None:
-        """Follow the control hosts at these peer addresses, too."""
+        """Also follow the control hosts at these peer addresses."""
         for address in addresses:
             if address == self._own_address:
                 continue
@@ -116,34 +117,34 @@
             follower.note_named()
 
     def reaches(self, address: str) -> bool:
-        """Say whether the control host at this address answered when last asked."""
+        """Return whether the control host replied to the latest watch request."""
         with self._lock:
             follower = self._follower_by_address.get(address)
         return follower is not None and follower.reachable
 
     def count_reachable(self) -> int:
-        """Return how many control hosts answered when last asked."""
+        """Return how many control hosts replied to the latest watch request."""
         with self._lock:
             followers = list(self._follower_by_address.values())
         return sum(follower.reachable for follower in followers)
 
-    # For the followers.
+    # Called by the followers.
 
     @property
     def stopped(self) -> threading.Event:
-        """Return the event that ends all tasks."""
+        """Return the event that stops all tasks."""
         return self._process.stopped
 
     def client_of(self, address: str) -> PeerClient:
-        """Return a client of the control host at this address."""
+        """Return a client for the control host at this address."""
         return PeerClient(ControlPeer.Client, address, self._identity)
 
     def request(
-        self, known: Known, told_crash_version: int
+        self, known: ReportedState, sent_crash_version: int
     ) -> tuple[WatchRequest, int]:
-        """Return what to ask next, and the version of the crash book that it tells."""
+        """Return the next watch request and the crash version that it includes."""
         watcher_id = f"{self._identity.host_id}/{self._identity.incarnation}"
-        crash_version, crashes = self._crash_book.changes_since(told_crash_version)
+        crash_version, crashes = self._crash_book.changes_since(sent_crash_version)
         request = WatchRequest(
             known.book_id,
             known.book_version,
@@ -160,76 +161,76 @@
         return request, crash_version
 
     def take(self, address: str, reply: WatchReply) -> None:
-        """Take over an answer."""
-        self._book.take(list(usable_endpoints(address, reply.endpoints or ())))
-        self._book.take_removals(usable_removals(address, reply.removals or ()))
+        """Apply a watch reply."""
+        self._registry.take(list(usable_endpoints(address, reply.endpoints or ())))
+        self._registry.take_removals(usable_removals(address, reply.removals or ()))
         self._crash_book.take(usable_histories(address, reply.crashes or ()))
         self.learn(reply.control_addresses or ())
-        news = News(
+        update = News(
             address,
             reply.configuration_version or 0,
             reply.entry_hosts or 0,
             reply.leader_address or "",
             reply.leader_term or 0,
         )
-        self._on_news(news)
+        self._on_update(update)
 
-    def forget(self, address: str) -> None:
-        """Ask the host at this address no more."""
+    def drop(self, address: str) -> None:
+        """Stop following the control host at this address."""
         with self._lock:
             self._follower_by_address.pop(address, None)
 
 
 class _Follower:
-    """Asks one control host, again and again."""
+    """Watches one control host continuously."""
 
     def __init__(self, owner: ControlFollowers, address: str) -> None:
         self._owner = owner
         self._address = address
         self._client = owner.client_of(address)
-        self._known = Known()
-        self._told_crash_version = 0
-        """Of the own crash book, as far as this start of the control host has it."""
+        self._known = ReportedState()
+        self._sent_crash_version = 0
+        """Version of the local crash registry that the control host has received."""
         self._retry_seconds = RETRY_SECONDS
         self.reachable = False
         self._named_at = steady_seconds()
         self.answered_at = float("-inf")
 
     def note_named(self) -> None:
-        """Note that the host is still named by a seed or another control host."""
+        """Record that a seed or another control host still lists this host."""
         self._named_at = steady_seconds()
 
     def run(self) -> None:
-        """Run until the process stops or the host is forgotten."""
+        """Run until the process stops or the host is no longer followed."""
         while not self._owner.stopped.is_set():
-            if self._is_forgotten():
-                self._owner.forget(self._address)
-                logger.info("control host forgotten", extra={"address": self._address})
+            if self._is_expired():
+                self._owner.drop(self._address)
+                logger.info("control host dropped", extra={"address": self._address})
                 return
-            self._ask()
+            self._watch()
 
-    def _is_forgotten(self) -> bool:
+    def _is_expired(self) -> bool:
         latest = max(self._named_at, self.answered_at)
-        return steady_seconds() - latest > FORGOTTEN_SECONDS
+        return steady_seconds() - latest > DROP_AFTER_SECONDS
 
-    def _ask(self) -> None:
+    def _watch(self) -> None:
         request, crash_version = self._owner.request(
-            self._known, self._told_crash_version
+            self._known, self._sent_crash_version
         )
-        timeout = WAIT_MS / 1000 + ANSWER_SECONDS
+        timeout = WAIT_MS / 1000 + REPLY_MARGIN_SECONDS
         started = Deadline.after(0)
         try:
             reply = self._client.call(lambda peer: peer.watch(request), timeout)
         except (PeerUnavailableError, PeerRefusal) as error:
-            self._note_lost(error)
+            self._record_failure(error)
             self._owner.stopped.wait(self._retry_seconds)
             self._retry_seconds = min(self._retry_seconds * 2, MAXIMUM_RETRY_SECONDS)
             return
-        self._note_answered(started.instant)
+        self._record_reply(started.instant)
         self._owner.take(self._address, reply)
         is_same_start = reply.book_id == self._known.book_id
-        self._told_crash_version = crash_version if is_same_start else 0
-        self._known = Known(
+        self._sent_crash_version = crash_version if is_same_start else 0
+        self._known = ReportedState(
             reply.book_id or 0,
             reply.version or 0,
             reply.configuration_version or 0,
@@ -238,15 +239,15 @@
             reply.leader_term or 0,
         )
 
-    def _note_answered(self, asked_at: float) -> None:
+    def _record_reply(self, sent_at: float) -> None:
         if not self.reachable:
             logger.info("control host answers", extra={"address": self._address})
         self.reachable = True
         self._retry_seconds = RETRY_SECONDS
-        self.answered_at = asked_at
+        self.answered_at = sent_at
 
-    def _note_lost(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         if self.reachable:
             extra = {"address": self._address, "error": str(error)}
-            logger.warning("control host lost", extra=extra)
+            logger.warning("control host unreachable", extra=extra)
         self.reachable = False
--- a/src/jujubeslip/discovery/_models.py
+++ b/src/jujubeslip/discovery/_models.py
@@ -1,4 +1,4 @@
-"""What a host knows of the latest start of an endpoint."""
+"""The model of one start of an endpoint, and its form in messages between hosts."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from jujubeslip.peers import EndpointRecord, EndpointRole
 
 MILLISECONDS = 1000
-# A removal that does not say which start it is for holds until the start is heard
-# longer than this after it, in seconds. An endpoint that did remove itself serves on
-# for some seconds, may announce itself meanwhile, and its last announcement may come
-# seconds late; taken back before that, it would get requests while it exits.
+# A removal that doesn't name its start applies until the start is heard from more than
+# this much later, in seconds. An endpoint that removed itself keeps serving for some
+# seconds, may announce itself meanwhile, and its last announcement may arrive seconds
+# late; if it were put back into service earlier, it would get requests while it exits.
 REMOVAL_SECONDS = 12.0
 
 
@@ -19,9 +19,9 @@
 class Endpoint:
     """One start of an endpoint, as it announced itself.
 
-    A process may start again under the id that it had. It then knows nothing of what
-    it was sent before, and its sequence starts anew: whatever belongs to one start is
-    kept by `start_id`, never by the id alone.
+    A process may start again with the same id. It then has no knowledge of earlier
+    requests, and its sequence starts again: everything that belongs to one start is
+    keyed by `start_id`, never by the id alone.
     """
 
     endpoint_id: str
@@ -30,46 +30,47 @@
     """IP:port at which it serves."""
     availability_zone: str
     sequence: int
-    """Grows with each announcement; tells a late one from a newer one."""
+    """Increases with each announcement; distinguishes late ones from newer ones."""
     leaving: bool
-    """Said that it takes no new work; never false again for this start."""
+    """Whether it announced that it accepts no new work; never reset for this start."""
     slots: int
-    """Requests that it works on at a time."""
+    """Maximum number of concurrent requests."""
     role: EndpointRole
     heard_at: float
-    """When its announcement reached the host that took it, by this host's clock."""
+    """When the host that received its announcement got it, on this host's clock."""
     slow_until: Deadline
-    """Until when it says that it is slow after its start."""
+    """Until when it is slow after its start, as it announced."""
     started_at_ms: int = 0
-    """When it started, by its own clock since 1970; 0 if it doesn't say."""
+    """When it started, on its own clock since 1970; 0 if not reported."""
     restarted: bool = False
-    """Whether an earlier start under its id is known."""
+    """Whether an earlier start with its id is known."""
     removed_at: float | None = None
-    """When a removal of its id came that did not say which start it was for."""
+    """When a removal of its id arrived that named no start."""
 
     @property
     def start_id(self) -> str:
-        """Name this start; another one under the same id has another name."""
+        """Return the id of this start; other starts of the endpoint have other ids."""
         if not self.started_at_ms:
             return self.endpoint_id
         return f"{self.endpoint_id}/{self.started_at_ms}"
 
     def may_be(self, started_at_ms: int) -> bool:
-        """Say whether something that tells this start may come from this one.
+        """Return whether a message with this start time may come from this start.
 
-        With 0 it doesn't tell, and an endpoint that doesn't tell its start has none
-        to compare with.
+        A message with 0 names no start, and an endpoint that doesn't report its start
+        time has none to compare with, so both match.
         """
-        told_by_both = started_at_ms and self.started_at_ms
-        return not told_by_both or started_at_ms == self.started_at_ms
+        both_known = started_at_ms and self.started_at_ms
+        return not both_known or started_at_ms == self.started_at_ms
 
     @property
     def stays(self) -> bool:
-        """Say whether it may be given work: it neither left nor was removed.
+        """Return whether it accepts work: it is neither leaving nor removed.
 
-        A removal that names no start may be the late one of an earlier start. Held for
-        good against a start that goes on announcing itself, it would keep that one out
-        as long as it runs. A start that has no earlier one was meant for sure.
+        A removal that names no start may be a delayed one of an earlier start. If it
+        applied permanently to a start that keeps announcing itself, that start would
+        get no work as long as it runs. If there is no earlier start, the removal is
+        certainly meant for this one.
         """
         if self.leaving:
             return False
@@ -79,7 +80,7 @@
 
 
 def endpoint_from_record(record: EndpointRecord) -> Endpoint:
-    """Return what another host tells, in instants of this host's clock."""
+    """Return the endpoint of a record, with times converted to this host's clock."""
     now = steady_seconds()
     removed_ago = record.removed_ago_ms
     return Endpoint(
@@ -100,7 +101,7 @@
 
 
 def to_record(endpoint: Endpoint) -> EndpointRecord:
-    """Return what this host tells others of the endpoint."""
+    """Return the record that reports the endpoint to other hosts."""
     now = steady_seconds()
     silent = now - endpoint.heard_at
     removed_at = endpoint.removed_at
--- a/src/jujubeslip/discovery/_records.py
+++ b/src/jujubeslip/discovery/_records.py
@@ -1,4 +1,4 @@
-"""What other hosts tell of endpoints, checked before any of it is believed."""
+"""Validates the records of endpoints and removals that other hosts send."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 
 logger = logging.getLogger(__name__)
 
-# Most requests at a time that an endpoint may claim to work on: it fits into the 32
-# bits of a message between hosts, with room for sums.
+# Maximum number of concurrent requests that an endpoint may announce: it fits into the
+# 32 bits of a message between hosts, with headroom for sums.
 MAXIMUM_SLOTS = 1_000_000
-# Longest id in a log line, in characters.
+# Maximum length of an id in a log line, in characters.
 MAXIMUM_LOGGED = 300
 
 Slots = Annotated[int, Field(ge=1, le=MAXIMUM_SLOTS)]
 
 
-class _ToldEndpoint(StrictModel):
-    """The fields of a record, none of which Thrift itself insists on."""
+class _EndpointFields(StrictModel):
+    """The fields of an endpoint record; Thrift itself requires none of them."""
 
     endpoint_id: Id
     service_name: Text
@@ -55,69 +55,69 @@
     role: Annotated[int, Field(ge=min(EndpointRole), le=max(EndpointRole))]
     silent_ms: Whole
     cold_remaining_ms: Whole
-    # Hosts of an earlier version don't tell these.
+    # Hosts of an earlier version don't send these fields.
     started_at_ms: Whole | None
     restarted: bool | None
     removed_ago_ms: Whole | None
 
 
-class _ToldRemoval(StrictModel):
-    """The fields of a told removal."""
+class _RemovalFields(StrictModel):
+    """The fields of a removal record."""
 
     endpoint_id: Id
     started_at_ms: Whole
     removed_ago_ms: Whole
-    # Hosts of an earlier version don't tell it.
+    # Hosts of an earlier version don't send it.
     scope: Annotated[int, Field(ge=min(RemovalScope), le=max(RemovalScope))] | None
 
 
 def usable_endpoints(
-    teller: str, records: Sequence[EndpointRecord]
+    sender: str, records: Sequence[EndpointRecord]
 ) -> Iterator[Endpoint]:
-    """Yield the endpoints of an answer's usable records; each other one is logged.
+    """Yield the endpoints of a reply's valid records; invalid ones are logged.
 
-    A host of another version may tell of a role that is new, or leave a field out. One
-    such record must not cost the others: the task that follows this host would end.
+    A host of another version may report a new role or leave a field out. One such
+    record must not affect the others: the task that follows this host would end.
     """
     for record in records:
-        read = read_fields(_ToldEndpoint, vars(record))
+        read = read_fields(_EndpointFields, vars(record))
         if isinstance(read, Failure):
-            _note_unusable(teller, record, read.failure())
+            _log_invalid(sender, record, read.failure())
         else:
             yield endpoint_from_record(record)
 
 
-def _note_unusable(
-    teller: str, record: EndpointRecord | EndpointRemoval, problem: str
+def _log_invalid(
+    sender: str, record: EndpointRecord | EndpointRemoval, problem: str
 ) -> None:
     extra = {
-        "teller": teller,
+        "teller": sender,
         "endpoint_id": str(record.endpoint_id)[:MAXIMUM_LOGGED],
         "problem": problem,
     }
-    logger.info("endpoint's record not usable", extra=extra)
+    logger.info("endpoint record invalid", extra=extra)
 
 
 def usable_removals(
-    teller: str, records: Sequence[EndpointRemoval]
+    sender: str, records: Sequence[EndpointRemoval]
 ) -> Iterator[Removal]:
-    """Yield the removals of an answer that can be used; each other one is logged."""
+    """Yield the removals of a reply's valid records; invalid ones are logged."""
     for record in records:
         problem = removal_problem(record)
         if problem:
-            _note_unusable(teller, record, problem)
+            _log_invalid(sender, record, problem)
             continue
         yield removal_from_record(record, record.removed_ago_ms)
 
 
 def removal_problem(record: EndpointRemoval) -> str:
-    """Return what is wrong with the fields of a removal, nothing if it can be used."""
-    read = read_fields(_ToldRemoval, vars(record))
+    """Return what is wrong with the fields of a removal, or "" if they are valid."""
+    read = read_fields(_RemovalFields, vars(record))
     return read.failure() if isinstance(read, Failure) else ""
 
 
 def removal_from_record(record: EndpointRemoval, removed_ago_ms: int) -> Removal:
-    """Return a removal of this age, in milliseconds, by this host's clock."""
+    """Return a removal of this age in milliseconds, dated on this host's clock."""
     named = RemovalScope.NAMED_START if record.started_at_ms else RemovalScope.ANY_START
     return Removal(
         record.endpoint_id,
@@ -128,7 +128,7 @@
 
 
 def to_removal_record(removal: Removal) -> EndpointRemoval:
-    """Return what this host tells others of a removal."""
+    """Return the record that reports a removal to other hosts."""
     removed_ago = max(0.0, steady_seconds() - removal.removed_at)
     return EndpointRemoval(
         removal.endpoint_id,
--- a/src/jujubeslip/discovery/_removals.py
+++ b/src/jujubeslip/discovery/_removals.py
@@ -1,4 +1,4 @@
-"""Removals of endpoints, kept by the start that each one is for."""
+"""Removals of endpoints, stored by the start that each applies to."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.peers import RemovalScope
 
-# How long an endpoint that was not heard of, and a removal, is remembered, in seconds:
-# far longer than any announcement can be delayed, so that a late one of an endpoint
-# that left can't bring it back.
-REMEMBERED_SECONDS = 300.0
-# How many are kept: far more than leave within that time, and few enough for whoever
-# sends removals at random.
-MAXIMUM_KEPT = 10_000
-# How many of the latest one host tells another at a time.
-MAXIMUM_TOLD = 1_000
-# Two hosts know of the same removal by clocks that differ by the time that a message
-# takes. Instants that are closer than this are the same removal, in seconds.
+# How long a removal, and an endpoint that is no longer heard from, is retained, in
+# seconds: far longer than any announcement can be delayed, so that a late announcement
+# of an endpoint that left can't put it back into service.
+RETENTION_SECONDS = 300.0
+# Maximum number of stored removals: far more than the endpoints that leave within that
+# time, but a bound on memory if a sender produces removals at random.
+MAXIMUM_STORED = 10_000
+# Maximum number of removals, the latest ones, that one message between hosts carries.
+MAXIMUM_REPORTED = 1_000
+# Two hosts date the same removal on clocks that differ by the network delay of a
+# message. Times that are closer than this are the same removal, in seconds.
 SAME_REMOVAL_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class RemovalKey:
-    """The start of an endpoint that a removal is for."""
+    """The start of an endpoint that a removal applies to."""
 
     endpoint_id: str
     started_at_ms: int | None
-    """0 for an endpoint that tells no starts, None where the start is not known."""
+    """0 for an endpoint that reports no starts, None if the start is not known."""
 
 
 @dataclass(frozen=True)
 class Removal:
-    """An endpoint signed off, or said that it leaves."""
+    """Records that an endpoint signed off or announced that it leaves."""
 
     endpoint_id: str
     removed_at: float
     started_at_ms: int
-    """The start that it is for, 0 where that is not known or none is told."""
+    """The start that it applies to, 0 if that is not known or not reported."""
     version: int = 0
-    """The version of the book since which it is kept there."""
+    """The version of the registry that added it."""
     scope: RemovalScope = RemovalScope.ANY_START
 
     @classmethod
     def of_start(cls, endpoint: Endpoint) -> Removal:
-        """Return the removal of a start that says itself that it leaves."""
+        """Return the removal of a start that announced itself that it leaves."""
         return cls(
             endpoint.endpoint_id,
             steady_seconds(),
@@ -56,16 +56,16 @@
 
     @property
     def key(self) -> RemovalKey:
-        """Return which start it is for."""
+        """Return the start that it applies to."""
         is_any = self.scope == RemovalScope.ANY_START
         return RemovalKey(self.endpoint_id, None if is_any else self.started_at_ms)
 
     def is_old(self, now: float) -> bool:
-        """Say whether it is kept no more at this instant of the steady clock."""
-        return self.removed_at < now - REMEMBERED_SECONDS
+        """Return whether its retention has expired at this time of the steady clock."""
+        return self.removed_at < now - RETENTION_SECONDS
 
     def supersedes(self, kept: Removal | None) -> bool:
-        """Say whether it says more than the one that is kept for the same start."""
+        """Return whether it replaces the stored removal of the same start."""
         if kept is None or self.scope > kept.scope:
             return True
         if self.scope < kept.scope:
@@ -73,10 +73,10 @@
         return self.removed_at > kept.removed_at + SAME_REMOVAL_SECONDS
 
     def for_start(self, known: Endpoint) -> Removal:
-        """Return it as the removal of the start that is known of its endpoint.
+        """Return the removal bound to the known start of its endpoint.
 
-        Where it names no start, it may be a late one of a start before, unless the
-        endpoint tells no starts.
+        A removal that names no start may be a delayed one of an earlier start, unless
+        the endpoint reports no starts.
         """
         if self.scope != RemovalScope.ANY_START:
             return self
@@ -85,7 +85,7 @@
         return replace(self, started_at_ms=known.started_at_ms, scope=scope)
 
     def apply_to(self, endpoint: Endpoint) -> Endpoint:
-        """Return the endpoint as it is after the removal."""
+        """Return the endpoint with the removal applied."""
         bound = self.for_start(endpoint)
         if bound.started_at_ms != endpoint.started_at_ms:
             return endpoint
@@ -100,18 +100,18 @@
         )
 
 
-class KeptRemovals:
-    """Removals by the start that they are for; used under its owner's lock alone.
+class RemovalStore:
+    """Stores removals by their start; callers must hold the owner's lock.
 
-    They outlast what is known of their endpoints: announcements come late, by other
-    hosts, and after this one has started anew.
+    Removals are retained longer than their endpoints are known: announcements may
+    arrive late, through other hosts, and after this host has restarted.
     """
 
     def __init__(self) -> None:
         self._removal_by_key: dict[RemovalKey, Removal] = {}
 
-    def keep(self, removal: Removal, now: float) -> bool:
-        """Keep a removal; say whether it was not kept before."""
+    def add(self, removal: Removal, now: float) -> bool:
+        """Store a removal; return whether it was not stored before."""
         kept = self._removal_by_key
         if removal.is_old(now) or not removal.supersedes(kept.get(removal.key)):
             return False
@@ -124,7 +124,7 @@
         kept = self._removal_by_key
         while kept:
             oldest = next(iter(kept.values()))
-            if len(kept) <= MAXIMUM_KEPT and not oldest.is_old(now):
+            if len(kept) <= MAXIMUM_STORED and not oldest.is_old(now):
                 return
             del kept[oldest.key]
 
@@ -133,19 +133,19 @@
         key = RemovalKey(endpoint.endpoint_id, endpoint.started_at_ms)
         return self._removal_by_key.get(key)
 
-    def take_unbound(self, endpoint_id: str) -> Removal | None:
-        """Return the removal that is for no known start, and keep it no more."""
+    def pop_unbound(self, endpoint_id: str) -> Removal | None:
+        """Remove and return the removal that is bound to no start."""
         return self._removal_by_key.pop(RemovalKey(endpoint_id, None), None)
 
     def since(self, version: int) -> Sequence[Removal]:
-        """Return those kept since a version of the book, the latest of many."""
+        """Return the removals added since a version, only the latest of many."""
         kept = self._removal_by_key.values()
         changed = [removal for removal in kept if removal.version > version]
-        return changed[-MAXIMUM_TOLD:]
+        return changed[-MAXIMUM_REPORTED:]
 
 
-def latest_removal(known: float | None, told: float | None) -> float | None:
-    """Return the later of two instants, the known one where they are the same."""
-    if known is None or told is None:
-        return told if known is None else known
-    return told if told > known + SAME_REMOVAL_SECONDS else known
+def latest_removal(known: float | None, reported: float | None) -> float | None:
+    """Return the later of two removal times, the known one if they are the same."""
+    if known is None or reported is None:
+        return reported if known is None else known
+    return reported if reported > known + SAME_REMOVAL_SECONDS else known
--- a/tests/discovery/test_book.py
+++ b/tests/discovery/test_book.py
@@ -1,4 +1,4 @@
-"""What is believed of an endpoint whose announcements come late and out of order."""
+"""The state of an endpoint whose announcements arrive late and out of order."""
 
 from __future__ import annotations
 
@@ -28,145 +28,149 @@
 
 
 class TestLeaving:
-    """A worker says that it leaves; an older "ready" arrives after it, by another way.
+    """Guards against requests to a worker that leaves and would cut them when it exits.
 
-    Sent to it, a request would be cut when it exits.
+    An older "ready" announcement arrives, through another host, after the worker
+    announced that it leaves.
     """
 
-    def test_is_not_taken_back_by_an_older_announcement(self) -> None:
-        book = EndpointBook()
-        book.take([endpoint(5, leaving=True)])
-        book.take([endpoint(4)])
-        assert book.endpoints()[0].leaving
-
-    def test_is_not_taken_back_by_a_newer_one(self) -> None:
-        book = EndpointBook()
-        book.take([endpoint(5, leaving=True)])
-        book.take([endpoint(6)])
-        assert book.endpoints()[0].leaving
-
-    def test_that_is_told_with_an_older_sequence_counts(self) -> None:
-        book = EndpointBook()
-        book.take([endpoint(5)])
-        book.take([endpoint(4, leaving=True)])
-        assert book.endpoints()[0].leaving
-
-    def test_of_one_start_says_nothing_of_another(self) -> None:
-        book = EndpointBook()
-        book.take([endpoint(5, leaving=True), endpoint(1, endpoint_id="next")])
-        assert [item.leaving for item in book.endpoints()] == [True, False]
-
-
-class TestRemovalOfOneThatWasNotHeardOf:
-    """A control host has started anew, and an endpoint signs off with it.
-
-    It is acknowledged. What the endpoint announced before comes from another host a
-    moment later, and requests are sent to an endpoint that is about to exit: a removal
-    was acknowledged at 13.35 s, requests came from 16.85 to 17.99 s.
+    def test_is_not_reset_by_an_older_announcement(self) -> None:
+        registry = EndpointBook()
+        registry.take([endpoint(5, leaving=True)])
+        registry.take([endpoint(4)])
+        assert registry.endpoints()[0].leaving
+
+    def test_is_not_reset_by_a_newer_announcement(self) -> None:
+        registry = EndpointBook()
+        registry.take([endpoint(5, leaving=True)])
+        registry.take([endpoint(6)])
+        assert registry.endpoints()[0].leaving
+
+    def test_with_an_older_sequence_applies(self) -> None:
+        registry = EndpointBook()
+        registry.take([endpoint(5)])
+        registry.take([endpoint(4, leaving=True)])
+        assert registry.endpoints()[0].leaving
+
+    def test_does_not_apply_to_another_endpoint(self) -> None:
+        registry = EndpointBook()
+        registry.take([endpoint(5, leaving=True), endpoint(1, endpoint_id="next")])
+        assert [item.leaving for item in registry.endpoints()] == [True, False]
+
+
+class TestRemovalOfAnUnknownEndpoint:
+    """Guards against requests to an endpoint whose removal was acknowledged.
+
+    An endpoint signs off with a control host that has just restarted and acknowledges
+    the removal. An earlier announcement of the endpoint then arrives from another host,
+    and requests are sent to an endpoint that is about to exit: with a removal
+    acknowledged at 13.35 s, requests came from 16.85 to 17.99 s.
     """
 
-    def test_holds_for_the_announcement_that_comes_after_it(self) -> None:
-        book = EndpointBook()
-        book.note_left("e")
-        book.take([endpoint(4), endpoint(5)])
-        assert [item.stays for item in book.endpoints()] == [False]
+    def test_applies_to_later_announcements(self) -> None:
+        registry = EndpointBook()
+        registry.note_left("e")
+        registry.take([endpoint(4), endpoint(5)])
+        assert [item.stays for item in registry.endpoints()] == [False]
 
-    def test_is_told_to_other_hosts(self) -> None:
-        book, other = EndpointBook(), EndpointBook()
-        book.note_left("e")
+    def test_is_reported_to_other_hosts(self) -> None:
+        registry, other = EndpointBook(), EndpointBook()
+        registry.note_left("e")
         other.take([endpoint(4)])
-        book.take(other.changes_since(0)[1])
-        other.take(book.changes_since(0)[1])
+        registry.take(other.changes_since(0)[1])
+        other.take(registry.changes_since(0)[1])
         assert [item.stays for item in other.endpoints()] == [False]
 
-    @pytest.mark.parametrize("heard_first", [True, False])
-    def test_is_told_before_the_endpoint_is_heard_of(self, heard_first: bool) -> None:
-        book, other = EndpointBook(), EndpointBook()
-        book.note_left("e")
-        if heard_first:
+    @pytest.mark.parametrize("announced_first", [True, False])
+    def test_is_reported_before_the_endpoint_is_announced(
+        self, announced_first: bool
+    ) -> None:
+        registry, other = EndpointBook(), EndpointBook()
+        registry.note_left("e")
+        if announced_first:
             other.take([endpoint(4)])
-        other.take_removals(book.removals_since(0))
+        other.take_removals(registry.removals_since(0))
         other.take([endpoint(4), endpoint(5)])
         assert [item.stays for item in other.endpoints()] == [False]
 
-    def test_is_told_once(self) -> None:
-        book, other = EndpointBook(), EndpointBook()
-        version = book.note_left("e")
-        other.take_removals(book.removals_since(0))
-        book.take_removals(other.removals_since(0))
-        assert book.removals_since(version) == []
-        assert book.version == version
-
-    @pytest.mark.parametrize("age", [_removals.REMEMBERED_SECONDS + 1, 2.0**60])
-    def test_is_not_taken_over_once_it_is_old(self, age: float) -> None:
-        """The teller forgets old removals only when it hears of further ones."""
-        book = EndpointBook()
+    def test_is_reported_once(self) -> None:
+        registry, other = EndpointBook(), EndpointBook()
+        version = registry.note_left("e")
+        other.take_removals(registry.removals_since(0))
+        registry.take_removals(other.removals_since(0))
+        assert registry.removals_since(version) == []
+        assert registry.version == version
+
+    @pytest.mark.parametrize("age", [_removals.RETENTION_SECONDS + 1, 2.0**60])
+    def test_is_not_applied_once_it_has_expired(self, age: float) -> None:
+        """A sender drops expired removals only when it adds further ones."""
+        registry = EndpointBook()
         old = Removal("e", steady_seconds() - age, 0)
-        book.take_removals([old, Removal("f", steady_seconds(), 0)])
+        registry.take_removals([old, Removal("f", steady_seconds(), 0)])
         other = replace(endpoint(1, endpoint_id="f"), address="10.0.0.2:80")
-        book.take([endpoint(1), other])
-        assert [item.stays for item in book.endpoints()] == [True, False]
+        registry.take([endpoint(1), other])
+        assert [item.stays for item in registry.endpoints()] == [True, False]
 
-    def test_that_is_told_may_be_of_the_start_before(self) -> None:
-        book, other = EndpointBook(), EndpointBook()
-        book.note_left("e")
+    def test_that_is_reported_may_be_of_the_previous_start(self) -> None:
+        registry, other = EndpointBook(), EndpointBook()
+        registry.note_left("e")
         started = replace(endpoint(1), started_at_ms=8)
         other.take([started])
-        other.take_removals(book.removals_since(0))
+        other.take_removals(registry.removals_since(0))
         assert not other.endpoints()[0].stays
         later = started.heard_at + REMOVAL_SECONDS + 1
         other.take([replace(started, sequence=2, heard_at=later)])
         assert other.endpoints()[0].stays
 
-    def test_says_nothing_of_another_start(self) -> None:
-        book = EndpointBook()
-        book.note_left("e", started_at_ms=7)
-        book.take([replace(endpoint(1), started_at_ms=8)])
-        assert [item.stays for item in book.endpoints()] == [True]
+    def test_does_not_apply_to_another_start(self) -> None:
+        registry = EndpointBook()
+        registry.note_left("e", started_at_ms=7)
+        registry.take([replace(endpoint(1), started_at_ms=8)])
+        assert [item.stays for item in registry.endpoints()] == [True]
 
-    def test_ends_for_a_start_that_goes_on_announcing_itself(self) -> None:
-        """The removal may have been the last word of the start before it."""
-        book = EndpointBook()
-        book.note_left("e")
+    def test_ends_for_a_start_that_keeps_announcing_itself(self) -> None:
+        """The removal may have been the last message of the previous start."""
+        registry = EndpointBook()
+        registry.note_left("e")
         started = replace(endpoint(1), started_at_ms=8)
-        book.take([started])
-        assert not book.endpoints()[0].stays
+        registry.take([started])
+        assert not registry.endpoints()[0].stays
         later = started.heard_at + REMOVAL_SECONDS + 1
-        book.take([replace(started, sequence=2, heard_at=later)])
-        assert book.endpoints()[0].stays
-
-    def test_is_kept_for_so_many_only(self) -> None:
-        book = EndpointBook()
-        for number in range(_removals.MAXIMUM_KEPT + 1):
-            book.note_left(f"e-{number}")
-        first, last = f"e-{0}", f"e-{_removals.MAXIMUM_KEPT}"
-        book.take([endpoint(1, endpoint_id=name) for name in (first, last)])
-        assert {item.endpoint_id: item.stays for item in book.endpoints()} == {
+        registry.take([replace(started, sequence=2, heard_at=later)])
+        assert registry.endpoints()[0].stays
+
+    def test_is_stored_for_a_limited_number(self) -> None:
+        registry = EndpointBook()
+        for number in range(_removals.MAXIMUM_STORED + 1):
+            registry.note_left(f"e-{number}")
+        first, last = f"e-{0}", f"e-{_removals.MAXIMUM_STORED}"
+        registry.take([endpoint(1, endpoint_id=name) for name in (first, last)])
+        assert {item.endpoint_id: item.stays for item in registry.endpoints()} == {
             first: True,
             last: False,
         }
 
 
-class TestNews:
-    def test_renewal_wakes_nobody(self) -> None:
-        book = EndpointBook()
-        version = book.take([endpoint(1)])
-        book.take([endpoint(2)])
+class TestChanges:
+    def test_renewal_wakes_no_waiting_caller(self) -> None:
+        registry = EndpointBook()
+        version = registry.take([endpoint(1)])
+        registry.take([endpoint(2)])
         waited = Deadline.after(0.05)
-        book.wait_for_news(version, lambda: False, waited)
+        registry.wait_for_news(version, lambda: False, waited)
         assert waited.expired
 
-    def test_same_announcement_told_twice_is_no_change(self) -> None:
-        """Hosts that tell each other would otherwise do so for ever."""
-        book = EndpointBook()
-        told = endpoint(1)
-        version = book.take([told])
-        later = replace(told, heard_at=told.heard_at + 0.2)
-        assert book.take([later]) == version
-
-    def test_watcher_is_told_what_changed_since(self) -> None:
-        book = EndpointBook()
-        version = book.take([endpoint(1)])
-        book.take([endpoint(1, endpoint_id="next")])
-        _, changed = book.changes_since(version)
+    def test_repeated_announcement_is_no_change(self) -> None:
+        """Otherwise two hosts would keep sending each other the same announcement."""
+        registry = EndpointBook()
+        announced = endpoint(1)
+        version = registry.take([announced])
+        later = replace(announced, heard_at=announced.heard_at + 0.2)
+        assert registry.take([later]) == version
+
+    def test_watcher_gets_changes_since_its_version(self) -> None:
+        registry = EndpointBook()
+        version = registry.take([endpoint(1)])
+        registry.take([endpoint(1, endpoint_id="next")])
+        _, changed = registry.changes_since(version)
         assert [item.endpoint_id for item in changed] == ["next"]
