--- a/src/jujubeslip/endpoints/__init__.py
+++ b/src/jujubeslip/endpoints/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints: their announcements, their state as read, and the engines' wire format."""
+"""Clients of endpoints: announcements, connections, status, the engine protocol."""
 
 from jujubeslip.endpoints._adapter import EngineAdapter
 from jujubeslip.endpoints._announcements import announcement_from_json
--- a/src/jujubeslip/endpoints/_adapter.py
+++ b/src/jujubeslip/endpoints/_adapter.py
@@ -1,4 +1,4 @@
-"""The engines' wire format (docs/reference/engine-interface.md), and only here."""
+"""The one place with the engine protocol (docs/reference/engine-interface.md)."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class EngineAdapter:
-    """Calls to one engine; every answer is checked to be for the asked attempt."""
+    """Calls one engine, and checks that every answer is for the requested attempt."""
 
     def __init__(self, address: str, interrupted: Interrupted = never_interrupted):
         self.address = address
@@ -57,7 +57,9 @@
         """Compute a prompt and return where its KV cache is held."""
         message = {"model": model, "prompt": prompt, "priority": priority}
         probe = partial(self._check_phase, ref, PREFILL_PHASES)
-        answer = self._ask(ref, "/v1/prefill", message, deadline, traceparent, probe)
+        answer = self._request(
+            ref, "/v1/prefill", message, deadline, traceparent, probe
+        )
         try:
             return PrefillResult(
                 kv_id=str(answer["kv_id"]),
@@ -81,11 +83,11 @@
         """Fetch a KV cache from a prefill engine; return its id at this engine.
 
         Raises EndpointTimeoutError when the engine has a slot for it and the
-        transfer lasts longer than `transfer_limit` seconds: it has stalled.
+        transfer takes longer than `transfer_limit` seconds, as it has stalled then.
         """
         message = {"source": source, "kv_id": kv_id, "priority": priority}
         probe = _TransferProbe(self, ref, transfer_limit)
-        answer = self._ask(ref, "/v1/import", message, deadline, traceparent, probe)
+        answer = self._request(ref, "/v1/import", message, deadline, traceparent, probe)
         return str(answer.get("kv_id", kv_id))
 
     def decode(
@@ -95,25 +97,28 @@
         offset: int,
         max_tokens: int,
         deadline: Deadline,
-        silence: float,
+        silence_timeout: float,
         traceparent: str = "",
     ) -> Iterator[str]:
         """Yield the tokens from `offset` on; return only after the end marker.
 
         Raises AnswerCutError when the stream ends without its end marker, so that a
-        cut stream is never taken for a short answer.
+        truncated stream is never mistaken for a short answer.
         """
         call = Call(self.address, deadline, self._interrupted)
         message = _with_ref(ref, {"kv_id": kv_id, "offset": offset})
         message["max_tokens"] = max_tokens
         try:
             call.send(
-                "POST", "/v1/decode", json.dumps(message).encode(), _head(traceparent)
+                "POST",
+                "/v1/decode",
+                json.dumps(message).encode(),
+                _trace_headers(traceparent),
             )
             response = call.response()
             if response.status != HTTP_OK:
                 raise _refusal(response.status, call.read_rest(), self.address)
-            yield from self._tokens(ref, call.lines(silence), offset)
+            yield from self._tokens(ref, call.lines(silence_timeout), offset)
         finally:
             call.close()
 
@@ -134,16 +139,16 @@
                 raise EndpointAnswerError(f"{self.address}: a token is out of order.")
             expected += 1
             yield str(item["token"])
-        raise AnswerCutError(f"{self.address}: the stream ended without its end.")
+        raise AnswerCutError(f"{self.address}: the stream has no end marker.")
 
     def check_new_work(self, incarnation: int, deadline: Deadline) -> None:
-        """Return if this incarnation takes new work, else raise EndpointError."""
+        """Return if this incarnation accepts new work, else raise EndpointError."""
         status = self.status(deadline)
         if status.leaving or status.incarnation != incarnation:
             raise EndpointRefusedError(409, LEAVING, may_have_run=False)
 
     def phase_of(self, ref: RequestRef) -> str:
-        """Return the phase in which the engine holds the attempt, or nothing."""
+        """Return the phase in which the engine holds the attempt, or ""."""
         status = EngineAdapter(self.address).status(Deadline.after(PROBE_SECONDS))
         for item in status.held:
             if (item.request_id, item.attempt) == (ref.request_id, ref.attempt):
@@ -157,10 +162,10 @@
     def cancel(self, request_id: str, attempt: int, deadline: Deadline) -> None:
         """Free everything that is held for an attempt; raises unless acknowledged."""
         ref = RequestRef(request_id, attempt, "")
-        self._ask(ref, "/v1/cancel", {}, deadline)
+        self._request(ref, "/v1/cancel", {}, deadline)
 
     def status(self, deadline: Deadline) -> EndpointStatus:
-        """Return the endpoint's own account of itself."""
+        """Return the status that the endpoint reports."""
         status, answer = exchange_json(
             self.address, "/v1/status", None, deadline, self._interrupted
         )
@@ -168,7 +173,7 @@
             raise EndpointRefusedError(status, "status", may_have_run=False)
         return status_from_json(answer, self.address)
 
-    def _ask(
+    def _request(
         self,
         ref: RequestRef,
         path: str,
@@ -183,7 +188,7 @@
             _with_ref(ref, message),
             deadline,
             self._interrupted,
-            _head(traceparent),
+            _trace_headers(traceparent),
             probe,
         )
         if status != HTTP_OK:
@@ -193,7 +198,7 @@
 
 
 class _TransferProbe:
-    """Asks after an import; a transfer that takes too long has stalled."""
+    """Checks the progress of an import; raises once its transfer has stalled."""
 
     def __init__(
         self, adapter: EngineAdapter, ref: RequestRef, transfer_limit: float
@@ -216,7 +221,7 @@
             raise EndpointTimeoutError(f"{self._adapter.address}: a transfer stalled.")
 
 
-def _head(traceparent: str) -> dict[str, str]:
+def _trace_headers(traceparent: str) -> dict[str, str]:
     return {"traceparent": traceparent} if traceparent else {}
 
 
@@ -230,10 +235,10 @@
 
 
 def _check_ref(answer: Mapping[str, Any], ref: RequestRef, address: str) -> None:
-    """Refuse an answer to another request, or a late one to an earlier attempt.
+    """Reject an answer to another request, or a late one to an earlier attempt.
 
-    Crossed or late replies would otherwise reach the wrong client: they show as a
-    well-formed answer with another id. Engines echo both ids on every answer.
+    A swapped or late reply is a well-formed answer with other ids and would otherwise
+    reach the wrong client. Engines echo both ids in every answer.
     """
     given = (answer.get("request_id"), answer.get("attempt"))
     if given != (ref.request_id, ref.attempt):
--- a/src/jujubeslip/endpoints/_announcements.py
+++ b/src/jujubeslip/endpoints/_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of endpoints, as they arrive over HTTP."""
+"""Parses the announcements that endpoints send over HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def announcement_from_json(message: Mapping[str, Any]) -> Announcement:
-    """Return the announcement, or refuse it with what is wrong."""
+    """Return the announcement, or raise a refusal that names what is wrong."""
     try:
         announcement = Announcement(
             endpoint_id=str(message["endpoint_id"]),
--- a/src/jujubeslip/endpoints/_connections.py
+++ b/src/jujubeslip/endpoints/_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: kept for the next request, each read bounded."""
+"""Persistent connections to endpoints, with a deadline for each read."""
 
 from __future__ import annotations
 
@@ -19,86 +19,87 @@
 from jujubeslip.endpoints._http import Interrupted, never_interrupted
 from jujubeslip.kernel import Deadline, Ran
 
-# A connection is opened within two round trips. An endpoint that takes longer is cut
-# off or dead, and nothing has been sent to it yet, in seconds.
+# Timeout for opening a connection, in seconds. It takes two round trips; an endpoint
+# that takes longer is partitioned or dead, and nothing has been sent to it yet.
 CONNECT_SECONDS = 0.4
-# A machine whose process has ended refuses connections within a round trip, in seconds.
-ENDED_SECONDS = 0.1
-# How long a request may take on its way out, in seconds.
+# Timeout of the check whether a process has ended, in seconds. Its machine then refuses
+# connections within a round trip.
+END_CHECK_SECONDS = 0.1
+# Timeout for sending a request, in seconds.
 SEND_SECONDS = 2.0
-# How often a wait looks whether the caller is still there, in seconds. What works for
-# a caller who is gone is to be stopped within half a second.
-LOOK_SECONDS = 0.1
+# Interval at which a wait checks that the client is still connected, in seconds. Work
+# for a client that has disconnected is to be stopped within half a second.
+POLL_SECONDS = 0.1
 READ_BYTES = 65536
 MAXIMUM_ANSWER_BYTES = 16 * 1024 * 1024
-# How long a connection is kept idle if its endpoint doesn't say, in seconds.
+# How long an idle connection is kept if its endpoint names no limit, in seconds.
 IDLE_SECONDS = 3.0
-# A connection is left this long before its endpoint would close it, in seconds: a
-# request that crosses the close may have run or not.
+# A connection is not used during this time before its endpoint would close it, in
+# seconds: a request that crosses the close may or may not have run.
 IDLE_MARGIN_SECONDS = 0.7
 
 
-class _WatchedSocket(io.RawIOBase):
-    """The bytes of a connection; a read ends at a deadline or when the caller goes."""
+class _BoundedReader(io.RawIOBase):
+    """Reads from a socket until a deadline or until the client disconnects."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._socket = sock
         self._deadline = Deadline.after(0)
-        self._gone: Interrupted = never_interrupted
+        self._interrupted: Interrupted = never_interrupted
 
-    def watch(self, deadline: Deadline, gone: Interrupted) -> None:
+    def watch(self, deadline: Deadline, interrupted: Interrupted) -> None:
         """Bound the reads from now on."""
         self._deadline = deadline
-        self._gone = gone
+        self._interrupted = interrupted
 
     def readable(self) -> bool:
-        """Say that it can be read."""
+        """Return that reading is supported."""
         return True
 
     def readinto(self, buffer: Any) -> int | None:
-        """Read what has arrived, after waiting for it unless the socket doesn't."""
+        """Read available bytes; wait for them unless the socket is non-blocking."""
         while True:
             try:
                 return self._socket.recv_into(buffer)
             except TimeoutError:
-                self._look()
+                self._check_limits()
             except BlockingIOError:
                 return None
 
-    def _look(self) -> None:
-        if self._gone():
+    def _check_limits(self) -> None:
+        if self._interrupted():
             raise CallerGoneError("The client closed its connection.", Ran.UNKNOWN)
         if self._deadline.expired:
             raise EndpointTimeoutError("The endpoint did not answer in time.")
 
 
-class _SharedReader:
-    """Lets each answer on a connection read from the same buffer.
+class _SharedBuffer:
+    """Makes all answers on a connection read from the same buffer.
 
-    The library opens a buffer of its own for each answer and closes it at its end:
-    bytes behind that end would be lost, with them the proof that an endpoint sent
-    more than one answer.
+    http.client opens a separate buffer for each answer and closes it at its end. Bytes
+    after that end would be lost, and with them the evidence that an endpoint sent more
+    than one answer.
     """
 
     def __init__(self, reader: Any) -> None:
         self._reader = reader
 
-    def makefile(self, *_: object) -> _SharedReader:
-        """Return itself in place of a buffer of its own."""
+    def makefile(self, *_: object) -> _SharedBuffer:
+        """Return the shared buffer instead of a new one."""
         return self
 
     def close(self) -> None:
-        """Keep the buffer for the next answer."""
+        """Keep the buffer open for the next answer."""
 
     def flush(self) -> None:
-        """Do nothing: nothing is written here."""
+        """Do nothing, since the buffer is read-only."""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._reader, name)
 
 
 class EndpointConnection:
-    """One connection; carries one request at a time."""
+    """A connection that carries one request at a time."""
 
     def __init__(self, address: str) -> None:
         host, port = address.rsplit(":", 1)
@@ -114,17 +115,17 @@
             self._http.close()
             raise EndpointUnreachableError(f"{address}: {error}.") from error
         self._socket: socket.socket = self._http.sock
-        self._raw = _WatchedSocket(self._socket)
+        self._raw = _BoundedReader(self._socket)
         self._reader = io.BufferedReader(self._raw, READ_BYTES)
-        self._shared = _SharedReader(self._reader)
+        self._shared = _SharedBuffer(self._reader)
         self._method = ""
 
     def send(
         self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a request whole; its answer may then be read."""
+        """Send a complete request, after which its answer can be read."""
         self._method = method
-        # The library's own state is for answers that it reads itself.
+        # http.client tracks the answers that it reads itself; use a separate object.
         http_call = http.client.HTTPConnection(self.address)
         http_call.sock = self._socket
         try:
@@ -137,18 +138,18 @@
             if body or method not in ("GET", "HEAD", "DELETE"):
                 http_call.putheader("Content-Length", str(len(body)))
             http_call.endheaders(body or None)
-            self._socket.settimeout(LOOK_SECONDS)
+            self._socket.settimeout(POLL_SECONDS)
         except (OSError, http.client.HTTPException, ValueError) as error:
             raise AnswerCutError(f"{self.address}: sending failed: {error}.") from error
         finally:
             http_call.sock = None
 
-    def watch(self, deadline: Deadline, gone: Interrupted) -> None:
+    def watch(self, deadline: Deadline, interrupted: Interrupted) -> None:
         """Bound the reads from now on."""
-        self._raw.watch(deadline, gone)
+        self._raw.watch(deadline, interrupted)
 
     def read_head(self) -> http.client.HTTPResponse:
-        """Wait for the next answer's head."""
+        """Wait for the status line and headers of the next answer."""
         response = http.client.HTTPResponse(
             self._shared,  # type: ignore[arg-type]
             method=self._method,
@@ -164,17 +165,19 @@
         return response
 
     def read_some(self, response: http.client.HTTPResponse) -> bytes:
-        """Return the next bytes of a body, nothing at its proper end."""
+        """Return the next bytes of a body, or nothing at its regular end."""
         try:
             part = response.read1(READ_BYTES)
         except (OSError, http.client.HTTPException, ValueError) as error:
             raise AnswerCutError(f"{self.address}: {error!r}.") from error
         if not part and response.length:
-            raise AnswerCutError(f"{self.address}: the answer is shorter than said.")
+            raise AnswerCutError(
+                f"{self.address}: the answer is shorter than its length."
+            )
         return part
 
     def read_rest(self, response: http.client.HTTPResponse) -> bytes:
-        """Return a whole body."""
+        """Return the complete rest of a body."""
         parts = []
         size = 0
         while part := self.read_some(response):
@@ -185,15 +188,15 @@
         return b"".join(parts)
 
     def is_clean(self) -> bool:
-        """Say whether the connection is open and nothing has arrived on it.
+        """Return whether the connection is open and has no unread bytes.
 
-        Bytes that arrive while no request waits are a second answer, and would be
-        read as that of the next request. An end that has arrived means that the
-        endpoint has closed: what is sent now would be reset.
+        Bytes that arrive while no request is pending are a second answer, and would be
+        read as the answer to the next request. An end of stream means that the
+        endpoint has closed the connection, and a request sent now would be reset.
         """
         try:
             self._socket.settimeout(0)
-            # The end of the connection reads as no bytes here, like nothing yet.
+            # peek() returns no bytes at the end of the stream, as when none arrived yet.
             return not self._reader.peek(1) and not self._has_ended()
         except (OSError, ValueError):
             return False
@@ -205,19 +208,19 @@
             return False
 
     def close(self) -> None:
-        """Close the connection, read or not."""
+        """Close the connection, even if an answer is unread."""
         self._reader.close()
         self._http.close()
 
 
 def has_ended(address: str) -> bool:
-    """Say whether the endpoint's process has ended: nothing listens at its address.
+    """Return whether an endpoint's process has ended, as nothing listens there.
 
-    One that can't be reached at all may still run.
+    An endpoint that can't be reached at all may still run.
     """
     host, port = address.rsplit(":", 1)
     try:
-        socket.create_connection((host, int(port)), ENDED_SECONDS).close()
+        socket.create_connection((host, int(port)), END_CHECK_SECONDS).close()
     except ConnectionError:
         return True
     except OSError:
@@ -226,10 +229,11 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections by the endpoint's start, the latest used first.
+    """Keeps idle connections for each start of an endpoint, most recently used first.
 
-    By the id alone, a request for a new start could be sent over a connection to the
-    start before: it would be lost, and nobody could say that it has not run.
+    If they were keyed by the endpoint's id alone, a request for a new start could be
+    sent over a connection to the previous one. It would be lost, without a proof that
+    it has not run.
     """
 
     def __init__(self) -> None:
@@ -237,7 +241,7 @@
         self._lock = threading.Lock()
 
     def take(self, start_id: str, address: str) -> EndpointConnection:
-        """Return an idle connection that is sound, else a new one.
+        """Return a usable idle connection, or else a new one.
 
         Raises EndpointUnreachableError when no connection can be opened.
         """
@@ -253,7 +257,7 @@
         connection: EndpointConnection,
         idle_seconds: float | None,
     ) -> None:
-        """Keep a connection whose answer was read whole."""
+        """Keep a connection whose answer was read completely."""
         given = IDLE_SECONDS if idle_seconds is None else idle_seconds
         usable = given - IDLE_MARGIN_SECONDS
         if usable <= 0 or not connection.is_clean():
@@ -266,12 +270,12 @@
 
     @property
     def idle_count(self) -> int:
-        """Return how many connections are idle."""
+        """Return the number of idle connections."""
         with self._lock:
             return sum(map(len, self._idle_by_start.values()))
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections whose idle time has expired."""
         expired = []
         with self._lock:
             for start_id, idle in list(self._idle_by_start.items()):
--- a/src/jujubeslip/endpoints/_errors.py
+++ b/src/jujubeslip/endpoints/_errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong on the way to an endpoint, by what it says about the run."""
+"""Errors of calls to endpoints, and whether the request may have run."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class EndpointError(JujubeslipError):
-    """A call to an endpoint that brought no answer.
+    """A call to an endpoint that failed without an answer.
 
-    `may_have_run` is False only if no byte left for the endpoint, or the endpoint
-    itself said that it refused before it ran.
+    `may_have_run` is False only if no byte was sent to the endpoint, or if the endpoint
+    reported that it refused the request before running it.
     """
 
     error_id = "endpoint_failed"
-    default_remedy = "Look at the endpoint's own log at this time."
+    default_remedy = "Check the endpoint's log at this time."
     may_have_run = True
 
 
@@ -38,7 +38,7 @@
 
 
 class EndpointAnswerError(EndpointError):
-    """An answer that is not for this request and attempt, or can't be read."""
+    """The answer is invalid, or belongs to another request or attempt."""
 
     error_id = "endpoint_answer_invalid"
 
@@ -65,7 +65,7 @@
 
 
 class EndpointRoleError(EndpointRefusedError):
-    """The endpoint has another role by now."""
+    """The endpoint has changed its role."""
 
     error_id = "endpoint_role_changed"
 
@@ -74,24 +74,24 @@
 
 
 class EndpointOnHoldError(EndpointError):
-    """The endpoint wants no requests from this host now, so nothing was sent."""
+    """The endpoint accepts no requests from this host at present; none was sent."""
 
     error_id = "endpoint_on_hold"
-    default_remedy = "See what the endpoint said of itself shortly before."
+    default_remedy = "Check which notices the endpoint sent shortly before."
     may_have_run = False
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"{address}: it asked for backoff, or leaves.")
+        super().__init__(f"{address}: the endpoint asked for backoff or is leaving.")
 
 
 class CallerGoneError(JujubeslipError):
-    """The client closed its connection; what is held for it must be freed.
+    """The client closed its connection, so whatever is held for it must be freed.
 
-    `ran` says whether the request may have run by then.
+    `ran` tells whether the request may have run by then.
     """
 
     error_id = "caller_gone"
-    default_remedy = "None: nobody waits for the answer."
+    default_remedy = "None; the client no longer waits for the answer."
 
     def __init__(self, message: str, ran: Ran = Ran.NO) -> None:
         super().__init__(message)
--- a/src/jujubeslip/endpoints/_http.py
+++ b/src/jujubeslip/endpoints/_http.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP that end at a deadline or when the caller goes."""
+"""HTTP calls that end at a deadline or when the client disconnects."""
 
 from __future__ import annotations
 
@@ -20,37 +20,36 @@
 from jujubeslip.kernel import Deadline
 
 CONNECT_SECONDS = 1.0
-# How often a wait looks whether the caller is still there, in seconds.
-LOOK_INTERVAL = 0.05
+# Interval at which a wait checks that the client is still connected, in seconds.
+POLL_INTERVAL = 0.05
 READ_SIZE = 65536
-# An answer that has begun, or a request on its way out, may not stand still for
-# longer than this, in seconds.
+# Longest pause within an answer that has begun, and in sending a request, in seconds.
 STALL_SECONDS = 2.0
 SEND_SECONDS = 5.0
-# After this long without an answer the endpoint is asked whether it still works on
-# the attempt, and again each such time.
+# Interval at which the endpoint is asked, while its answer is pending, whether it still
+# works on the attempt, in seconds.
 PROBE_INTERVAL = 1.5
-# An answer can be on its way while the endpoint says that it holds the attempt no
-# more, and one probe can be lost, so one failed probe alone says nothing.
+# Consecutive failed probes that end a call. One is not conclusive: it may be lost, and
+# an endpoint that no longer holds the attempt may have an answer in transit.
 FAILED_PROBES = 2
 MAXIMUM_ANSWER_BYTES = 8 * 1024 * 1024
 
-# Says whether the caller wants the answer no more.
+# Returns whether the caller no longer needs the answer.
 Interrupted = Callable[[], bool]
 # Returns if the endpoint still works on the attempt, else raises EndpointError.
 Probe = Callable[[], None]
 
 
 def never_interrupted() -> bool:
-    """Stand for a caller that doesn't go, such as a task of the system."""
+    """Return False, for callers that never disconnect, such as internal tasks."""
     return False
 
 
 class Call:
-    """One HTTP exchange on a connection of its own.
+    """One HTTP exchange on its own connection.
 
-    A connection is never used twice: an answer that comes late, or that was read in
-    part, would otherwise be taken for the answer to the next request.
+    A connection is never reused: an answer that arrives late, or that was only partly
+    read, would otherwise be taken for the answer to the next request.
     """
 
     def __init__(
@@ -69,13 +68,13 @@
     def send(
         self, method: str, path: str, body: bytes, headers: Mapping[str, str]
     ) -> None:
-        """Open the connection and send the request whole."""
+        """Open the connection and send the complete request."""
         try:
             self._connection.connect()
         except OSError as error:
             self.close()
             raise EndpointUnreachableError(f"{self.address}: {error}.") from error
-        # http.client forgets its socket when the answer says that it will close.
+        # http.client drops its socket if the answer announces that it will close.
         sock = self._socket = self._connection.sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(self._limited(SEND_SECONDS))
@@ -88,11 +87,11 @@
             raise AnswerCutError(f"{self.address}: sending failed: {error}.") from error
 
     def response(self, probe: Probe | None = None) -> http.client.HTTPResponse:
-        """Wait for the answer's head.
+        """Wait for the status line and headers of the answer.
 
-        Nothing tells an answer that takes its time from a connection that something
-        between the hosts has lost track of, which stays silent for good. So `probe`
-        asks over a fresh connection whether there is an answer to wait for.
+        A slow answer can't be distinguished from a connection that a device between
+        the hosts has dropped, which stays silent permanently. So `probe` asks over a
+        new connection whether the endpoint still works on the answer.
         """
         self._await_answer(probe)
         assert self._socket is not None
@@ -113,7 +112,7 @@
             raise AnswerCutError(f"{self.address}: {error!r}.") from error
 
     def read_rest(self) -> bytes:
-        """Return the rest of the body, of which the head gives the length."""
+        """Return the rest of the body, whose length the headers give."""
         assert self._response is not None
         parts = []
         size = 0
@@ -126,26 +125,27 @@
             if size > MAXIMUM_ANSWER_BYTES:
                 raise EndpointAnswerError(f"{self.address}: the answer is too long.")
         if self._response.length:
-            raise AnswerCutError(f"{self.address}: the answer is shorter than said.")
+            raise AnswerCutError(
+                f"{self.address}: the answer is shorter than its length."
+            )
         return b"".join(parts)
 
-    def lines(self, silence: float) -> Iterator[bytes]:
-        """Yield the body's lines; `silence` seconds without a byte are a timeout.
+    def lines(self, silence_timeout: float) -> Iterator[bytes]:
+        """Yield the body's lines; time out after `silence_timeout` silent seconds.
 
-        A silent connection is how a stream looks whose connection something between
-        the hosts has lost track of: it would otherwise be waited for until the
-        request's deadline.
+        If a device between the hosts has dropped the connection, the stream stays
+        silent, and the call would otherwise wait until the request's deadline.
         """
         pending = b""
         while True:
             part = self.read_some()
             if not part:
                 if pending:
-                    raise AnswerCutError(f"{self.address}: the last line is cut.")
+                    raise AnswerCutError(f"{self.address}: the last line is truncated.")
                 return
-            *whole, pending = (pending + part).split(b"\n")
-            yield from whole
-            self._wait_readable(silence)
+            *complete_lines, pending = (pending + part).split(b"\n")
+            yield from complete_lines
+            self._wait_readable(silence_timeout)
 
     def _limited(self, seconds: float) -> float:
         return max(0.001, min(seconds, self._deadline.remaining()))
@@ -170,23 +170,23 @@
                 if failed == FAILED_PROBES:
                     raise
 
-    def _wait_readable(self, silence: float | None = None) -> None:
-        """Wait for bytes, looking at the deadline and for the caller meanwhile."""
+    def _wait_readable(self, silence_timeout: float | None = None) -> None:
+        """Wait for bytes, until the deadline or until the client disconnects."""
         if self._socket is None or self._socket.fileno() < 0:
             return
         limit = self._deadline
-        if silence is not None:
-            limit = limit.earlier_of(Deadline.after(silence))
+        if silence_timeout is not None:
+            limit = limit.earlier_of(Deadline.after(silence_timeout))
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
-        while not poller.poll(int(min(LOOK_INTERVAL, limit.remaining()) * 1000) + 1):
+        while not poller.poll(int(min(POLL_INTERVAL, limit.remaining()) * 1000) + 1):
             if self._interrupted():
                 raise CallerGoneError("The client closed its connection.")
             if limit.expired:
                 raise EndpointTimeoutError(f"{self.address}: no answer in time.")
 
     def close(self) -> None:
-        """Close the connection, read or not."""
+        """Close the connection, even if the answer is unread."""
         if self._response is not None:
             self._response.close()
         self._connection.close()
@@ -201,7 +201,7 @@
     headers: Mapping[str, str] | None = None,
     probe: Probe | None = None,
 ) -> tuple[int, dict[str, Any]]:
-    """POST a JSON message, or GET without one; return the status and the answer."""
+    """POST a JSON message, or GET if there is none; return the status and answer."""
     call = Call(address, deadline, interrupted)
     try:
         method = "GET" if message is None else "POST"
@@ -216,7 +216,7 @@
 
 
 def parse_object(line: bytes, address: str) -> dict[str, Any]:
-    """Return the JSON object in the bytes."""
+    """Parse the bytes as a JSON object."""
     try:
         value = json.loads(line)
     except ValueError as error:
--- a/src/jujubeslip/endpoints/_models.py
+++ b/src/jujubeslip/endpoints/_models.py
@@ -1,4 +1,4 @@
-"""Data classes for what endpoints are told and what they answer."""
+"""Data classes of requests to endpoints and their answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class RequestRef:
-    """One attempt of one request, and the entry process that it is held for."""
+    """One attempt of a request, and the entry process that owns it."""
 
     request_id: str
     attempt: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PrefillResult:
-    """A computed prompt; `kv_id` names its KV cache at the prefill endpoint."""
+    """A prefilled prompt; `kv_id` names its KV cache at the prefill engine."""
 
     kv_id: str
     prompt_tokens: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class HeldItem:
-    """Something an engine holds in memory for an attempt; `age_ms` is the engine's."""
+    """What an engine holds in memory for an attempt; the engine measures `age_ms`."""
 
     request_id: str
     attempt: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class EndpointStatus:
-    """An endpoint's own account of itself; the load is as old as it says."""
+    """The status that an endpoint reports, with the load as of that report."""
 
     endpoint_id: str
     incarnation: int
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A prompt prefix that an engine stored or evicted; late, and some are lost."""
+    """A prompt prefix that an engine stored or evicted; may be late or missing."""
 
     number: int
     stored: bool
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class PlainAnswer:
-    """A plain service's answer, passed on as it is."""
+    """A plain service's answer, forwarded unchanged."""
 
     status: int
     content_type: str
--- a/src/jujubeslip/endpoints/_monitor.py
+++ b/src/jujubeslip/endpoints/_monitor.py
@@ -1,4 +1,4 @@
-"""Reading of an endpoint's status and cache events, over one kept connection."""
+"""Polls an endpoint's status and cache events over a persistent connection."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class EndpointMonitor:
-    """Asks one endpoint again and again; used by one task.
+    """Polls one endpoint; not thread-safe.
 
-    Opening a connection for each question costs a home most of its processor time.
-    The connection is used again only after an answer that was read whole, and a
-    question that fails on it is asked once more over a fresh one: it may be one that
-    went silent for good while new ones work.
+    Opening a connection for each request would cost a home most of its processor time.
+    The connection is reused only after its answer was read completely. A request that
+    fails on it is retried once over a new one, since a kept connection may have become
+    permanently silent while new ones work.
     """
 
     def __init__(self, address: str) -> None:
@@ -34,18 +34,18 @@
         self._connection: http.client.HTTPConnection | None = None
 
     def status(self, deadline: Deadline) -> EndpointStatus:
-        """Return the endpoint's own account of itself."""
+        """Return the status that the endpoint reports."""
         return status_from_json(self._get("/v1/status", deadline), self.address)
 
     def events(
         self, after: int, deadline: Deadline
     ) -> tuple[tuple[CacheEvent, ...], int]:
-        """Return the cache events after a number, and the number to ask after next."""
+        """Return the cache events after a number, and the number for the next call."""
         answer = self._get(f"/v1/events?after={after}", deadline)
         return cache_events_from_json(answer, after, self.address)
 
     def close(self) -> None:
-        """Close the kept connection; the next question opens a fresh one."""
+        """Close the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -54,12 +54,12 @@
         if self._connection is not None:
             kept = Deadline.after(deadline.remaining() / 2)
             try:
-                return self._ask(path, kept)
+                return self._request(path, kept)
             except (AnswerCutError, EndpointTimeoutError):
                 self.close()
-        return self._ask(path, deadline)
+        return self._request(path, deadline)
 
-    def _ask(self, path: str, deadline: Deadline) -> dict[str, Any]:
+    def _request(self, path: str, deadline: Deadline) -> dict[str, Any]:
         connection = self._connection or self._open(deadline)
         self._connection = None
         sock = connection.sock
--- a/src/jujubeslip/endpoints/_plain.py
+++ b/src/jujubeslip/endpoints/_plain.py
@@ -28,9 +28,10 @@
     deadline: Deadline,
     interrupted: Interrupted,
 ) -> PlainAnswer:
-    """Send the client's body and return the service's answer whole.
+    """Send the client's body and return the service's complete answer.
 
-    Raises EndpointRefusedError with `may_have_run` False when the service says so.
+    Raises EndpointRefusedError with `may_have_run` False if the service reports that
+    it did not run the request.
     """
     headers = {
         "Content-Type": "application/json",
--- a/src/jujubeslip/endpoints/_status.py
+++ b/src/jujubeslip/endpoints/_status.py
@@ -1,4 +1,4 @@
-"""The engines' account of themselves, as they send it."""
+"""Parses the status and cache events that endpoints report."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def status_from_json(answer: Mapping[str, Any], address: str) -> EndpointStatus:
-    """Return the status, or raise EndpointAnswerError if it can't be read."""
+    """Return the status, or raise EndpointAnswerError if it is invalid."""
     try:
         return _status(answer)
     except (KeyError, TypeError, ValueError) as error:
@@ -27,7 +27,7 @@
 def cache_events_from_json(
     answer: Mapping[str, Any], after: int, address: str
 ) -> tuple[tuple[CacheEvent, ...], int]:
-    """Return the cache events, and the number to ask after next."""
+    """Return the cache events, and the number for the next call."""
     try:
         events = tuple(_event(item) for item in answer["events"])
         return events, int(answer.get("next", after))
--- a/tests/endpoints/test_ended.py
+++ b/tests/endpoints/test_ended.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint's process has ended, as its port shows."""
+"""The check of an endpoint's port that tells whether its process has ended."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from tests.fakes.platform_worker import PlatformWorker
 
 
-class TestEndpointThatMayHaveEnded:
-    def test_one_that_serves_has_not(self) -> None:
+class TestHasEnded:
+    def test_is_false_for_a_running_process(self) -> None:
         with PlatformWorker("sound", "plain") as worker:
             assert not has_ended(worker.address)
 
-    def test_one_whose_process_is_gone_has(self) -> None:
+    def test_is_true_for_a_killed_process(self) -> None:
         worker = PlatformWorker("gone", "plain")
         worker.kill()
         assert has_ended(worker.address)
 
-    def test_one_that_is_silent_holds_nobody_up(self) -> None:
+    def test_returns_in_time_for_a_silent_endpoint(self) -> None:
         with socket.socket() as listener, ExitStack() as pending:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
-            # Connections that nobody accepts: further ones get no answer.
+            # Fill the backlog with unaccepted connections; further ones get no answer.
             for _ in range(4):
                 client = pending.enter_context(socket.socket())
                 client.setblocking(False)
@@ -32,4 +32,4 @@
             host, port = listener.getsockname()
             started = time.monotonic()
             assert not has_ended(f"{host}:{port}")
-            assert time.monotonic() - started < 5 * _connections.ENDED_SECONDS
+            assert time.monotonic() - started < 5 * _connections.END_CHECK_SECONDS
--- a/tests/endpoints/test_leaving.py
+++ b/tests/endpoints/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving endpoint gets no new work after a few seconds."""
+"""A leaving endpoint gets no new requests once a time limit has passed."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 )
 
 LIMIT_MS = 3000
-# How long requests go on arriving after the limit, in milliseconds.
-WATCHED_MS = 2000
+# How long requests are sent after the limit, in milliseconds.
+OBSERVED_MS = 2000
 LOAD_THREADS = 4
 ROLES = ("prefill", "decode")
-ALL_WHOLE: frozenset[str] = frozenset()
+NO_REFUSAL: frozenset[str] = frozenset()
 NOT_RUN = frozenset({"no"})
-# Engines that are killed may leave requests without an answer.
+# Requests to engines that are killed may remain unanswered.
 ANY_REFUSAL = frozenset({"no", "unknown"})
-# The engines that stay are slow, so that those that leave are the better choice.
+# The engines that stay are slow, so that the leaving ones would be preferred.
 SLOW: Mapping[str, Setting] = {
     "prefill-tokens-per-second": 40,
     "decode-ms-per-token": 20,
@@ -56,8 +56,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _healed(cluster: Cluster) -> Iterator[None]:
-    """End the test's own engines, and undo what it did to the others."""
+def _restored(cluster: Cluster) -> Iterator[None]:
+    """Kill the engines of the test and undo its changes to the others."""
     yield
     steady = {spec.endpoint_id for spec in cluster.spec.endpoints}
     for name in set(cluster.endpoint_address_by_id) - steady:
@@ -71,17 +71,17 @@
 
 
 class Load:
-    """Requests with prompts of their own through some entry hosts, while it is open.
+    """Sends requests with distinct prompts through some entry hosts until it exits.
 
-    At its end every one must have been answered whole, but for refusals that say of
-    the run what is allowed to be said.
+    On exit every request must have been answered completely or been refused with an
+    allowed value of `ran`.
     """
 
     def __init__(
         self,
         cluster: Cluster,
         hosts: tuple[str, ...],
-        allowed: frozenset[str] = ALL_WHOLE,
+        allowed: frozenset[str] = NO_REFUSAL,
     ) -> None:
         self.answers: list[ClientAnswer] = []
         self._cluster = cluster
@@ -113,7 +113,7 @@
 
 
 class Engines:
-    """An engine of each role that announces itself to one host only."""
+    """One engine of each role, which announce themselves to a single host."""
 
     def __init__(
         self,
@@ -137,49 +137,51 @@
         self.start()
 
     def start(self) -> None:
-        """Start the engines, also again under the same addresses."""
+        """Start the engines, or restart them at the same addresses."""
         for spec in self.specs:
             self._cluster.start_endpoint(spec).wait_ready()
 
     def kill(self) -> None:
-        """End them at once."""
+        """Kill the engines."""
         for spec in self.specs:
             self._cluster.process_by_name[spec.endpoint_id].kill()
 
     def leave(self) -> None:
-        """Let them leave; they go on serving what reaches them."""
+        """Make the engines leave; they still serve the requests that reach them."""
         for spec in self.specs:
             order = {"order_id": "leave", "fence": 1, "kind": "drain"}
             name = spec.endpoint_id
             self._cluster.endpoint_call(name, "POST", "/v1/orders", order)
 
     def leaving_ms(self) -> int:
-        """Return when the last of them began to leave, or 0."""
-        began = [self._records(spec)["leaving_ms"] for spec in self.specs]
-        return max(began) if all(began) else 0
+        """Return when the last engine began to leave, or 0."""
+        begun_at = [self._records(spec)["leaving_ms"] for spec in self.specs]
+        return max(begun_at) if all(begun_at) else 0
 
     def _records(self, spec: EngineSpec) -> dict:
         return self._cluster.endpoint_call(spec.endpoint_id, "GET", "/v1/records")
 
     def runs(self) -> list[list[dict]]:
-        """Return the runs of each of them."""
+        """Return the recorded runs of each engine."""
         return [self._records(spec)["runs"] for spec in self.specs]
 
     def wait_used(self) -> None:
-        """Wait until each has been given work."""
+        """Wait until each engine has run a request."""
         wait_until(lambda: all(self.runs()), "the engines work")
 
-    def work_since(self, began_ms: int) -> bool:
-        """Say whether each was given work after the instant."""
+    def work_since(self, begun_ms: int) -> bool:
+        """Return whether each engine ran a request after this time."""
         return all(
-            any(run["started_ms"] > began_ms for run in runs) for runs in self.runs()
+            any(run["started_ms"] > begun_ms for run in runs) for runs in self.runs()
         )
 
     def check_no_late_work(self) -> None:
-        """Watch for a while after the limit, and look at what the engines recorded."""
+        """Check after the observation time that no run began after the limit."""
         wait_until(self.leaving_ms, "the engines leave")
         limit = self.leaving_ms() + LIMIT_MS
-        wait_until(lambda: now_ms() > limit + WATCHED_MS, "the watched time is over")
+        wait_until(
+            lambda: now_ms() > limit + OBSERVED_MS, "the observation time is over"
+        )
         late = [
             run["started_ms"] - limit
             for runs in self.runs()
@@ -189,7 +191,7 @@
         assert late == [], "milliseconds after the limit"
 
     def announcements(self) -> list[dict]:
-        """Return what they announce while they don't leave."""
+        """Return the announcements of the engines from before they leave."""
         found = []
         for spec in self.specs:
             status = self._cluster.endpoint_call(spec.endpoint_id, "GET", "/v1/status")
@@ -211,7 +213,7 @@
 
 
 def announce(cluster: Cluster, host: str, announcement: dict) -> int:
-    """Send an announcement as it could arrive late, and return the HTTP status."""
+    """Send an announcement, such as a delayed one, and return the HTTP status."""
     headers = {"Authorization": f"Bearer {ENDPOINT_SECRET}"}
     address = cluster.http_address_by_id[host]
     return call_json(address, "POST", "/v1/endpoints", announcement, headers)[0]
@@ -224,53 +226,54 @@
     return home, other
 
 
-class TestEntryHostThatWasTold:
-    """Engines leave, but the only entry host that they tell passes nothing on.
+class TestNotifiedEntryHost:
+    """Guards against requests to leaving engines when their notified host is isolated.
 
-    It is stopped (SIGSTOP) or cut off from the other one at that moment, whose last
-    news are that they live. Clients would go on being sent to engines that are about
-    to end. The other host asks the engines themselves, and a status is relied on for
-    less than the limit.
+    The only entry host that the engines notify is stopped (SIGSTOP) or partitioned from
+    the other one at that moment, so the other host last learned that they run and would
+    keep sending requests to engines that are about to exit. It polls the engines itself
+    and relies on a status for less than the limit.
     """
 
-    @pytest.mark.parametrize("told_is_home", [True, False])
-    def test_is_frozen(self, cluster: Cluster, told_is_home: bool) -> None:
+    @pytest.mark.parametrize("notified_is_home", [True, False])
+    def test_is_frozen(self, cluster: Cluster, notified_is_home: bool) -> None:
         home, other = home_and_other(cluster)
-        told, working = (home, other) if told_is_home else (other, home)
-        leavers = Engines(cluster, told)
+        notified, working = (home, other) if notified_is_home else (other, home)
+        leaving = Engines(cluster, notified)
         with Load(cluster, (working,)):
-            leavers.wait_used()
-            cluster.process_by_name[told].signal(signal.SIGSTOP)
-            leavers.leave()
-            leavers.check_no_late_work()
+            leaving.wait_used()
+            cluster.process_by_name[notified].signal(signal.SIGSTOP)
+            leaving.leave()
+            leaving.check_no_late_work()
 
-    @pytest.mark.parametrize("told_is_home", [True, False])
-    def test_is_cut_off(self, cluster: Cluster, told_is_home: bool) -> None:
+    @pytest.mark.parametrize("notified_is_home", [True, False])
+    def test_is_partitioned(self, cluster: Cluster, notified_is_home: bool) -> None:
         home, other = home_and_other(cluster)
-        told, working = (home, other) if told_is_home else (other, home)
-        leavers = Engines(cluster, told)
+        notified, working = (home, other) if notified_is_home else (other, home)
+        leaving = Engines(cluster, notified)
         Engines(cluster, working, SLOW)
-        load_of_told = Load(cluster, (told,), allowed=NOT_RUN)
-        with Load(cluster, (working,)), load_of_told:
-            leavers.wait_used()
+        load_of_notified = Load(cluster, (notified,), allowed=NOT_RUN)
+        with Load(cluster, (working,)), load_of_notified:
+            leaving.wait_used()
             for proxy in cluster.proxy_by_hop.values():
                 proxy.cut()
-            leavers.leave()
-            leavers.check_no_late_work()
+            leaving.leave()
+            leaving.check_no_late_work()
 
 
-class TestGrantThatIsUsedLate:
-    """An entry host is stopped while it holds grants, and wakes after the limit.
+class TestLateUseOfAGrant:
+    """Guards against using an old grant at an engine that has begun to leave.
 
-    The prefill of its requests has ended meanwhile, and a decode engine that it was
-    granted has begun to leave. It would send the requests there on waking up. It asks
-    the engine first, since the grant is old, and is granted another one.
+    An entry host is stopped while it holds grants and resumes after the limit. By then
+    the prefill of its requests has ended, and a granted decode engine is leaving. The
+    host would send the requests there. Since the grant is old, it asks the engine first
+    and gets another grant.
     """
 
-    def test_goes_elsewhere(self, cluster: Cluster) -> None:
+    def test_is_replaced(self, cluster: Cluster) -> None:
         home, other = home_and_other(cluster)
-        leavers = Engines(cluster, home, roles=("decode",))
-        usable = len(cluster.spec.endpoints) + len(leavers.specs)
+        leaving = Engines(cluster, home, roles=("decode",))
+        usable = len(cluster.spec.endpoints) + len(leaving.specs)
         wait_until(
             lambda: cluster.entry_status(home).pools[0].usable_endpoints == usable,
             "the engine is usable",
@@ -280,72 +283,74 @@
         wait_until(lambda: cluster.held("prefill-1"), "a request is in prefill")
         process = cluster.process_by_name[other]
         process.signal(signal.SIGSTOP)
-        leavers.leave()
+        leaving.leave()
         cluster.order_faults("prefill-1", resume_phase="prefill")
-        leavers.check_no_late_work()
+        leaving.check_no_late_work()
         process.signal(signal.SIGCONT)
         for call in calls:
-            # A host that was stopped knows no other for a moment, and may refuse.
+            # A resumed host knows no other host for a moment and may refuse requests.
             answer = call.answer()
             assert answer.whole or answer.ran == "no", answer
-        assert leavers.runs() == [[]]
+        assert leaving.runs() == [[]]
 
 
-class TestAnnouncementThatIsLate:
-    """An announcement from before the leave arrives after it, at either host.
+class TestLateAnnouncement:
+    """Guards against a delayed announcement that puts leaving engines back in service.
 
-    Something on the way held it back. Taken for news, it would bring the engines back
-    and clients would be sent to them until they end. Leaving is final for an
-    incarnation, and the engine's own status says so too.
+    It was sent before the engines began to leave and arrives afterwards, at either
+    host. If it were applied, requests would go to them until they exit. Leaving is
+    final for an incarnation, and the engine's own status reports it too.
     """
 
-    def test_changes_nothing(self, cluster: Cluster) -> None:
-        told, _ = home_and_other(cluster)
-        leavers = Engines(cluster, told)
+    def test_has_no_effect(self, cluster: Cluster) -> None:
+        notified, _ = home_and_other(cluster)
+        leaving = Engines(cluster, notified)
         with Load(cluster, cluster.entry_ids):
-            leavers.wait_used()
-            late = leavers.announcements()
-            leavers.leave()
-            wait_until(leavers.leaving_ms, "the engines leave")
-            watching = in_background(leavers.check_no_late_work)
-            while not watching.done():
+            leaving.wait_used()
+            late = leaving.announcements()
+            leaving.leave()
+            wait_until(leaving.leaving_ms, "the engines leave")
+            observing = in_background(leaving.check_no_late_work)
+            while not observing.done():
                 for host, item in itertools.product(cluster.entry_ids, late):
                     assert announce(cluster, host, item) == 200
-            watching.result()
+            observing.result()
 
 
 class TestNextIncarnation:
-    """Engines leave, end, and start again under the same addresses.
+    """Guards against keeping restarted engines idle because they left before.
 
-    Operators see them run, but the mark of the leave would keep them idle for good. A
-    new incarnation is another endpoint, and what arrives late from the old one does
-    not count, neither its leave nor that it lived.
+    Engines leave, exit and start again at the same addresses. If they were still marked
+    as leaving, they would stay idle permanently. A new incarnation is another endpoint,
+    and late announcements of the old one don't apply to it, whether leaving or not.
     """
 
-    def test_gets_work_whatever_arrives_late(self, cluster: Cluster) -> None:
-        told, _ = home_and_other(cluster)
-        leavers = Engines(cluster, told)
+    def test_gets_work_despite_late_announcements(self, cluster: Cluster) -> None:
+        notified, _ = home_and_other(cluster)
+        leaving = Engines(cluster, notified)
         with Load(cluster, cluster.entry_ids, ANY_REFUSAL):
-            leavers.wait_used()
-            old = leavers.announcements()
-            leavers.leave()
-            wait_until(leavers.leaving_ms, "the engines leave")
-            leavers.kill()
-            leavers.start()
-            leavers.wait_used()
+            leaving.wait_used()
+            old = leaving.announcements()
+            leaving.leave()
+            wait_until(leaving.leaving_ms, "the engines leave")
+            leaving.kill()
+            leaving.start()
+            leaving.wait_used()
             for host, item in itertools.product(cluster.entry_ids, old):
                 announce(cluster, host, item)
                 announce(cluster, host, {**item, "leaving": True})
-            began = now_ms()
-            wait_until(lambda: leavers.work_since(began), "the engines go on working")
+            begun_at = now_ms()
+            wait_until(
+                lambda: leaving.work_since(begun_at), "the engines still get work"
+            )
 
     def test_gets_work_after_it_was_killed(self, cluster: Cluster) -> None:
-        told, other = home_and_other(cluster)
-        leavers = Engines(cluster, told)
+        notified, other = home_and_other(cluster)
+        leaving = Engines(cluster, notified)
         with Load(cluster, (other,), ANY_REFUSAL):
-            leavers.wait_used()
-            leavers.kill()
-            leavers.start()
+            leaving.wait_used()
+            leaving.kill()
+            leaving.start()
             started = time.monotonic()
-            leavers.wait_used()
+            leaving.wait_used()
             assert time.monotonic() - started < LIMIT_MS / 1000
