--- a/src/jujubeslip/endpoints/_connections.py
+++ b/src/jujubeslip/endpoints/_connections.py
@@ -196,7 +196,7 @@
         """
         try:
             self._socket.settimeout(0)
-            # peek() returns no bytes at the end of the stream, as when none arrived yet.
+            # peek() returns no bytes at the end of the stream either, so check for it.
             return not self._reader.peek(1) and not self._has_ended()
         except (OSError, ValueError):
             return False
@@ -214,7 +214,7 @@
 
 
 def has_ended(address: str) -> bool:
-    """Return whether an endpoint's process has ended, as nothing listens there.
+    """Return whether an endpoint's process has ended: its port refuses connections.
 
     An endpoint that can't be reached at all may still run.
     """
--- a/src/jujubeslip/interfaces/__init__.py
+++ b/src/jujubeslip/interfaces/__init__.py
@@ -1,4 +1,4 @@
-"""What a process speaks over HTTP: plug-ins that translate to the product's types."""
+"""Plug-ins that translate between an HTTP interface and the project's own types."""
 
 from jujubeslip.interfaces._models import (
     EncodedRefusal,
--- a/src/jujubeslip/interfaces/_models.py
+++ b/src/jujubeslip/interfaces/_models.py
@@ -1,4 +1,4 @@
-"""The protocol of interfaces, and their registry."""
+"""The protocol that interface plug-ins implement, and their registry."""
 
 from __future__ import annotations
 
@@ -25,51 +25,51 @@
 
 @dataclass(frozen=True)
 class EndpointCall:
-    """What a call to an endpoint says beside the client's own request."""
+    """The parameters of a call to an endpoint beside the client's request."""
 
     endpoint_id: str
-    """The endpoint that alone may answer; any start of it will."""
+    """The only endpoint that may answer, in any of its starts."""
     remaining_ms: int
-    """How long the endpoint may take."""
+    """Time left for the endpoint to answer."""
     reads_prompt_only: bool = False
-    """Read the prompt and keep it, for another endpoint to take."""
+    """Whether to prefill the prompt and keep its KV cache for another endpoint."""
     prompt_at: str = ""
-    """Address and handle of the endpoint that has read the prompt."""
+    """Address and handle of the endpoint that has prefilled the prompt."""
     reservation: str = ""
-    """The slot and memory that were reserved for the request."""
+    """Id of the slot and memory that are reserved for the request."""
     resume_after: str = ""
-    """The last event that the client has; the answer goes on behind it."""
+    """Id of the last event that the client received; the answer continues after it."""
 
 
 @dataclass(frozen=True)
 class EndpointHead:
-    """What the head of an endpoint's answer says."""
+    """The status and headers of an endpoint's answer."""
 
     status: int
     request_id: str
-    """The request that it answers, empty if it doesn't say."""
+    """The request that it answers, empty if not reported."""
     not_run: bool
-    """Whether the endpoint says that it did not run the request."""
+    """Whether the endpoint reports that it did not run the request."""
     answered_by: str
-    """The endpoint that answered, empty if it doesn't say."""
+    """The endpoint that answered, empty if not reported."""
     misdirected: bool
-    """Whether the call was not for the endpoint, or not for the role it has now."""
+    """Whether the call was for another endpoint, or for a role that it doesn't have."""
     proves_origin: bool
-    """Whether it bears the mark that only endpoints give."""
+    """Whether it has the header that only endpoints set."""
     idle_seconds: float | None
-    """How long the connection may be idle, None if it doesn't say."""
+    """How long the connection may be idle, None if not reported."""
     headers: tuple[tuple[str, str], ...]
-    """Those that the client gets."""
+    """The headers that are forwarded to the client."""
     limit_per_second: float | None = None
-    """Requests that the endpoint takes from all hosts together, None without limit."""
+    """Limit on the requests from all hosts together, None if there is none."""
     backoff_seconds: float = 0.0
-    """For how long it wants no requests from this host, 0 if it doesn't say."""
+    """For how long it accepts no requests from this host, 0 if not reported."""
     is_leaving: bool = False
-    """Whether it says that it is shutting down."""
+    """Whether the endpoint reports that it is shutting down."""
 
     @property
     def says_of_itself(self) -> bool:
-        """Say whether it tells anything that holds for further requests."""
+        """Return whether it has a notice that applies to further requests."""
         return (
             self.limit_per_second is not None
             or self.backoff_seconds > 0
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class EndpointQuestion:
-    """A call to an endpoint that is no request of a client."""
+    """A request to an endpoint that doesn't come from a client."""
 
     method: str
     target: str
@@ -89,21 +89,21 @@
 
 @dataclass(frozen=True)
 class RoleOrder:
-    """An order to an engine to take another role."""
+    """An order to an engine to change its role."""
 
     endpoint_id: str
     role: EndpointRole
     holder: str
-    """The host that gives orders."""
+    """The host that sends orders."""
     fencing_number: int
-    """Grows with each host that gives orders."""
+    """Increases with each host that takes over sending orders."""
     known_orders: int
-    """How many orders the engine has accepted; with another number it refuses."""
+    """Number of orders accepted by the engine, which refuses if this differs."""
 
 
 @dataclass(frozen=True)
 class EncodedRefusal:
-    """A refusal as the client gets it."""
+    """A refusal in the form that is sent to the client."""
 
     status: int
     headers: Headers
@@ -111,16 +111,16 @@
 
 
 class Interface(Protocol):
-    """Translates between one interface and the product; decides nothing."""
+    """Translates between one HTTP interface and the project's types, without policy."""
 
     def control_app(self, gateway: ControlGateway) -> WsgiApp:
-        """Return what a control host serves to operators and endpoints."""
+        """Return the app that a control host serves to operators and endpoints."""
 
     def read_routes(self, content: str) -> Result[RouteTable, str]:
-        """Return the routes of a configuration, or what is wrong with it."""
+        """Parse the routes of a configuration, or return what is wrong with it."""
 
     def read_request(self, environ: Environ) -> ForwardedRequest:
-        """Return a client's request, or raise RequestRefusedError."""
+        """Parse a client's request, or raise RequestRefusedError."""
 
     def endpoint_headers(
         self, request: ForwardedRequest, call: EndpointCall
@@ -130,31 +130,31 @@
     def read_head(
         self, status: int, headers: Iterable[tuple[str, str]]
     ) -> EndpointHead:
-        """Return what the head of an endpoint's answer says."""
+        """Parse the status and headers of an endpoint's answer."""
 
     def read_prefilled(self, body: bytes) -> Result[PrefilledPrompt, str]:
-        """Return what an endpoint says of a prompt it has read, or what is wrong."""
+        """Parse an endpoint's answer to a prefill, or return what is wrong with it."""
 
     def reserve(self, endpoint_id: str, tokens: int, ttl_ms: int) -> EndpointQuestion:
-        """Return the question for a slot and this much memory of an endpoint."""
+        """Return the request that reserves a slot and memory for `tokens` tokens."""
 
     def read_reservation(self, body: bytes) -> Result[str, str]:
-        """Return the id of what was reserved, or what is wrong with the answer."""
+        """Parse the id of a reservation, or return what is wrong with the answer."""
 
     def ask_report(self, endpoint_id: str) -> EndpointQuestion:
-        """Return the question for an engine's state."""
+        """Return the request for an engine's state."""
 
     def read_report(self, body: bytes) -> Result[EngineReport, str]:
-        """Return an engine's state, or what is wrong with its report."""
+        """Parse an engine's report of its state, or return what is wrong with it."""
 
     def order_role(self, order: RoleOrder) -> EndpointQuestion:
-        """Return the order that gives an engine another role."""
+        """Return the request that orders an engine to change its role."""
 
     def release(self, endpoint_id: str, reservation: str) -> EndpointQuestion:
-        """Return the call that gives back what was reserved."""
+        """Return the request that releases a reservation."""
 
     def refusal(self, refusal: RequestRefusedError, request_id: str) -> EncodedRefusal:
-        """Return a refusal as the client gets it."""
+        """Encode a refusal for the client."""
 
 
 interfaces: Registry[Interface] = Registry("interface")
--- a/src/jujubeslip/interfaces/_questions.py
+++ b/src/jujubeslip/interfaces/_questions.py
@@ -1,4 +1,4 @@
-"""Questions to endpoints that are no requests of clients."""
+"""Sends requests to endpoints that don't come from clients."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Notices(Protocol):
-    """What endpoints have said of themselves."""
+    """The notices that endpoints have sent."""
 
     def in_backoff(self, start_id: str) -> bool:
-        """Say whether a start wants no requests from this host for a while."""
+        """Return whether a start has asked this host for backoff."""
 
     def note_other_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
-        """Note what an answer says that is no answer to a client's request."""
+        """Record the notices in an answer to a request that isn't a client's."""
 
 
 def ask_endpoint(
@@ -30,33 +30,38 @@
     interface: Interface,
     notices: Notices,
     endpoint: Endpoint,
-    question: EndpointQuestion,
+    internal_request: EndpointQuestion,
     deadline: Deadline,
-    gone: Interrupted = never_interrupted,
+    interrupted: Interrupted = never_interrupted,
 ) -> tuple[int, bytes]:
     """Return status and body of an endpoint's answer; its connection is kept.
 
-    Raises EndpointError when no answer comes in time or the endpoint wants no
-    questions now, and CallerGoneError once `gone` says that nobody waits any more.
+    Raises EndpointError if no answer arrives in time or the endpoint has asked for
+    backoff, and CallerGoneError once `interrupted` returns True.
     """
     if notices.in_backoff(endpoint.start_id):
         raise EndpointOnHoldError(endpoint.address)
     connection = pool.take(endpoint.start_id, endpoint.address)
-    whole = False
+    is_complete = False
     try:
-        headers = [("Host", endpoint.address), *question.headers]
-        connection.send(question.method, question.target, headers, question.body)
-        connection.watch(deadline, gone)
+        headers = [("Host", endpoint.address), *internal_request.headers]
+        connection.send(
+            internal_request.method,
+            internal_request.target,
+            headers,
+            internal_request.body,
+        )
+        connection.watch(deadline, interrupted)
         response = connection.read_head()
         head = interface.read_head(response.status, response.getheaders())
         if not head.misdirected:
             notices.note_other_answer(endpoint, head)
         body = connection.read_rest(response)
-        whole = not response.will_close
+        is_complete = not response.will_close
     finally:
-        # An answer that was not read whole would be read as that of the next question.
-        if not whole:
+        # The rest of this answer would be read as the answer to the next request.
+        if not is_complete:
             connection.close()
-    if whole:
+    if is_complete:
         pool.give_back(endpoint.start_id, connection, head.idle_seconds)
     return response.status, body
