--- a/src/jujubeslip/discovery/_removals.py
+++ b/src/jujubeslip/discovery/_removals.py
@@ -60,7 +60,7 @@
         is_any = self.scope == RemovalScope.ANY_START
         return RemovalKey(self.endpoint_id, None if is_any else self.started_at_ms)
 
-    def is_old(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether its retention has expired at this time of the steady clock."""
         return self.removed_at < now - RETENTION_SECONDS
 
@@ -113,7 +113,7 @@
     def add(self, removal: Removal, now: float) -> bool:
         """Store a removal; return whether it was not stored before."""
         kept = self._removal_by_key
-        if removal.is_old(now) or not removal.supersedes(kept.get(removal.key)):
+        if removal.is_expired(now) or not removal.supersedes(kept.get(removal.key)):
             return False
         kept.pop(removal.key, None)
         kept[removal.key] = removal
@@ -124,7 +124,7 @@
         kept = self._removal_by_key
         while kept:
             oldest = next(iter(kept.values()))
-            if len(kept) <= MAXIMUM_STORED and not oldest.is_old(now):
+            if len(kept) <= MAXIMUM_STORED and not oldest.is_expired(now):
                 return
             del kept[oldest.key]
 
