--- a/src/jujubeslip/discovery/_follower.py
+++ b/src/jujubeslip/discovery/_follower.py
@@ -160,7 +160,7 @@
         )
         return request, crash_version
 
-    def take(self, address: str, reply: WatchReply) -> None:
+    def apply_reply(self, address: str, reply: WatchReply) -> None:
         """Apply a watch reply."""
         self._registry.take(list(usable_endpoints(address, reply.endpoints or ())))
         self._registry.take_removals(usable_removals(address, reply.removals or ()))
@@ -227,7 +227,7 @@
             self._retry_seconds = min(self._retry_seconds * 2, MAXIMUM_RETRY_SECONDS)
             return
         self._record_reply(started.instant)
-        self._owner.take(self._address, reply)
+        self._owner.apply_reply(self._address, reply)
         is_same_start = reply.book_id == self._known.book_id
         self._sent_crash_version = crash_version if is_same_start else 0
         self._known = ReportedState(
--- a/tests/discovery/test_told_records.py
+++ b/tests/discovery/test_told_records.py
@@ -71,12 +71,12 @@
             process, identity, self.registry, self.updates.append
         )
 
-    def take(self, *records: EndpointRecord, **fields: Any) -> None:
+    def receive(self, *records: EndpointRecord, **fields: Any) -> None:
         """Apply a watch reply with these records."""
         reply = WatchReply(7, 1, list(records), 3, [], 2, "")
         for name, value in fields.items():
             setattr(reply, name, value)
-        self._followers.take("10.0.0.1:7000", received(reply))
+        self._followers.apply_reply("10.0.0.1:7000", received(reply))
 
     def by_id(self) -> dict[str, Endpoint]:
         """Return the known endpoints by id."""
@@ -100,7 +100,7 @@
         follower = Follower()
         first, last = to_record(engine("a")), to_record(engine("b"))
         with caplog.at_level(logging.INFO):
-            follower.take(first, invalid_record(invalid), last)
+            follower.receive(first, invalid_record(invalid), last)
         assert set(follower.by_id()) == {"a", "b"}
         assert follower.updates[0].configuration_version == 3
         [line] = [item for item in caplog.records if "record invalid" in item.message]
@@ -111,9 +111,9 @@
     @settings(deadline=None, max_examples=60)
     def test_keeps_an_older_valid_record(self, fields: list[tuple[str, Any]]) -> None:
         follower = Follower()
-        follower.take(to_record(engine("foreign")))
+        follower.receive(to_record(engine("foreign")))
         before = follower.by_id()
-        follower.take(invalid_record(("sequence", 1000), *fields))
+        follower.receive(invalid_record(("sequence", 1000), *fields))
         assert follower.by_id() == before
 
     def test_that_is_not_utf_8_is_skipped(self) -> None:
@@ -123,13 +123,13 @@
             EndpointRecord(), valid.replace(b"foreign", b"\xff\xfereign"), protocol
         )
         follower = Follower()
-        follower.take(to_record(engine("a")), invalid, to_record(engine("b")))
+        follower.receive(to_record(engine("a")), invalid, to_record(engine("b")))
         assert set(follower.by_id()) == {"a", "b"}
 
     @pytest.mark.parametrize("role", list(EndpointRole))
     def test_is_not_one_with_a_known_role(self, role: EndpointRole) -> None:
         follower = Follower()
-        follower.take(to_record(engine("a", role)))
+        follower.receive(to_record(engine("a", role)))
         assert follower.by_id()["a"].role is role
 
 
@@ -140,7 +140,7 @@
     )
     def test_applies_the_others(self, name: str) -> None:
         follower = Follower()
-        follower.take(to_record(engine("a")), **{name: None})
+        follower.receive(to_record(engine("a")), **{name: None})
         assert set(follower.by_id()) == (set() if name == "endpoints" else {"a"})
         [update] = follower.updates
         assert (update.configuration_version, update.entry_hosts) == (
@@ -164,6 +164,6 @@
         invalid = EndpointRemoval("broken", 0, 5)
         setattr(invalid, name, value)
         follower = Follower()
-        follower.take(removals=[invalid, EndpointRemoval("gone", 0, 5)])
-        follower.take(to_record(engine("gone")))
+        follower.receive(removals=[invalid, EndpointRemoval("gone", 0, 5)])
+        follower.receive(to_record(engine("gone")))
         assert not follower.by_id()["gone"].stays
