--- a/bench/replay/_roles.py
+++ b/bench/replay/_roles.py
@@ -18,7 +18,7 @@
 from jujubeslip.control._role_manager import RoleManager
 from jujubeslip.discovery import Endpoint
 from jujubeslip.forwarding._pressure import Pressures
-from jujubeslip.interfaces import EndpointQuestion, RoleOrder
+from jujubeslip.interfaces import InternalRequest, RoleOrder
 from jujubeslip.kernel import ControlSettings, Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole, EngineLoads, EngineOrder, ServicePressure
 from jujubeslip.routes import EngineReport
@@ -156,5 +156,7 @@
 
     answer: Callable[[], tuple[int, bytes]]
 
-    def _ask(self, endpoint: Endpoint, question: EndpointQuestion) -> tuple[int, bytes]:
+    def _ask(
+        self, endpoint: Endpoint, internal_request: InternalRequest
+    ) -> tuple[int, bytes]:
         return self.answer()
--- a/src/jujubeslip/admission/_engine_report_poller.py
+++ b/src/jujubeslip/admission/_engine_report_poller.py
@@ -15,7 +15,7 @@
     EndpointOnHoldError,
     EndpointReplacedError,
 )
-from jujubeslip.interfaces import Interface, ask_endpoint
+from jujubeslip.interfaces import Interface, send_internal_request
 from jujubeslip.kernel import Deadline, Process
 from jujubeslip.notices import EndpointNotices
 from jujubeslip.routes import EngineReport
@@ -99,7 +99,7 @@
         report = result.unwrap()
         # At the address of an ended start, the next start replies with the same
         # endpoint id. Its report would be taken for the state of the ended one.
-        if not self._engine.may_be(report.started_at_ms):
+        if not self._engine.matches_start(report.started_at_ms):
             self._log_change(False, "another start replied at the engine's address")
             return False
         self._log_change(True, "")
@@ -109,7 +109,7 @@
     def _call(self) -> tuple[int, bytes]:
         """Return status and body of the engine's reply, or raise EndpointError."""
         engine = self._engine
-        status, body = ask_endpoint(
+        status, body = send_internal_request(
             self._connections,
             self._interface,
             self._notices,
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -18,7 +18,7 @@
     WaitingOptions,
     grant_request_of,
 )
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.interfaces import Interface
 from jujubeslip.kernel import Deadline, Process, steady_seconds
 from jujubeslip.notices import EndpointNotices
@@ -71,7 +71,7 @@
     def __init__(
         self,
         process: Process,
-        book: EndpointBook,
+        book: EndpointRegistry,
         interface: Interface,
         options: MemoryOptions,
         leads: Callable[[], bool],
--- a/src/jujubeslip/control/_gateway.py
+++ b/src/jujubeslip/control/_gateway.py
@@ -7,7 +7,7 @@
 
 from jujubeslip.control._client import ControlClient
 from jujubeslip.control._watches import Watches
-from jujubeslip.discovery import Endpoint, EndpointBook, Removal
+from jujubeslip.discovery import Endpoint, EndpointRegistry, Removal
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import Configuration, VersionedCommand
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         client: ControlClient,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         watches: Watches,
         record_removal: RecordRemoval = skip_log_record,
     ) -> None:
@@ -55,20 +55,20 @@
 
     def announce(self, endpoint: Endpoint) -> None:
         """See ControlGateway."""
-        version = self._registry.take([endpoint])
+        version = self._registry.merge([endpoint])
         if endpoint.leaving:
             self._confirm(version, Removal.of_start(endpoint))
         elif not self._is_staying(endpoint.endpoint_id):
             self._watches.wait_until_confirmed(version, Deadline.after(CONFIRM_SECONDS))
 
-    def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> None:
+    def remove_endpoint(self, endpoint_id: str, started_at_ms: int = 0) -> None:
         """See ControlGateway."""
         removal = self._registry.removal_of(endpoint_id, started_at_ms)
-        self._confirm(self._registry.take_removals([removal]), removal)
+        self._confirm(self._registry.apply_removals([removal]), removal)
 
     def _is_staying(self, endpoint_id: str) -> bool:
         known = self._registry.find(endpoint_id)
-        return known is not None and known.stays
+        return known is not None and known.accepts_work
 
     def _confirm(self, version: int, removal: Removal) -> None:
         """Wait until the removal is in the log and the watching hosts confirmed it.
--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -248,7 +248,7 @@
 
     def tell_crashes(self, sender: str, crashes: list[CrashRecord]) -> None:
         """Record crashes that an entry host has seen; any control host answers."""
-        self._crash_registry.take(usable_histories(sender, crashes))
+        self._crash_registry.merge(usable_histories(sender, crashes))
 
     def quarantined(self) -> list[CrashRecord]:
         """Return the quarantined contents that this host knows."""
--- a/src/jujubeslip/control/_meters.py
+++ b/src/jujubeslip/control/_meters.py
@@ -9,13 +9,13 @@
 from opentelemetry.metrics import CallbackOptions, Observation
 
 from jujubeslip.control._replica import Replica
-from jujubeslip.discovery import EndpointBook
+from jujubeslip.discovery import EndpointRegistry
 from jujubeslip.quarantine import CrashRegistry
 from jujubeslip.telemetry import observed
 
 
 def observe_replica(
-    replica: Replica, registry: EndpointBook, crash_registry: CrashRegistry
+    replica: Replica, registry: EndpointRegistry, crash_registry: CrashRegistry
 ) -> None:
     """Register gauges of the replica's state, which are read with the metrics."""
     meter = metrics.get_meter("jujubeslip.control")
@@ -53,7 +53,11 @@
 
     def endpoints(_: CallbackOptions) -> Iterable[Observation]:
         known = Counter(
-            (item.service_name, item.role.name.lower(), str(not item.stays).lower())
+            (
+                item.service_name,
+                item.role.name.lower(),
+                str(not item.accepts_work).lower(),
+            )
             for item in registry.endpoints()
         )
         return [
--- a/src/jujubeslip/control/_removal_log.py
+++ b/src/jujubeslip/control/_removal_log.py
@@ -10,7 +10,7 @@
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._state_machine import StateMachine
 from jujubeslip.discovery import (
-    EndpointBook,
+    EndpointRegistry,
     Removal,
     removal_from_record,
     to_removal_record,
@@ -28,7 +28,7 @@
     """Records removals in the log, and applies those of the log to the registry."""
 
     def __init__(
-        self, replica: Replica, registry: EndpointBook, client: ControlClient
+        self, replica: Replica, registry: EndpointRegistry, client: ControlClient
     ) -> None:
         self._replica = replica
         self._registry = registry
@@ -66,7 +66,7 @@
             for entry in entries
             if entry.kind == EntryKind.ENDPOINT_REMOVAL
         ]
-        self._registry.take_removals(_removals(pending, now_ms))
+        self._registry.apply_removals(_removals(pending, now_ms))
 
     def follow(self) -> None:
         """Apply each new removal to the registry until the process stops."""
@@ -90,7 +90,7 @@
             records = machine.removals.since(known)
             now_ms = machine.stamp_ms
             self._machine, self._applied_version = machine, machine.removals.version
-        self._registry.take_removals(_removals(records, now_ms))
+        self._registry.apply_removals(_removals(records, now_ms))
 
 
 def _removals(
--- a/src/jujubeslip/control/_role_manager.py
+++ b/src/jujubeslip/control/_role_manager.py
@@ -31,13 +31,13 @@
     prefill_bounds,
 )
 from jujubeslip.control._watches import Watches
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import ConnectionPool, EndpointError
 from jujubeslip.interfaces import (
-    EndpointQuestion,
     Interface,
+    InternalRequest,
     RoleOrder,
-    ask_endpoint,
+    send_internal_request,
 )
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.notices import EndpointNotices
@@ -73,7 +73,7 @@
         self,
         replica: Replica,
         engine_log: EngineLog,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         watches: Watches,
         interface: Interface,
         order_lease_seconds: float,
@@ -486,8 +486,8 @@
 
     def _accepted_order_count(self, endpoint: Endpoint) -> int | None:
         """Return how many orders the engine has accepted, None while it is busy."""
-        question = self._interface.ask_report(endpoint.endpoint_id)
-        status, body = self._ask(endpoint, question)
+        internal_request = self._interface.ask_report(endpoint.endpoint_id)
+        status, body = self._ask(endpoint, internal_request)
         if status != 200:
             return None
         read = self._interface.read_report(body)
@@ -501,18 +501,20 @@
         report = read.unwrap()
         # Another start of the engine counts its own orders: with that count, an order
         # could be carried out by a start for which it was not decided.
-        if report.busy or not endpoint.may_be(report.started_at_ms):
+        if report.busy or not endpoint.matches_start(report.started_at_ms):
             return None
         return report.orders
 
-    def _ask(self, endpoint: Endpoint, question: EndpointQuestion) -> tuple[int, bytes]:
+    def _ask(
+        self, endpoint: Endpoint, internal_request: InternalRequest
+    ) -> tuple[int, bytes]:
         deadline = Deadline.after(ENGINE_TIMEOUT_SECONDS)
-        return ask_endpoint(
+        return send_internal_request(
             self._connections,
             self._interface,
             self._notices,
             endpoint,
-            question,
+            internal_request,
             deadline,
         )
 
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -36,7 +36,7 @@
 from jujubeslip.control._stopping import prepare_to_stop
 from jujubeslip.control._storage import Storage
 from jujubeslip.control._watches import Watches
-from jujubeslip.discovery import ControlFollowers, EndpointBook, News
+from jujubeslip.discovery import ControlFollowers, ControlUpdate, EndpointRegistry
 from jujubeslip.http_server import HttpServer, HttpServerOptions
 from jujubeslip.interfaces import interfaces
 from jujubeslip.kernel import (
@@ -76,7 +76,7 @@
         self._replica = Replica(settings, storage, self._process)
         self._clients = ReplicaClients(settings)
         self._changes = MembershipChanges(self._replica)
-        self._registry = EndpointBook()
+        self._registry = EndpointRegistry()
         self._notices = EndpointNotices(self._registry)
         self._crash_registry = CrashRegistry(on_change=self._registry.wake)
         self._watches = Watches(
@@ -266,7 +266,7 @@
     def _follow_members(self) -> None:
         self._followers.learn(self._control_addresses())
 
-    def _ignore_configuration(self, news: News) -> None:
+    def _ignore_configuration(self, news: ControlUpdate) -> None:
         """Ignore configurations, which reach every replica through the log."""
 
     def _stop(self) -> None:
--- a/src/jujubeslip/control/_watches.py
+++ b/src/jujubeslip/control/_watches.py
@@ -10,7 +10,7 @@
 from returns.result import Success
 
 from jujubeslip.control._replica import Replica
-from jujubeslip.discovery import EndpointBook, to_record, to_removal_record
+from jujubeslip.discovery import EndpointRegistry, to_record, to_removal_record
 from jujubeslip.kernel import (
     Deadline,
     StrictModel,
@@ -85,7 +85,7 @@
     def __init__(
         self,
         replica: Replica,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         addresses: Callable[[], list[str]],
         crash_registry: CrashRegistry | None = None,
     ) -> None:
@@ -107,11 +107,11 @@
         known_crashes = (request.known_crash_version or 0) if is_same_start else 0
         self._record_watcher(request, known)
         reported = usable_histories(request.watcher_id, request.crashes or ())
-        self._crash_registry.take(reported)
+        self._crash_registry.merge(reported)
         wait = Deadline.from_remaining_ms(request.wait_ms or 0)
         known_configuration = request.known_configuration_version or 0
         known_leader = self._known_leader(request)
-        self._registry.wait_for_news(
+        self._registry.wait_for_changes(
             known,
             lambda: (
                 self._configuration_version() > known_configuration
--- a/src/jujubeslip/discovery/__init__.py
+++ b/src/jujubeslip/discovery/__init__.py
@@ -1,7 +1,7 @@
 """The registry of endpoints on control and entry hosts, and how it is kept current."""
 
-from jujubeslip.discovery._book import EndpointBook
-from jujubeslip.discovery._follower import ControlFollowers, News
+from jujubeslip.discovery._book import EndpointRegistry
+from jujubeslip.discovery._follower import ControlFollowers, ControlUpdate
 from jujubeslip.discovery._models import Endpoint, endpoint_from_record, to_record
 from jujubeslip.discovery._records import (
     Slots,
@@ -16,8 +16,8 @@
 __all__ = [
     "ControlFollowers",
     "Endpoint",
-    "EndpointBook",
-    "News",
+    "EndpointRegistry",
+    "ControlUpdate",
     "Removal",
     "Slots",
     "endpoint_from_record",
--- a/src/jujubeslip/discovery/_book.py
+++ b/src/jujubeslip/discovery/_book.py
@@ -43,7 +43,7 @@
         return self.claim.endpoint
 
 
-class EndpointBook:
+class EndpointRegistry:
     """Keeps the latest known start of each endpoint; thread-safe.
 
     Announcements reach different hosts, delayed and out of order, so two rules apply
@@ -104,7 +104,7 @@
             endpoint
             for endpoint in self.endpoints()
             if endpoint.role != EndpointRole.PLAIN
-            and endpoint.stays
+            and endpoint.accepts_work
             and endpoint.heard_at >= recent_since
         ]
 
@@ -120,7 +120,7 @@
             (item for item in self.endpoints() if item.start_id == start_id), None
         )
 
-    def is_over(self, endpoint: Endpoint) -> bool:
+    def is_superseded(self, endpoint: Endpoint) -> bool:
         """Return whether another start or another endpoint has replaced this one."""
         with self._changed:
             entry = self._entry_by_id.get(endpoint.endpoint_id)
@@ -129,7 +129,7 @@
             is_later = entry.endpoint.start_id != endpoint.start_id
             return is_later or self._has_lost_address(entry)
 
-    def take(self, reported: Iterable[Endpoint]) -> int:
+    def merge(self, reported: Iterable[Endpoint]) -> int:
         """Apply newer announcements and return the version that includes them."""
         with self._changed:
             self._updated_at = steady_seconds()
@@ -137,12 +137,12 @@
                 self._update_endpoint(endpoint)
             return self._version
 
-    def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> int:
+    def remove_endpoint(self, endpoint_id: str, started_at_ms: int = 0) -> int:
         """Record the removal of an endpoint and return the version that includes it.
 
         A removal that names its start is final, and doesn't affect other starts.
         """
-        return self.take_removals([self.removal_of(endpoint_id, started_at_ms)])
+        return self.apply_removals([self.removal_of(endpoint_id, started_at_ms)])
 
     def removal_of(self, endpoint_id: str, started_at_ms: int = 0) -> Removal:
         """Return the removal of an endpoint that signs off now.
@@ -162,7 +162,7 @@
         )
         return replace(unbound, started_at_ms=known.started_at_ms, scope=scope)
 
-    def take_removals(self, reported: Iterable[Removal]) -> int:
+    def apply_removals(self, reported: Iterable[Removal]) -> int:
         """Apply removals and return the version that includes them."""
         with self._changed:
             for removal in reported:
@@ -184,7 +184,7 @@
             ]
             return self._version, changed
 
-    def wait_for_news(
+    def wait_for_changes(
         self,
         known_version: int,
         has_other_changes: Callable[[], bool],
@@ -308,7 +308,7 @@
                 "role": endpoint.role.name,
                 "started_at_ms": endpoint.started_at_ms,
                 "sequence": endpoint.sequence,
-                "leaving": not endpoint.stays,
+                "leaving": not endpoint.accepts_work,
                 "book_version": self._version,
             },
         )
@@ -352,7 +352,7 @@
     """Return whether the change is more than a renewal."""
     return (
         older.started_at_ms != newer.started_at_ms
-        or older.stays != newer.stays
+        or older.accepts_work != newer.accepts_work
         or older.address != newer.address
         or older.role != newer.role
         or older.service_name != newer.service_name
--- a/src/jujubeslip/discovery/_follower.py
+++ b/src/jujubeslip/discovery/_follower.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from jujubeslip.discovery._book import EndpointBook
+from jujubeslip.discovery._book import EndpointRegistry
 from jujubeslip.discovery._records import usable_endpoints, usable_removals
 from jujubeslip.kernel import (
     Deadline,
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class News:
+class ControlUpdate:
     """The contents of one watch reply of a control host other than its endpoints."""
 
     address: str
@@ -80,8 +80,8 @@
         self,
         process: Process,
         identity: PeerIdentity,
-        registry: EndpointBook,
-        on_update: Callable[[News], None],
+        registry: EndpointRegistry,
+        on_update: Callable[[ControlUpdate], None],
         own_address: str = "",
         is_entry_host: bool = False,
         pressures: Callable[[], list[ServicePressure]] = list,
@@ -162,11 +162,11 @@
 
     def apply_reply(self, address: str, reply: WatchReply) -> None:
         """Apply a watch reply."""
-        self._registry.take(list(usable_endpoints(address, reply.endpoints or ())))
-        self._registry.take_removals(usable_removals(address, reply.removals or ()))
-        self._crash_registry.take(usable_histories(address, reply.crashes or ()))
+        self._registry.merge(list(usable_endpoints(address, reply.endpoints or ())))
+        self._registry.apply_removals(usable_removals(address, reply.removals or ()))
+        self._crash_registry.merge(usable_histories(address, reply.crashes or ()))
         self.learn(reply.control_addresses or ())
-        update = News(
+        update = ControlUpdate(
             address,
             reply.configuration_version or 0,
             reply.entry_hosts or 0,
--- a/src/jujubeslip/discovery/_models.py
+++ b/src/jujubeslip/discovery/_models.py
@@ -54,7 +54,7 @@
             return self.endpoint_id
         return f"{self.endpoint_id}/{self.started_at_ms}"
 
-    def may_be(self, started_at_ms: int) -> bool:
+    def matches_start(self, started_at_ms: int) -> bool:
         """Return whether a message with this start time may come from this start.
 
         A message with 0 names no start, and an endpoint that doesn't report its start
@@ -64,7 +64,7 @@
         return not both_known or started_at_ms == self.started_at_ms
 
     @property
-    def stays(self) -> bool:
+    def accepts_work(self) -> bool:
         """Return whether it accepts work: it is neither leaving nor removed.
 
         A removal that names no start may be a delayed one of an earlier start. If it
--- a/src/jujubeslip/endpoints/__init__.py
+++ b/src/jujubeslip/endpoints/__init__.py
@@ -9,7 +9,7 @@
 )
 from jujubeslip.endpoints._errors import (
     AnswerCutError,
-    CallerGoneError,
+    ClientDisconnectedError,
     EndpointAnswerError,
     EndpointError,
     EndpointOnHoldError,
@@ -34,7 +34,7 @@
 __all__ = [
     "AnswerCutError",
     "CacheEvent",
-    "CallerGoneError",
+    "ClientDisconnectedError",
     "ConnectionPool",
     "EndpointAnswerError",
     "EndpointConnection",
--- a/src/jujubeslip/endpoints/_connections.py
+++ b/src/jujubeslip/endpoints/_connections.py
@@ -11,7 +11,7 @@
 
 from jujubeslip.endpoints._errors import (
     AnswerCutError,
-    CallerGoneError,
+    ClientDisconnectedError,
     EndpointAnswerError,
     EndpointTimeoutError,
     EndpointUnreachableError,
@@ -68,7 +68,9 @@
 
     def _check_limits(self) -> None:
         if self._interrupted():
-            raise CallerGoneError("The client closed its connection.", Ran.UNKNOWN)
+            raise ClientDisconnectedError(
+                "The client closed its connection.", Ran.UNKNOWN
+            )
         if self._deadline.expired:
             raise EndpointTimeoutError("The endpoint did not answer in time.")
 
--- a/src/jujubeslip/endpoints/_errors.py
+++ b/src/jujubeslip/endpoints/_errors.py
@@ -84,7 +84,7 @@
         super().__init__(f"{address}: the endpoint asked for backoff or is leaving.")
 
 
-class CallerGoneError(JujubeslipError):
+class ClientDisconnectedError(JujubeslipError):
     """The client closed its connection, so whatever is held for it must be freed.
 
     `ran` tells whether the request may have run by then.
--- a/src/jujubeslip/endpoints/_http.py
+++ b/src/jujubeslip/endpoints/_http.py
@@ -11,7 +11,7 @@
 
 from jujubeslip.endpoints._errors import (
     AnswerCutError,
-    CallerGoneError,
+    ClientDisconnectedError,
     EndpointAnswerError,
     EndpointError,
     EndpointTimeoutError,
@@ -181,7 +181,7 @@
         poller.register(self._socket, select.POLLIN)
         while not poller.poll(int(min(POLL_INTERVAL, limit.remaining()) * 1000) + 1):
             if self._interrupted():
-                raise CallerGoneError("The client closed its connection.")
+                raise ClientDisconnectedError("The client closed its connection.")
             if limit.expired:
                 raise EndpointTimeoutError(f"{self.address}: no answer in time.")
 
--- a/src/jujubeslip/entry/_client_call.py
+++ b/src/jujubeslip/entry/_client_call.py
@@ -8,7 +8,7 @@
 from contextlib import ExitStack
 from dataclasses import dataclass
 
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.entry._responses import (
     STREAM_TYPE,
     Environ,
@@ -81,7 +81,7 @@
             self._note_refusal(refusal)
             self._close()
             return refuse(start_response, refusal, self._request.request_id)
-        except CallerGoneError as error:
+        except ClientDisconnectedError as error:
             self._close()
             return self._refuse_abandoned(start_response, error)
         except BaseException:
@@ -93,12 +93,12 @@
         return self._services.abandoning.is_set() or bool(self._gone())
 
     def _refuse_abandoned(
-        self, start_response: StartResponse, error: CallerGoneError
+        self, start_response: StartResponse, error: ClientDisconnectedError
     ) -> Iterable[bytes]:
         refusal = self._abandoned(error)
         return refuse(start_response, refusal, self._request.request_id)
 
-    def _abandoned(self, error: CallerGoneError) -> RequestRefusedError:
+    def _abandoned(self, error: ClientDisconnectedError) -> RequestRefusedError:
         """Return what became of a request that an operator abandoned.
 
         A client that closed its connection itself reads it no more.
@@ -112,7 +112,7 @@
         """Yield the steps; tokens that come fast leave no wait in which to look."""
         for step in answer_parts:
             if self._services.abandoning.is_set():
-                raise CallerGoneError("The request was abandoned.", Ran.UNKNOWN)
+                raise ClientDisconnectedError("The request was abandoned.", Ran.UNKNOWN)
             yield step
 
     def _open(self) -> None:
@@ -165,7 +165,7 @@
         except RequestRefusedError as refusal:
             self._note_refusal(refusal)
             return refuse(start_response, refusal, self._request.request_id)
-        except CallerGoneError as error:
+        except ClientDisconnectedError as error:
             return self._refuse_abandoned(start_response, error)
         else:
             self._outcome = "whole"
@@ -192,7 +192,7 @@
             self._note_refusal(refusal)
             yield event("error", refusal_fields(refusal, self._request.request_id))
             return
-        except CallerGoneError as error:
+        except ClientDisconnectedError as error:
             told = self._abandoned(error)
             yield event("error", refusal_fields(told, self._request.request_id))
             return
--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -15,7 +15,7 @@
     Spent,
     limit_reached,
 )
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._leader_contact import LeaderContact
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.forwarding._shared_charges import (
@@ -117,7 +117,9 @@
             if limit.expired or self._process.stopped.wait(LEADER_POLL_SECONDS):
                 return False
             if context.client_disconnected():
-                raise CallerGoneError("The client closed its connection.", Ran.NO)
+                raise ClientDisconnectedError(
+                    "The client closed its connection.", Ran.NO
+                )
         return True
 
     def charge_without_leader(
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from jujubeslip.discovery import EndpointBook
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.discovery import EndpointRegistry
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._endpoint_limits import EndpointLimits
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.forwarding._leader_contact import LeaderContact
@@ -67,7 +67,7 @@
         process: Process,
         leader: LeaderContact,
         availability_zone: str,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         health: EndpointHealth,
         endpoint_limits: EndpointLimits,
     ) -> None:
@@ -110,7 +110,9 @@
                 return AdmissionAnswer("", "", forecast)
             if context.client_disconnected():
                 self.end(request.request_id, request.attempt)
-                raise CallerGoneError("The client closed its connection.", Ran.NO)
+                raise ClientDisconnectedError(
+                    "The client closed its connection.", Ran.NO
+                )
         return None
 
     def _check_backoff(self, capacity_request: CapacityRequest) -> None:
--- a/src/jujubeslip/forwarding/_app.py
+++ b/src/jujubeslip/forwarding/_app.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._models import StreamedAnswer
 from jujubeslip.forwarding._service import ForwardService
 from jujubeslip.http_server import AnswerAbandonedError
@@ -112,7 +112,7 @@
             answer = self._service.answer(request, client_gone)
         except RequestRefusedError as refusal:
             return self._refuse(start_response, refusal, request_id)
-        except CallerGoneError as error:
+        except ClientDisconnectedError as error:
             return self._refuse(start_response, _client_gone_refusal(error), request_id)
         except Exception:
             logger.exception("request failed", extra={"request_id": request_id})
@@ -201,7 +201,7 @@
     )
 
 
-def _client_gone_refusal(error: CallerGoneError) -> RequestRefusedError:
+def _client_gone_refusal(error: ClientDisconnectedError) -> RequestRefusedError:
     """Return a refusal that nobody receives: the client has closed its connection."""
     return RequestRefusedError(
         error.error_id, error.message, status=502, ran=Ran.UNKNOWN
--- a/src/jujubeslip/forwarding/_choice.py
+++ b/src/jujubeslip/forwarding/_choice.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Collection, Sequence
 from typing import Protocol
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.forwarding._health import EndpointHealth
 from jujubeslip.kernel import Registry, steady_seconds
 from jujubeslip.notices import Hold, ServiceHolds
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         health: EndpointHealth,
         policy: Policy,
         silence_seconds: float,
@@ -142,9 +142,9 @@
         starts = (item.start_id for item in self._known(service_name, role))
         return ServiceHolds({start_id: self._hold_of(start_id) for start_id in starts})
 
-    def is_over(self, endpoint: Endpoint) -> bool:
+    def is_superseded(self, endpoint: Endpoint) -> bool:
         """Return whether a later start is known to have replaced this one."""
-        return self._registry.is_over(endpoint)
+        return self._registry.is_superseded(endpoint)
 
     def _usable(
         self, service_name: str, role: EndpointRole, excluded: Collection[str]
@@ -162,7 +162,7 @@
             for endpoint in self._registry.endpoints()
             if endpoint.service_name == service_name
             and endpoint.role == role
-            and endpoint.stays
+            and endpoint.accepts_work
             and not self._health.is_replaced(endpoint.start_id)
         ]
 
--- a/src/jujubeslip/forwarding/_crash_detector.py
+++ b/src/jujubeslip/forwarding/_crash_detector.py
@@ -7,7 +7,7 @@
 
 from opentelemetry import metrics
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import has_ended
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.kernel import steady_seconds
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         crash_registry: CrashRegistry,
         harmless_contents: HarmlessContents,
         report_crashes: Callable[[], None],
@@ -43,7 +43,7 @@
         self, context: ForwardContext, attempts: Attempts, endpoint: Endpoint
     ) -> None:
         """Record a run whose connection ended before its answer was complete."""
-        crashed = self._registry.is_over(endpoint) or has_ended(endpoint.address)
+        crashed = self._registry.is_superseded(endpoint) or has_ended(endpoint.address)
         if crashed:
             self._crashes.add(1, {"service": context.service_name})
         is_harmless = self._harmless_contents.holds(context.fingerprint)
--- a/src/jujubeslip/forwarding/_engine_reports.py
+++ b/src/jujubeslip/forwarding/_engine_reports.py
@@ -74,7 +74,7 @@
         parsed = self._sender.interface.read_report(body)
         if isinstance(parsed, Success):
             report = parsed.unwrap()
-            is_from_start = endpoint.may_be(report.started_at_ms)
+            is_from_start = endpoint.matches_start(report.started_at_ms)
             return _CachedReport(report, usable_until) if is_from_start else None
         extra = {
             "request_id": context.request.request_id,
--- a/src/jujubeslip/forwarding/_exchange.py
+++ b/src/jujubeslip/forwarding/_exchange.py
@@ -84,7 +84,7 @@
             self.read_rest()
             raise _refusal(head, self._endpoint)
         if head.status in SUCCESS and not head.proves_origin:
-            if not call.reads_prompt_only:
+            if not call.prefill_only:
                 raise EndpointAnswerError(
                     f"{self._endpoint.address}: the answer has no proof of its origin."
                 )
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._admissions import AdmissionAnswer, Admissions
 from jujubeslip.forwarding._models import Attempts, CapacityRequest, ForwardContext
@@ -60,7 +60,7 @@
     def __init__(
         self,
         sender: EndpointSender,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         pressures: Pressures,
         reservations: Reservations,
         admissions: Admissions | None,
@@ -207,7 +207,7 @@
         later start, which holds nothing of what the leader counts on.
         """
         endpoint = self._registry.find_start(start_id)
-        return endpoint if endpoint is not None and endpoint.stays else None
+        return endpoint if endpoint is not None and endpoint.accepts_work else None
 
 
 def _wait_limit(context: ForwardContext, attempts: Attempts) -> Deadline:
--- a/src/jujubeslip/forwarding/_initial_discovery.py
+++ b/src/jujubeslip/forwarding/_initial_discovery.py
@@ -10,8 +10,8 @@
 
 import logging
 
-from jujubeslip.discovery import Endpoint, EndpointBook
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.discovery import Endpoint, EndpointRegistry
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._models import ForwardContext
 from jujubeslip.kernel import Deadline, Ran
 from jujubeslip.peers import EndpointRole
@@ -32,7 +32,7 @@
 class InitialDiscovery:
     """Delays requests of a newly started host while endpoints may be unknown."""
 
-    def __init__(self, registry: EndpointBook) -> None:
+    def __init__(self, registry: EndpointRegistry) -> None:
         self._registry = registry
         self._unknown_until = Deadline.after(UNKNOWN_SECONDS)
 
@@ -46,7 +46,9 @@
         limit = self._limit(context)
         while not limit.expired and not self._has_endpoint(context.service_name):
             if context.client_disconnected():
-                raise CallerGoneError("The client closed its connection.", Ran.NO)
+                raise ClientDisconnectedError(
+                    "The client closed its connection.", Ran.NO
+                )
             self._wait_for_change(context.service_name, limit)
         extra = {
             "request_id": context.request.request_id,
@@ -69,7 +71,7 @@
 
     def _wait_for_change(self, service_name: str, limit: Deadline) -> None:
         next_check = limit.earlier_of(Deadline.after(CLIENT_CHECK_SECONDS))
-        self._registry.wait_for_news(
+        self._registry.wait_for_changes(
             self._registry.version, lambda: self._has_endpoint(service_name), next_check
         )
 
@@ -79,5 +81,5 @@
     return (
         endpoint.service_name == service_name
         and endpoint.role is not EndpointRole.PREFILL
-        and endpoint.stays
+        and endpoint.accepts_work
     )
--- a/src/jujubeslip/forwarding/_leader_contact.py
+++ b/src/jujubeslip/forwarding/_leader_contact.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from jujubeslip.discovery import News
+from jujubeslip.discovery import ControlUpdate
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import ControlClients, NotLeader, PeerIdentity, PeerRefusal
 
@@ -51,7 +51,7 @@
         self._last_logged_address: str | None = None
         self._lock = threading.Lock()
 
-    def apply_update(self, update: News) -> None:
+    def apply_update(self, update: ControlUpdate) -> None:
         """Record the leader that a control host reports."""
         report = _LeaderReport(update.leader_address, update.leader_term)
         with self._lock:
--- a/src/jujubeslip/forwarding/_prefill.py
+++ b/src/jujubeslip/forwarding/_prefill.py
@@ -124,7 +124,7 @@
         would then be made, because no engine checks whose prompt it is.
         """
         prefill_engine = location.prefill_engine
-        return prefill_engine is not None and self._sender.chooser.is_over(
+        return prefill_engine is not None and self._sender.chooser.is_superseded(
             prefill_engine
         )
 
@@ -184,7 +184,7 @@
     def _ask(self, context: ForwardContext, endpoint: Endpoint, limit: Deadline) -> str:
         """Return the handle of the prompt that the endpoint has prefilled."""
         remaining = context.end_by.remaining_ms()
-        call = EndpointCall(endpoint.endpoint_id, remaining, reads_prompt_only=True)
+        call = EndpointCall(endpoint.endpoint_id, remaining, prefill_only=True)
         deadline = context.end_by.earlier_of(limit)
         tracked = self._sender.health.track_request(endpoint.start_id)
         with tracked, self._sender.exchange(context, endpoint) as exchange:
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -9,7 +9,7 @@
 
 from jujubeslip.accounts import ENDPOINT_BOUNDS, HostSpending, LimitBounds
 from jujubeslip.admission import MemoryOptions
-from jujubeslip.discovery import ControlFollowers, EndpointBook, News
+from jujubeslip.discovery import ControlFollowers, ControlUpdate, EndpointRegistry
 from jujubeslip.endpoints import ConnectionPool
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._admissions import Admissions
@@ -87,7 +87,7 @@
         self._entry_hosts = 1
         self._connection_pool = ConnectionPool()
         self._pressures = Pressures()
-        self._registry = EndpointBook()
+        self._registry = EndpointRegistry()
         self._crash_registry = CrashRegistry()
         self._harmless_contents = HarmlessContents()
         quarantine = Quarantine(self._crash_registry, self._harmless_contents)
@@ -259,7 +259,7 @@
         logger.info("forwarding host serves", extra=extra)
         process.run(self._drain)
 
-    def _apply_update(self, update: News) -> None:
+    def _apply_update(self, update: ControlUpdate) -> None:
         self._entry_hosts = max(self._entry_hosts, update.entry_hosts)
         self._routes_follower.apply_update(update)
         self._leader_contact.apply_update(update)
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -16,7 +16,7 @@
 
 from jujubeslip.admission import MemoryOptions, growth_of, is_wait_unservable
 from jujubeslip.discovery import Endpoint
-from jujubeslip.endpoints import CallerGoneError, EndpointError
+from jujubeslip.endpoints import ClientDisconnectedError, EndpointError
 from jujubeslip.forwarding._engine_reports import EngineReports
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.forwarding._sender import EndpointSender
@@ -90,7 +90,7 @@
                     break
                 if context.client_disconnected():
                     message = "The client closed its connection."
-                    raise CallerGoneError(message, Ran.NO)
+                    raise ClientDisconnectedError(message, Ran.NO)
                 self._pause()
         attempts.note_no_capacity("no room in time", forecast)
         return None
@@ -107,14 +107,14 @@
         another request.
         """
         endpoint = reservation.endpoint
-        if self._sender.chooser.is_over(endpoint):
+        if self._sender.chooser.is_superseded(endpoint):
             return
-        question = self._sender.interface.release(
+        internal_request = self._sender.interface.release(
             endpoint.endpoint_id, reservation.token
         )
         try:
             # Sent even if the client has disconnected.
-            self._sender.ask(endpoint, question, Deadline.after(ANSWER_SECONDS))
+            self._sender.ask(endpoint, internal_request, Deadline.after(ANSWER_SECONDS))
         except EndpointError as error:
             # It expires by itself; until then the engine has less capacity for others.
             extra = {
@@ -194,11 +194,13 @@
         self, context: ForwardContext, endpoint: Endpoint, tokens: int, ttl_ms: int
     ) -> str:
         """Return the reservation's token, empty if the engine has no free capacity."""
-        question = self._sender.interface.reserve(endpoint.endpoint_id, tokens, ttl_ms)
+        internal_request = self._sender.interface.reserve(
+            endpoint.endpoint_id, tokens, ttl_ms
+        )
         try:
             status, body = self._sender.ask(
                 endpoint,
-                question,
+                internal_request,
                 Deadline.after(ANSWER_SECONDS),
                 context.client_disconnected,
             )
--- a/src/jujubeslip/forwarding/_routes_follower.py
+++ b/src/jujubeslip/forwarding/_routes_follower.py
@@ -8,7 +8,7 @@
 
 from returns.result import Failure
 
-from jujubeslip.discovery import News
+from jujubeslip.discovery import ControlUpdate
 from jujubeslip.interfaces import Interface
 from jujubeslip.kernel import Deadline, PeerUnavailableError, steady_seconds
 from jujubeslip.peers import ControlClients, PeerIdentity, PeerRefusal
@@ -61,7 +61,7 @@
         """Return how long the version has been in force on this host."""
         return steady_seconds() - self._in_force_since
 
-    def apply_update(self, update: News) -> None:
+    def apply_update(self, update: ControlUpdate) -> None:
         """Fetch the version that a control host announced, if it is newer."""
         with self._lock:
             if update.configuration_version > self.version:
--- a/src/jujubeslip/forwarding/_sender.py
+++ b/src/jujubeslip/forwarding/_sender.py
@@ -29,7 +29,7 @@
 from jujubeslip.forwarding._models import Attempts, ForwardContext, refusal_of
 from jujubeslip.forwarding._quarantine import Quarantine
 from jujubeslip.forwarding._retry_budgets import RetryBudgets
-from jujubeslip.interfaces import EndpointQuestion, Interface, ask_endpoint
+from jujubeslip.interfaces import Interface, InternalRequest, send_internal_request
 from jujubeslip.kernel import Deadline, RequestRefusedError
 from jujubeslip.notices import EndpointNotices, Hold, HoldReason, ServiceHolds
 from jujubeslip.peers import EndpointRole
@@ -87,17 +87,17 @@
     def ask(
         self,
         endpoint: Endpoint,
-        question: EndpointQuestion,
+        internal_request: InternalRequest,
         deadline: Deadline,
         client_disconnected: Interrupted = never_interrupted,
     ) -> tuple[int, bytes]:
         """Send the endpoint a question of this host; return status and body."""
-        return ask_endpoint(
+        return send_internal_request(
             self.pool,
             self.interface,
             self.notices,
             endpoint,
-            question,
+            internal_request,
             deadline,
             client_disconnected,
         )
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from functools import partial
 
-from jujubeslip.endpoints import CallerGoneError, Interrupted
+from jujubeslip.endpoints import ClientDisconnectedError, Interrupted
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._identification import check_account, identify
 from jujubeslip.forwarding._initial_discovery import InitialDiscovery
@@ -206,7 +206,7 @@
     if outcome in ("whole", "left") or outcome.isdigit():
         return "yes"
     # The client disconnected after a send: the endpoint may have run the request.
-    left_after_send = outcome == CallerGoneError.error_id and attempts.sends > 0
+    left_after_send = outcome == ClientDisconnectedError.error_id and attempts.sends > 0
     return "unknown" if attempts.may_have_run or left_after_send else "no"
 
 
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -129,7 +129,7 @@
         self, attempts: Attempts, grant: Grant, prompt_location: PromptLocation | None
     ) -> bool:
         """Return whether the run can start at the granted engine now."""
-        if self._sender.chooser.is_over(grant.endpoint):
+        if self._sender.chooser.is_superseded(grant.endpoint):
             # The engine restarted during the prefill.
             attempts.tried.add(grant.endpoint.start_id)
             return False
@@ -345,7 +345,7 @@
     return EndpointCall(
         grant.endpoint.endpoint_id,
         context.end_by.remaining_ms(),
-        prompt_at=prompt_location.location if prompt_location else "",
+        prefilled_at=prompt_location.location if prompt_location else "",
         resume_after=resume_after,
     )
 
--- a/src/jujubeslip/forwarding/_waiting_queue.py
+++ b/src/jujubeslip/forwarding/_waiting_queue.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 
 from jujubeslip.admission import urgency
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._models import ForwardContext
 from jujubeslip.kernel import Deadline, Ran, steady_seconds
 
@@ -73,7 +73,7 @@
                 self._changed.wait(CLIENT_CHECK_SECONDS)
                 if context.client_disconnected():
                     message = "The client closed its connection."
-                    raise CallerGoneError(message, Ran.NO)
+                    raise ClientDisconnectedError(message, Ran.NO)
                 if limit.expired:
                     return False
         return True
--- a/src/jujubeslip/gateway/_models.py
+++ b/src/jujubeslip/gateway/_models.py
@@ -27,7 +27,7 @@
     def announce(self, endpoint: Endpoint) -> None:
         """Take an endpoint's announcement; return once it may be acknowledged."""
 
-    def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> None:
+    def remove_endpoint(self, endpoint_id: str, started_at_ms: int = 0) -> None:
         """Note that an endpoint has left; return once that may be acknowledged.
 
         `started_at_ms` is the start that said so, 0 if it didn't say which.
--- a/src/jujubeslip/interfaces/__init__.py
+++ b/src/jujubeslip/interfaces/__init__.py
@@ -4,26 +4,26 @@
     EncodedRefusal,
     EndpointCall,
     EndpointHead,
-    EndpointQuestion,
     Environ,
     Headers,
     Interface,
+    InternalRequest,
     RoleOrder,
     WsgiApp,
     interfaces,
 )
-from jujubeslip.interfaces._questions import ask_endpoint
+from jujubeslip.interfaces._questions import send_internal_request
 
 __all__ = [
     "EncodedRefusal",
     "EndpointCall",
     "EndpointHead",
-    "EndpointQuestion",
+    "InternalRequest",
     "Environ",
     "Headers",
     "Interface",
     "RoleOrder",
     "WsgiApp",
-    "ask_endpoint",
+    "send_internal_request",
     "interfaces",
 ]
--- a/src/jujubeslip/interfaces/_models.py
+++ b/src/jujubeslip/interfaces/_models.py
@@ -31,9 +31,9 @@
     """The only endpoint that may answer, in any of its starts."""
     remaining_ms: int
     """Time left for the endpoint to answer."""
-    reads_prompt_only: bool = False
+    prefill_only: bool = False
     """Whether to prefill the prompt and keep its KV cache for another endpoint."""
-    prompt_at: str = ""
+    prefilled_at: str = ""
     """Address and handle of the endpoint that has prefilled the prompt."""
     reservation: str = ""
     """Id of the slot and memory that are reserved for the request."""
@@ -68,7 +68,7 @@
     """Whether the endpoint reports that it is shutting down."""
 
     @property
-    def says_of_itself(self) -> bool:
+    def has_notice(self) -> bool:
         """Return whether it has a notice that applies to further requests."""
         return (
             self.limit_per_second is not None
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointQuestion:
+class InternalRequest:
     """A request to an endpoint that doesn't come from a client."""
 
     method: str
@@ -135,22 +135,22 @@
     def read_prefilled(self, body: bytes) -> Result[PrefilledPrompt, str]:
         """Parse an endpoint's answer to a prefill, or return what is wrong with it."""
 
-    def reserve(self, endpoint_id: str, tokens: int, ttl_ms: int) -> EndpointQuestion:
+    def reserve(self, endpoint_id: str, tokens: int, ttl_ms: int) -> InternalRequest:
         """Return the request that reserves a slot and memory for `tokens` tokens."""
 
     def read_reservation(self, body: bytes) -> Result[str, str]:
         """Parse the id of a reservation, or return what is wrong with the answer."""
 
-    def ask_report(self, endpoint_id: str) -> EndpointQuestion:
+    def ask_report(self, endpoint_id: str) -> InternalRequest:
         """Return the request for an engine's state."""
 
     def read_report(self, body: bytes) -> Result[EngineReport, str]:
         """Parse an engine's report of its state, or return what is wrong with it."""
 
-    def order_role(self, order: RoleOrder) -> EndpointQuestion:
+    def order_role(self, order: RoleOrder) -> InternalRequest:
         """Return the request that orders an engine to change its role."""
 
-    def release(self, endpoint_id: str, reservation: str) -> EndpointQuestion:
+    def release(self, endpoint_id: str, reservation: str) -> InternalRequest:
         """Return the request that releases a reservation."""
 
     def refusal(self, refusal: RequestRefusedError, request_id: str) -> EncodedRefusal:
--- a/src/jujubeslip/interfaces/_questions.py
+++ b/src/jujubeslip/interfaces/_questions.py
@@ -11,7 +11,7 @@
     Interrupted,
     never_interrupted,
 )
-from jujubeslip.interfaces._models import EndpointHead, EndpointQuestion, Interface
+from jujubeslip.interfaces._models import EndpointHead, Interface, InternalRequest
 from jujubeslip.kernel import Deadline
 
 
@@ -21,16 +21,16 @@
     def in_backoff(self, start_id: str) -> bool:
         """Return whether a start has asked this host for backoff."""
 
-    def note_other_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
+    def record_internal_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
         """Record the notices in an answer to a request that isn't a client's."""
 
 
-def ask_endpoint(
+def send_internal_request(
     pool: ConnectionPool,
     interface: Interface,
     notices: Notices,
     endpoint: Endpoint,
-    internal_request: EndpointQuestion,
+    internal_request: InternalRequest,
     deadline: Deadline,
     interrupted: Interrupted = never_interrupted,
 ) -> tuple[int, bytes]:
@@ -55,7 +55,7 @@
         response = connection.read_head()
         head = interface.read_head(response.status, response.getheaders())
         if not head.misdirected:
-            notices.note_other_answer(endpoint, head)
+            notices.record_internal_answer(endpoint, head)
         body = connection.read_rest(response)
         is_complete = not response.will_close
     finally:
--- a/src/jujubeslip/notices/_registry.py
+++ b/src/jujubeslip/notices/_registry.py
@@ -5,7 +5,7 @@
 import logging
 import threading
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.interfaces import EndpointHead
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.notices._models import Hold, HoldReason, NamedLimit, Notice
@@ -24,7 +24,7 @@
     Without a registry of endpoints, each start is considered known.
     """
 
-    def __init__(self, endpoint_registry: EndpointBook | None = None) -> None:
+    def __init__(self, endpoint_registry: EndpointRegistry | None = None) -> None:
         self._endpoint_registry = endpoint_registry
         self._notice_by_start: dict[str, Notice] = {}
         self._lifted_at_by_start: dict[str, float] = {}
@@ -42,7 +42,7 @@
         before that limit was named.
         """
         known = self._get(endpoint.start_id)
-        if known is EMPTY_NOTICE and not head.says_of_itself:
+        if known is EMPTY_NOTICE and not head.has_notice:
             return
         now = steady_seconds()
         with self._lock:
@@ -56,12 +56,12 @@
                 self._lifted_at_by_start[endpoint.start_id] = now
         _log_change(endpoint.start_id, known, updated)
 
-    def note_other_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
+    def record_internal_answer(self, endpoint: Endpoint, head: EndpointHead) -> None:
         """Record the notice in an answer to another call than a client's request.
 
         Such answers name no limits, so they don't lift any.
         """
-        if not head.says_of_itself:
+        if not head.has_notice:
             return
         with self._lock:
             known = self._get(endpoint.start_id)
--- a/src/jujubeslip/platform/_control_app.py
+++ b/src/jujubeslip/platform/_control_app.py
@@ -127,7 +127,7 @@
         read = read_removal(body)
         if isinstance(read, Failure):
             return _failed(400, read.failure(), endpoint_id)
-        self._gateway.note_left(endpoint_id, read.unwrap())
+        self._gateway.remove_endpoint(endpoint_id, read.unwrap())
         return Reply(200)
 
 
--- a/src/jujubeslip/platform/_endpoint_calls.py
+++ b/src/jujubeslip/platform/_endpoint_calls.py
@@ -9,8 +9,8 @@
 from jujubeslip.interfaces import (
     EndpointCall,
     EndpointHead,
-    EndpointQuestion,
     Headers,
+    InternalRequest,
     RoleOrder,
 )
 from jujubeslip.peers import EndpointRole
@@ -39,10 +39,10 @@
         headers.append((names.ACCOUNT, request.account_name))
     headers.append((names.DEADLINE, str(max(1, call.remaining_ms))))
     headers.append((names.EXPECTED_ENDPOINT, call.endpoint_id))
-    if call.reads_prompt_only:
+    if call.prefill_only:
         headers.append((names.STAGE, PREFILL_STAGE))
-    if call.prompt_at:
-        headers.append((names.PROMPT_AT, call.prompt_at))
+    if call.prefilled_at:
+        headers.append((names.PROMPT_AT, call.prefilled_at))
     if call.reservation:
         headers.append((names.RESERVATION, call.reservation))
     if call.resume_after:
@@ -74,21 +74,21 @@
     )
 
 
-def reserve(endpoint_id: str, tokens: int, ttl_ms: int) -> EndpointQuestion:
+def reserve(endpoint_id: str, tokens: int, ttl_ms: int) -> InternalRequest:
     """Return the question for a slot and this much memory of an endpoint."""
     body = json.dumps({"tokens": tokens, "ttl_ms": ttl_ms}).encode()
     headers = [("Content-Type", "application/json")]
-    return EndpointQuestion(
+    return InternalRequest(
         "POST", "/hold-take", [*headers, (names.EXPECTED_ENDPOINT, endpoint_id)], body
     )
 
 
-def ask_report(endpoint_id: str) -> EndpointQuestion:
+def ask_report(endpoint_id: str) -> InternalRequest:
     """Return the question for an engine's state."""
-    return EndpointQuestion("GET", "/report", [(names.EXPECTED_ENDPOINT, endpoint_id)])
+    return InternalRequest("GET", "/report", [(names.EXPECTED_ENDPOINT, endpoint_id)])
 
 
-def order_role(order: RoleOrder) -> EndpointQuestion:
+def order_role(order: RoleOrder) -> InternalRequest:
     """Return the order that gives an engine another role."""
     body = {
         "op": "stage",
@@ -101,13 +101,13 @@
         ("Content-Type", "application/json"),
         (names.EXPECTED_ENDPOINT, order.endpoint_id),
     ]
-    return EndpointQuestion("POST", "/order", headers, json.dumps(body).encode())
+    return InternalRequest("POST", "/order", headers, json.dumps(body).encode())
 
 
-def release(endpoint_id: str, reservation: str) -> EndpointQuestion:
+def release(endpoint_id: str, reservation: str) -> InternalRequest:
     """Return the call that gives back what was reserved."""
     headers = [(names.EXPECTED_ENDPOINT, endpoint_id)]
-    return EndpointQuestion("DELETE", f"/hold-drop/{reservation}", headers)
+    return InternalRequest("DELETE", f"/hold-drop/{reservation}", headers)
 
 
 def _limit(text: str) -> float | None:
--- a/src/jujubeslip/platform/_plugin.py
+++ b/src/jujubeslip/platform/_plugin.py
@@ -12,8 +12,8 @@
     EncodedRefusal,
     EndpointCall,
     EndpointHead,
-    EndpointQuestion,
     Headers,
+    InternalRequest,
     RoleOrder,
     WsgiApp,
     interfaces,
@@ -74,7 +74,7 @@
         """See Interface."""
         return read_prefilled(body)
 
-    def reserve(self, endpoint_id: str, tokens: int, ttl_ms: int) -> EndpointQuestion:
+    def reserve(self, endpoint_id: str, tokens: int, ttl_ms: int) -> InternalRequest:
         """See Interface."""
         return reserve(endpoint_id, tokens, ttl_ms)
 
@@ -82,7 +82,7 @@
         """See Interface."""
         return read_reservation(body)
 
-    def ask_report(self, endpoint_id: str) -> EndpointQuestion:
+    def ask_report(self, endpoint_id: str) -> InternalRequest:
         """See Interface."""
         return ask_report(endpoint_id)
 
@@ -90,11 +90,11 @@
         """See Interface."""
         return read_report(body)
 
-    def order_role(self, order: RoleOrder) -> EndpointQuestion:
+    def order_role(self, order: RoleOrder) -> InternalRequest:
         """See Interface."""
         return order_role(order)
 
-    def release(self, endpoint_id: str, reservation: str) -> EndpointQuestion:
+    def release(self, endpoint_id: str, reservation: str) -> InternalRequest:
         """See Interface."""
         return release(endpoint_id, reservation)
 
--- a/src/jujubeslip/quarantine/_registry.py
+++ b/src/jujubeslip/quarantine/_registry.py
@@ -80,7 +80,7 @@
 
     def record_crash(self, fingerprint: str, crash: Crash) -> None:
         """Record that an endpoint exited while it ran a request of this content."""
-        self.take([CrashHistory(fingerprint, (crash,))])
+        self.merge([CrashHistory(fingerprint, (crash,))])
 
     def clear(self, fingerprint: str) -> bool:
         """Clear the crashes of a harmless content; return whether it had any."""
@@ -95,7 +95,7 @@
         self._on_cleared()
         return True
 
-    def take(self, reported: Iterable[CrashHistory]) -> None:
+    def merge(self, reported: Iterable[CrashHistory]) -> None:
         """Merge the histories that another host reports."""
         harmless = []
         with self._lock:
--- a/src/jujubeslip/requests/_model_attempt.py
+++ b/src/jujubeslip/requests/_model_attempt.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from jujubeslip.endpoints import (
-    CallerGoneError,
+    ClientDisconnectedError,
     EndpointError,
     EndpointRefusedError,
     EndpointUnreachableError,
@@ -103,7 +103,7 @@
         if self._context.interrupted():
             # The client disconnected while the grant was pending. A prefill sent now
             # would be wasted, and reporting "not run" would be wrong.
-            raise CallerGoneError("The client closed its connection.")
+            raise ClientDisconnectedError("The client closed its connection.")
         self._check_new_work(endpoint)
         adapter = self._adapter(endpoint)
         with tracer().start_as_current_span("prefill") as span:
@@ -117,7 +117,7 @@
                     self._context.end_by,
                     current_traceparent(),
                 )
-            except CallerGoneError:
+            except ClientDisconnectedError:
                 # The engine may have started, so reporting "not run" would be wrong.
                 self._progress.ran = Ran.UNKNOWN
                 raise
--- a/src/jujubeslip/requests/_model_path.py
+++ b/src/jujubeslip/requests/_model_path.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Iterator
 
-from jujubeslip.endpoints import CallerGoneError, EndpointError
+from jujubeslip.endpoints import ClientDisconnectedError, EndpointError
 from jujubeslip.kernel import Deadline, Ran, RequestRefusedError, steady_seconds
 from jujubeslip.requests._cancellation import Cancellation, Canceller
 from jujubeslip.requests._model_attempt import ModelAttempt, ModelProgress
@@ -50,8 +50,8 @@
             yield from self._attempts(context, progress)
         except RequestRefusedError as refusal:
             raise with_ran(refusal, progress.ran) from refusal
-        except CallerGoneError as error:
-            raise CallerGoneError(error.message, progress.ran) from error
+        except ClientDisconnectedError as error:
+            raise ClientDisconnectedError(error.message, progress.ran) from error
         finally:
             self._free_prompt(context, progress)
 
@@ -145,7 +145,7 @@
                 if progress.ran is Ran.NO or limit.expired:
                     raise
             if context.interrupted():
-                raise CallerGoneError("The client closed its connection.")
+                raise ClientDisconnectedError("The client closed its connection.")
             time.sleep(REDISCOVERY_PAUSE_SECONDS)
 
     def _free_prompt(self, context: RequestContext, progress: ModelProgress) -> None:
--- a/src/jujubeslip/requests/_plain_path.py
+++ b/src/jujubeslip/requests/_plain_path.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from jujubeslip.endpoints import (
-    CallerGoneError,
+    ClientDisconnectedError,
     EndpointError,
     Interrupted,
     PlainAnswer,
@@ -80,8 +80,8 @@
                 return self._router.reserve(reservation_request, context.interrupted)
         except RequestRefusedError as refusal:
             raise with_ran(refusal, ran) from refusal
-        except CallerGoneError as error:
-            raise CallerGoneError(error.message, ran) from error
+        except ClientDisconnectedError as error:
+            raise ClientDisconnectedError(error.message, ran) from error
 
     def _call(
         self, context: RequestContext, attempt: int, reservation: Reservation, ran: Ran
@@ -89,7 +89,7 @@
         if context.interrupted():
             # The client disconnected while the grant was pending: this attempt sent
             # nothing, so only earlier attempts determine `ran`.
-            raise CallerGoneError("The client closed its connection.", ran)
+            raise ClientDisconnectedError("The client closed its connection.", ran)
         request = context.request
         endpoint = reservation.grant.decode
         call = partial(
@@ -106,8 +106,8 @@
             span.set_attribute("endpoint", endpoint.endpoint_id)
             try:
                 return call()
-            except CallerGoneError as error:
-                raise CallerGoneError(error.message, Ran.UNKNOWN) from error
+            except ClientDisconnectedError as error:
+                raise ClientDisconnectedError(error.message, Ran.UNKNOWN) from error
 
     def _release(
         self, reservation: Reservation, failed_endpoint_id: str, complete: bool
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 from jujubeslip.declaration import Declaration, ServiceKind
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.kernel import (
     Deadline,
     JujubeslipError,
@@ -162,7 +162,9 @@
                 return reply
             if context.interrupted():
                 # The run that holds the key has started, so `ran` is not NO.
-                raise CallerGoneError("The client closed its connection.", Ran.UNKNOWN)
+                raise ClientDisconnectedError(
+                    "The client closed its connection.", Ran.UNKNOWN
+                )
             if not context.request.repeatable and self._is_dead(reply.owner):
                 raise _outcome_unknown("The entry host that ran it died.")
             if context.wait_until.expired:
@@ -220,7 +222,7 @@
 
 
 def _certainly_not_run(error: BaseException) -> bool:
-    if not isinstance(error, CallerGoneError | RequestRefusedError):
+    if not isinstance(error, ClientDisconnectedError | RequestRefusedError):
         return False
     return error.ran is Ran.NO
 
--- a/src/jujubeslip/routing/_home_router.py
+++ b/src/jujubeslip/routing/_home_router.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 from jujubeslip.declaration import Spread
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.homes import Homes
 from jujubeslip.kernel import (
     Deadline,
@@ -113,7 +113,7 @@
                 return reply, home
             if interrupted():
                 self._process.start_task(self._withdraw, request, locality, home)
-                raise CallerGoneError("The client closed its connection.")
+                raise ClientDisconnectedError("The client closed its connection.")
             if request.wait_until.expired:
                 reason = "the home of the endpoints does not answer"
                 retry_ms = int(RETRY_SECONDS * 1000)
--- a/tests/admission/test_engine_report_poller.py
+++ b/tests/admission/test_engine_report_poller.py
@@ -48,7 +48,7 @@
         replies = [broken, broken, REPORT]
         monkeypatch.setattr(
             _engine_report_poller,
-            "ask_endpoint",
+            "send_internal_request",
             lambda *_: (200, json.dumps(replies.pop(0)).encode()),
         )
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
@@ -88,7 +88,7 @@
     def poller(
         self, monkeypatch: pytest.MonkeyPatch, lost: list[str]
     ) -> EngineReportPoller:
-        monkeypatch.setattr(_engine_report_poller, "ask_endpoint", self.reply)
+        monkeypatch.setattr(_engine_report_poller, "send_internal_request", self.reply)
         self.replies: list[object] = []
         interface: Any = SimpleNamespace(ask_report=ask_report, read_report=read_report)
         process: Any = None
@@ -167,7 +167,7 @@
                 notices,
             )
             refusal = read_head(503, [("Retry-After", "0.3")])
-            notices.note_other_answer(polled, refusal)
+            notices.record_internal_answer(polled, refusal)
             for _ in range(3):
                 poller._poll()
             assert worker.questions == []
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -10,7 +10,7 @@
 import pytest
 
 from jujubeslip.admission import AdmissionHome, MemoryOptions, _home
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.notices import EndpointNotices
 from jujubeslip.peers import (
     AdmissionRequest,
@@ -66,8 +66,8 @@
 
     def test_is_not_lost(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
-        book = EndpointBook()
-        book.take([engine("engine"), engine("reader", EndpointRole.PREFILL)])
+        book = EndpointRegistry()
+        book.merge([engine("engine"), engine("reader", EndpointRole.PREFILL)])
         process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, safety_deviations=1.5)
@@ -99,9 +99,9 @@
                 polled.append(self._engine.endpoint_id)
 
         monkeypatch.setattr(_home, "EngineReportPoller", Poller)
-        book = EndpointBook()
-        book.take([engine("foreign")])
-        book.take([replace(engine("known"), service_name="named")])
+        book = EndpointRegistry()
+        book.merge([engine("foreign")])
+        book.merge([replace(engine("known"), service_name="named")])
         process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, safety_deviations=1.5)
@@ -123,11 +123,11 @@
 ) -> AdmissionHome:
     """Return a home of one decode engine and two prefill engines."""
     monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
-    book = EndpointBook()
+    book = EndpointRegistry()
     prefill_engines = [
         engine(name, EndpointRole.PREFILL) for name in ("first", "other")
     ]
-    book.take([engine("engine"), *prefill_engines])
+    book.merge([engine("engine"), *prefill_engines])
     process: Any = ImmediateProcess()
     interface: Any = None
     return AdmissionHome(
@@ -198,6 +198,8 @@
         home = home_with_two_prefill_engines(monkeypatch, lambda _: None, notices)
         assert granted_prefill_engines(home) == {"first", "other"}
         leaving = engine("first", EndpointRole.PREFILL)
-        notices.note_other_answer(leaving, read_head(200, [("Server-Leaving", "1")]))
+        notices.record_internal_answer(
+            leaving, read_head(200, [("Server-Leaving", "1")])
+        )
         home.look()
         assert granted_prefill_engines(home) == {"other"}
--- a/tests/control/test_orders_across_leaders.py
+++ b/tests/control/test_orders_across_leaders.py
@@ -19,9 +19,9 @@
 from jujubeslip.control._outstanding_orders import OutstandingOrders
 from jujubeslip.control._role_balance import SATURATED_SECONDS, EnginesByRole
 from jujubeslip.control._role_manager import SCAN_INTERVAL_SECONDS, RoleManager
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import EndpointError
-from jujubeslip.interfaces import EndpointQuestion
+from jujubeslip.interfaces import InternalRequest
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import (
     EndpointRole,
@@ -64,7 +64,7 @@
     def __init__(
         self,
         log: SharedLog,
-        registry: EndpointBook,
+        registry: EndpointRegistry,
         clock: VirtualClock,
         crashed: set[str],
         name: str,
@@ -134,16 +134,18 @@
     def _announce_again(self) -> None:
         """Let all engines that are not leaving report now."""
         now = self._clock.now
-        self._registry.take(
+        self._registry.merge(
             replace(item, sequence=item.sequence + 1, heard_at=now)
             for item in self._registry.endpoints()
-            if item.stays
+            if item.accepts_work
         )
 
-    def _ask(self, endpoint: Endpoint, question: EndpointQuestion) -> tuple[int, bytes]:
+    def _ask(
+        self, endpoint: Endpoint, internal_request: InternalRequest
+    ) -> tuple[int, bytes]:
         if endpoint.endpoint_id in self._crashed:
             raise EndpointError("connection refused")
-        return self.fake_engines(endpoint, question)
+        return self.fake_engines(endpoint, internal_request)
 
     def _propose(self, command: EngineOrder, deadline: Deadline) -> None:
         waits = min(self.commit_seconds, deadline.remaining())
@@ -172,7 +174,7 @@
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
         self.crashed: set[str] = set()
-        self.registry = EndpointBook()
+        self.registry = EndpointRegistry()
         self.log = SharedLog(EngineTable())
         # A cluster bootstrapped a while ago, whose leaders record their orders.
         self.log.commit(EngineLoads([]), 0)
@@ -181,7 +183,7 @@
 
     def announce(self, group: EnginesByRole) -> None:
         """Let these engines report now."""
-        self.registry.take([*group.prefill, *group.decode])
+        self.registry.merge([*group.prefill, *group.decode])
 
 
 @pytest.fixture
@@ -244,7 +246,7 @@
         leader.start_leading(1)
         leader.scan()
         ordered = next(item for item in group.decode if leader.orders.role_of(item))
-        hosts.registry.take([replace(ordered, leaving=True, sequence=2)])
+        hosts.registry.merge([replace(ordered, leaving=True, sequence=2)])
         return leader
 
     def test_is_replaced_at_the_next_scan(self, hosts: Hosts) -> None:
@@ -362,7 +364,7 @@
         leader.stop_leading()
         prefill_engine = hosts.registry.find(group.prefill[0].endpoint_id)
         assert prefill_engine is not None
-        hosts.registry.take(
+        hosts.registry.merge(
             [
                 replace(
                     prefill_engine, leaving=True, sequence=prefill_engine.sequence + 1
--- a/tests/control/test_role_manager.py
+++ b/tests/control/test_role_manager.py
@@ -27,9 +27,9 @@
     RoleManager,
     choose_role_change,
 )
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import EndpointOnHoldError
-from jujubeslip.interfaces import EndpointQuestion, RoleOrder
+from jujubeslip.interfaces import InternalRequest, RoleOrder
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.notices import EndpointNotices
 from jujubeslip.peers import EndpointRole, EngineLoad, ServicePressure
@@ -94,8 +94,8 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 1)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         for changing in group.prefill:
             manager._orders.record(changing, EndpointRole.DECODE)
@@ -108,8 +108,8 @@
 
     def test_is_ordered_to_prefill(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(0, 3)
-        registry = EndpointBook()
-        registry.take(group.decode)
+        registry = EndpointRegistry()
+        registry.merge(group.decode)
         decodes_by_id = {"d-0": 9, "d-1": 1, "d-2": 4}
         manager, _ = role_manager(
             monkeypatch,
@@ -124,15 +124,15 @@
 class TestOrder:
     def test_carries_fencing_number_and_expected_order_count(self) -> None:
         order = RoleOrder("e-1", EndpointRole.DECODE, "control-1", 41, 2)
-        question = order_role(order)
-        assert json.loads(question.body) == {
+        internal_request = order_role(order)
+        assert json.loads(internal_request.body) == {
             "op": "stage",
             "stage": "decode",
             "holder": "control-1",
             "fence": 41,
             "expect": 2,
         }
-        assert ("Expect-Instance", "e-1") in question.headers
+        assert ("Expect-Instance", "e-1") in internal_request.headers
 
     def test_report_with_missing_fields_is_refused(self) -> None:
         for body in (b"", b"[]", b"{}", b'{"runs": [[1]]}'):
@@ -148,9 +148,9 @@
         self.report: dict[str, object] = REPORT
 
     def __call__(
-        self, endpoint: Endpoint, question: EndpointQuestion
+        self, endpoint: Endpoint, internal_request: InternalRequest
     ) -> tuple[int, bytes]:
-        if question.method == "GET":
+        if internal_request.method == "GET":
             return 200, json.dumps(self.report).encode()
         self.orders += 1
         return self.status, b""
@@ -215,8 +215,8 @@
     def test_get_orders_only_for_a_configured_service(
         self, monkeypatch: pytest.MonkeyPatch, configured: set[str], orders: int
     ) -> None:
-        registry = EndpointBook()
-        registry.take(engines(0, 3).decode)
+        registry = EndpointRegistry()
+        registry.merge(engines(0, 3).decode)
         manager, fake_engines = role_manager(monkeypatch, registry, configured)
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         manager.scan()
@@ -230,8 +230,8 @@
     """
 
     def test_prevents_an_order(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        registry = EndpointBook()
-        registry.take(engines(0, 3).decode)
+        registry = EndpointRegistry()
+        registry.merge(engines(0, 3).decode)
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         fake_engines.report = {**REPORT, "seq": "0"}
@@ -244,7 +244,7 @@
 
 def role_manager(
     monkeypatch: pytest.MonkeyPatch,
-    registry: EndpointBook,
+    registry: EndpointRegistry,
     configured: set[str],
     notices: EndpointNotices | None = None,
     has_recent_report: Callable[[Endpoint], bool] = lambda _: True,
@@ -291,8 +291,8 @@
 
     def test_is_sent_at_the_next_scan(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(2, 2)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
         leases = [Deadline.after(0.1), Deadline.after(10), Deadline.after(10)]
@@ -318,8 +318,8 @@
         self, monkeypatch: pytest.MonkeyPatch, reports: int | None, orders: int
     ) -> None:
         ordered = engine("p-0", EndpointRole.PREFILL, started_at_ms=5)
-        registry = EndpointBook()
-        registry.take([ordered, *engines(0, 2).decode, *engines(2, 0).prefill[1:]])
+        registry = EndpointRegistry()
+        registry.merge([ordered, *engines(0, 2).decode, *engines(2, 0).prefill[1:]])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         fake_engines.report = REPORT if reports is None else {**REPORT, "born": reports}
         monkeypatch.setattr(manager, "_shortage_seconds", lambda name, reported: 2.0)
@@ -340,8 +340,8 @@
     ) -> tuple[RoleManager, FakeEngines]:
         """Return a manager of this many prefill engines, of which one is busy."""
         group = engines(prefill, 5)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         load = SimpleNamespace(
@@ -382,7 +382,7 @@
         assert fake_engines.orders == 2
         group = engines(6, 5)
         for changed in group.prefill[:2]:
-            manager._registry.take(
+            manager._registry.merge(
                 [replace(changed, role=EndpointRole.DECODE, sequence=9)]
             )
         manager.scan()
@@ -403,8 +403,8 @@
         self, monkeypatch: pytest.MonkeyPatch, changes: bool, orders: int
     ) -> None:
         group = engines(1, 6)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         busy = [1.0]
@@ -416,12 +416,12 @@
         assert fake_engines.orders == 1
         busy[0] = 0.0
         back = engine("back", EndpointRole.PREFILL)
-        registry.take([replace(back, address="127.0.0.1:2")])
+        registry.merge([replace(back, address="127.0.0.1:2")])
         if not changes:
             ordered = next(
                 item for item in group.decode if manager._orders.role_of(item)
             )
-            registry.take([replace(ordered, role=EndpointRole.PREFILL, sequence=9)])
+            registry.merge([replace(ordered, role=EndpointRole.PREFILL, sequence=9)])
         manager.scan()
         assert fake_engines.orders == orders
 
@@ -435,8 +435,8 @@
     ) -> None:
         group = engines(3, 9)
         crashed = group.prefill[2].start_id
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(
             monkeypatch,
             registry,
@@ -464,8 +464,8 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 12)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         sustained = [2.0]
@@ -492,8 +492,8 @@
     """
 
     def test_starts_a_new_observation(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        registry = EndpointBook()
-        registry.take([*engines(6, 5).prefill, *engines(6, 5).decode])
+        registry = EndpointRegistry()
+        registry.merge([*engines(6, 5).prefill, *engines(6, 5).decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         manager._prefill_load("model").record(0.0, 1.0)
         monkeypatch.setattr(manager._replica, "fence", lambda: None)
@@ -507,11 +507,11 @@
 
     def test_is_given_no_order(self, monkeypatch: pytest.MonkeyPatch) -> None:
         group = engines(0, 3)
-        registry, notices = EndpointBook(), EndpointNotices()
-        registry.take(group.decode)
+        registry, notices = EndpointRegistry(), EndpointNotices()
+        registry.merge(group.decode)
         for leaving in group.decode:
             head = read_head(200, [("Server-Leaving", "1")])
-            notices.note_other_answer(leaving, head)
+            notices.record_internal_answer(leaving, head)
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"}, notices)
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         manager.scan()
@@ -519,8 +519,8 @@
 
     def test_is_not_called(self, monkeypatch: pytest.MonkeyPatch) -> None:
         notices, refusing = EndpointNotices(), engine("refusing")
-        notices.note_other_answer(refusing, read_head(503, [("Retry-After", "9")]))
-        manager, _ = role_manager(monkeypatch, EndpointBook(), {"model"}, notices)
+        notices.record_internal_answer(refusing, read_head(503, [("Retry-After", "9")]))
+        manager, _ = role_manager(monkeypatch, EndpointRegistry(), {"model"}, notices)
         monkeypatch.undo()
         with pytest.raises(EndpointOnHoldError):
             manager._ask(refusing, ask_report("refusing"))
@@ -533,8 +533,8 @@
         self, monkeypatch: pytest.MonkeyPatch, group: EnginesByRole
     ) -> tuple[RoleManager, FakeEngines]:
         """Return a manager whose first prefill engine is ordered to decode."""
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         monkeypatch.setattr(manager, "_fence", lambda: Fence(1, Deadline.after(10)))
         manager._orders.record(group.prefill[0], EndpointRole.DECODE)
@@ -568,8 +568,8 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         group = engines(2, 2)
-        registry = EndpointBook()
-        registry.take([*group.prefill, *group.decode])
+        registry = EndpointRegistry()
+        registry.merge([*group.prefill, *group.decode])
         manager, fake_engines = role_manager(monkeypatch, registry, {"model"})
         now = steady_seconds()
         monkeypatch.setattr(
@@ -590,8 +590,8 @@
         self, monkeypatch: pytest.MonkeyPatch, engine_log: FakeEngineLog
     ) -> tuple[RoleManager, FakeEngines]:
         """Return the manager of a new leader, with three decode engines."""
-        registry = EndpointBook()
-        registry.take(engines(0, 3).decode)
+        registry = EndpointRegistry()
+        registry.merge(engines(0, 3).decode)
         manager, fake_engines = role_manager(
             monkeypatch, registry, {"model"}, engine_log=engine_log
         )
--- a/tests/control/test_watches.py
+++ b/tests/control/test_watches.py
@@ -13,7 +13,7 @@
     WATCHER_TIMEOUT_SECONDS,
     Watches,
 )
-from jujubeslip.discovery import EndpointBook
+from jujubeslip.discovery import EndpointRegistry
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import ServicePressure, WatchRequest
 from jujubeslip.quarantine import Crash, CrashHistory, CrashRegistry
@@ -34,12 +34,12 @@
 @pytest.fixture
 def watches() -> Watches:
     """Return the watches of a control host that knows one endpoint."""
-    registry = EndpointBook()
-    registry.take([engine("a")])
+    registry = EndpointRegistry()
+    registry.merge([engine("a")])
     current = SimpleNamespace(revision=3)
     replica: Any = SimpleNamespace(
         machine=SimpleNamespace(configurations=SimpleNamespace(current=current)),
-        lock=EndpointBook()._changed,
+        lock=EndpointRegistry()._changed,
         leadership=None,
         hears_leader=False,
     )
@@ -130,7 +130,7 @@
         crash_registry = CrashRegistry()
         watches._crash_registry = crash_registry
         crash = Crash("start-1", 0.0, 1.0)
-        crash_registry.take([CrashHistory("f" * 16, (crash,))])
+        crash_registry.merge([CrashHistory("f" * 16, (crash,))])
         request = WatchRequest(0, 0, 0, True, "entry-1/1", 0, [])
         reply = watches.answer(received(request))
         assert [record.fingerprint for record in reply.crashes] == ["f" * 16]
--- a/tests/discovery/test_book.py
+++ b/tests/discovery/test_book.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jujubeslip.discovery import Endpoint, EndpointBook, Removal, _removals
+from jujubeslip.discovery import Endpoint, EndpointRegistry, Removal, _removals
 from jujubeslip.discovery._models import REMOVAL_SECONDS
 from jujubeslip.kernel import Deadline, steady_seconds
 from jujubeslip.peers import EndpointRole
@@ -35,26 +35,26 @@
     """
 
     def test_is_not_reset_by_an_older_announcement(self) -> None:
-        registry = EndpointBook()
-        registry.take([endpoint(5, leaving=True)])
-        registry.take([endpoint(4)])
+        registry = EndpointRegistry()
+        registry.merge([endpoint(5, leaving=True)])
+        registry.merge([endpoint(4)])
         assert registry.endpoints()[0].leaving
 
     def test_is_not_reset_by_a_newer_announcement(self) -> None:
-        registry = EndpointBook()
-        registry.take([endpoint(5, leaving=True)])
-        registry.take([endpoint(6)])
+        registry = EndpointRegistry()
+        registry.merge([endpoint(5, leaving=True)])
+        registry.merge([endpoint(6)])
         assert registry.endpoints()[0].leaving
 
     def test_with_an_older_sequence_applies(self) -> None:
-        registry = EndpointBook()
-        registry.take([endpoint(5)])
-        registry.take([endpoint(4, leaving=True)])
+        registry = EndpointRegistry()
+        registry.merge([endpoint(5)])
+        registry.merge([endpoint(4, leaving=True)])
         assert registry.endpoints()[0].leaving
 
     def test_does_not_apply_to_another_endpoint(self) -> None:
-        registry = EndpointBook()
-        registry.take([endpoint(5, leaving=True), endpoint(1, endpoint_id="next")])
+        registry = EndpointRegistry()
+        registry.merge([endpoint(5, leaving=True), endpoint(1, endpoint_id="next")])
         assert [item.leaving for item in registry.endpoints()] == [True, False]
 
 
@@ -68,84 +68,86 @@
     """
 
     def test_applies_to_later_announcements(self) -> None:
-        registry = EndpointBook()
-        registry.note_left("e")
-        registry.take([endpoint(4), endpoint(5)])
-        assert [item.stays for item in registry.endpoints()] == [False]
+        registry = EndpointRegistry()
+        registry.remove_endpoint("e")
+        registry.merge([endpoint(4), endpoint(5)])
+        assert [item.accepts_work for item in registry.endpoints()] == [False]
 
     def test_is_reported_to_other_hosts(self) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        registry.note_left("e")
-        other.take([endpoint(4)])
-        registry.take(other.changes_since(0)[1])
-        other.take(registry.changes_since(0)[1])
-        assert [item.stays for item in other.endpoints()] == [False]
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        registry.remove_endpoint("e")
+        other.merge([endpoint(4)])
+        registry.merge(other.changes_since(0)[1])
+        other.merge(registry.changes_since(0)[1])
+        assert [item.accepts_work for item in other.endpoints()] == [False]
 
     @pytest.mark.parametrize("announced_first", [True, False])
     def test_is_reported_before_the_endpoint_is_announced(
         self, announced_first: bool
     ) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        registry.note_left("e")
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        registry.remove_endpoint("e")
         if announced_first:
-            other.take([endpoint(4)])
-        other.take_removals(registry.removals_since(0))
-        other.take([endpoint(4), endpoint(5)])
-        assert [item.stays for item in other.endpoints()] == [False]
+            other.merge([endpoint(4)])
+        other.apply_removals(registry.removals_since(0))
+        other.merge([endpoint(4), endpoint(5)])
+        assert [item.accepts_work for item in other.endpoints()] == [False]
 
     def test_is_reported_once(self) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        version = registry.note_left("e")
-        other.take_removals(registry.removals_since(0))
-        registry.take_removals(other.removals_since(0))
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        version = registry.remove_endpoint("e")
+        other.apply_removals(registry.removals_since(0))
+        registry.apply_removals(other.removals_since(0))
         assert registry.removals_since(version) == []
         assert registry.version == version
 
     @pytest.mark.parametrize("age", [_removals.RETENTION_SECONDS + 1, 2.0**60])
     def test_is_not_applied_once_it_has_expired(self, age: float) -> None:
         """A sender drops expired removals only when it adds further ones."""
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         old = Removal("e", steady_seconds() - age, 0)
-        registry.take_removals([old, Removal("f", steady_seconds(), 0)])
+        registry.apply_removals([old, Removal("f", steady_seconds(), 0)])
         other = replace(endpoint(1, endpoint_id="f"), address="10.0.0.2:80")
-        registry.take([endpoint(1), other])
-        assert [item.stays for item in registry.endpoints()] == [True, False]
+        registry.merge([endpoint(1), other])
+        assert [item.accepts_work for item in registry.endpoints()] == [True, False]
 
     def test_that_is_reported_may_be_of_the_previous_start(self) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        registry.note_left("e")
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        registry.remove_endpoint("e")
         started = replace(endpoint(1), started_at_ms=8)
-        other.take([started])
-        other.take_removals(registry.removals_since(0))
-        assert not other.endpoints()[0].stays
+        other.merge([started])
+        other.apply_removals(registry.removals_since(0))
+        assert not other.endpoints()[0].accepts_work
         later = started.heard_at + REMOVAL_SECONDS + 1
-        other.take([replace(started, sequence=2, heard_at=later)])
-        assert other.endpoints()[0].stays
+        other.merge([replace(started, sequence=2, heard_at=later)])
+        assert other.endpoints()[0].accepts_work
 
     def test_does_not_apply_to_another_start(self) -> None:
-        registry = EndpointBook()
-        registry.note_left("e", started_at_ms=7)
-        registry.take([replace(endpoint(1), started_at_ms=8)])
-        assert [item.stays for item in registry.endpoints()] == [True]
+        registry = EndpointRegistry()
+        registry.remove_endpoint("e", started_at_ms=7)
+        registry.merge([replace(endpoint(1), started_at_ms=8)])
+        assert [item.accepts_work for item in registry.endpoints()] == [True]
 
     def test_ends_for_a_start_that_keeps_announcing_itself(self) -> None:
         """The removal may have been the last message of the previous start."""
-        registry = EndpointBook()
-        registry.note_left("e")
+        registry = EndpointRegistry()
+        registry.remove_endpoint("e")
         started = replace(endpoint(1), started_at_ms=8)
-        registry.take([started])
-        assert not registry.endpoints()[0].stays
+        registry.merge([started])
+        assert not registry.endpoints()[0].accepts_work
         later = started.heard_at + REMOVAL_SECONDS + 1
-        registry.take([replace(started, sequence=2, heard_at=later)])
-        assert registry.endpoints()[0].stays
+        registry.merge([replace(started, sequence=2, heard_at=later)])
+        assert registry.endpoints()[0].accepts_work
 
     def test_is_stored_for_a_limited_number(self) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         for number in range(_removals.MAXIMUM_STORED + 1):
-            registry.note_left(f"e-{number}")
+            registry.remove_endpoint(f"e-{number}")
         first, last = f"e-{0}", f"e-{_removals.MAXIMUM_STORED}"
-        registry.take([endpoint(1, endpoint_id=name) for name in (first, last)])
-        assert {item.endpoint_id: item.stays for item in registry.endpoints()} == {
+        registry.merge([endpoint(1, endpoint_id=name) for name in (first, last)])
+        assert {
+            item.endpoint_id: item.accepts_work for item in registry.endpoints()
+        } == {
             first: True,
             last: False,
         }
@@ -153,24 +155,24 @@
 
 class TestChanges:
     def test_renewal_wakes_no_waiting_caller(self) -> None:
-        registry = EndpointBook()
-        version = registry.take([endpoint(1)])
-        registry.take([endpoint(2)])
+        registry = EndpointRegistry()
+        version = registry.merge([endpoint(1)])
+        registry.merge([endpoint(2)])
         waited = Deadline.after(0.05)
-        registry.wait_for_news(version, lambda: False, waited)
+        registry.wait_for_changes(version, lambda: False, waited)
         assert waited.expired
 
     def test_repeated_announcement_is_no_change(self) -> None:
         """Otherwise two hosts would keep sending each other the same announcement."""
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         announced = endpoint(1)
-        version = registry.take([announced])
+        version = registry.merge([announced])
         later = replace(announced, heard_at=announced.heard_at + 0.2)
-        assert registry.take([later]) == version
+        assert registry.merge([later]) == version
 
     def test_watcher_gets_changes_since_its_version(self) -> None:
-        registry = EndpointBook()
-        version = registry.take([endpoint(1)])
-        registry.take([endpoint(1, endpoint_id="next")])
+        registry = EndpointRegistry()
+        version = registry.merge([endpoint(1)])
+        registry.merge([endpoint(1, endpoint_id="next")])
         _, changed = registry.changes_since(version)
         assert [item.endpoint_id for item in changed] == ["next"]
--- a/tests/discovery/test_removals.py
+++ b/tests/discovery/test_removals.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from jujubeslip.discovery import Endpoint, EndpointBook, Removal
-from jujubeslip.discovery._book import STALE_START_SECONDS
+from jujubeslip.discovery import Endpoint, EndpointRegistry, Removal
+from jujubeslip.discovery._registry import STALE_START_SECONDS
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.peers import RemovalScope
 from tests.discovery.test_book import endpoint
@@ -17,38 +17,38 @@
     return replace(endpoint(sequence), started_at_ms=started_at_ms)
 
 
-def accepts_work(registry: EndpointBook) -> bool:
+def accepts_work(registry: EndpointRegistry) -> bool:
     found = registry.find("e")
     assert found is not None
-    return found.stays
+    return found.accepts_work
 
 
 class TestRemovalOfAnUnknownStart:
     """Guards against a removal that is dropped because another start is known."""
 
     def test_of_a_later_start_applies_once_that_is_announced(self) -> None:
-        registry = EndpointBook()
-        registry.take([start(FIRST)])
-        registry.note_left("e", SECOND)
+        registry = EndpointRegistry()
+        registry.merge([start(FIRST)])
+        registry.remove_endpoint("e", SECOND)
         assert accepts_work(registry)
-        registry.take([start(SECOND)])
+        registry.merge([start(SECOND)])
         assert not accepts_work(registry)
 
     def test_from_another_host_applies_once_the_start_is_announced(self) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        registry.take([start(FIRST)])
-        other.note_left("e", SECOND)
-        registry.take_removals(other.removals_since(0))
-        registry.take([start(SECOND)])
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        registry.merge([start(FIRST)])
+        other.remove_endpoint("e", SECOND)
+        registry.apply_removals(other.removals_since(0))
+        registry.merge([start(SECOND)])
         assert not accepts_work(registry)
 
     def test_of_an_earlier_start_applies_if_the_later_one_is_silent(self) -> None:
-        registry = EndpointBook()
-        registry.take([start(FIRST)])
-        registry.note_left("e", FIRST)
+        registry = EndpointRegistry()
+        registry.merge([start(FIRST)])
+        registry.remove_endpoint("e", FIRST)
         silent_since = steady_seconds() - STALE_START_SECONDS - 1
-        registry.take([replace(start(SECOND), heard_at=silent_since)])
-        registry.take([start(FIRST, sequence=2)])
+        registry.merge([replace(start(SECOND), heard_at=silent_since)])
+        registry.merge([start(FIRST, sequence=2)])
         assert not accepts_work(registry)
 
 
@@ -56,27 +56,27 @@
     """Guards against hosts that keep sending each other the same removal."""
 
     def test_converge_on_the_latest(self) -> None:
-        registries = (EndpointBook(), EndpointBook())
+        registries = (EndpointRegistry(), EndpointRegistry())
         now = steady_seconds()
         for registry, age in zip(registries, (10.0, 5.0), strict=True):
             removal = Removal("e", now - age, FIRST, scope=RemovalScope.LATEST_START)
-            registry.take_removals([removal])
+            registry.apply_removals([removal])
         for _ in range(2):
             for sender, receiver in (registries, registries[::-1]):
-                receiver.take_removals(sender.removals_since(0))
+                receiver.apply_removals(sender.removals_since(0))
         versions = [registry.version for registry in registries]
         for sender, receiver in (registries, registries[::-1]):
-            receiver.take_removals(sender.removals_since(0))
+            receiver.apply_removals(sender.removals_since(0))
         assert [registry.version for registry in registries] == versions
         assert [
             registry.removals_since(0)[0].removed_at for registry in registries
         ] == [now - 5] * 2
 
     def test_of_unknown_starts_apply_to_the_known_start(self) -> None:
-        registry, other = EndpointBook(), EndpointBook()
-        registry.note_left("e")
-        other.take([start(FIRST)])
-        other.take_removals(registry.removals_since(0))
+        registry, other = EndpointRegistry(), EndpointRegistry()
+        registry.remove_endpoint("e")
+        other.merge([start(FIRST)])
+        other.apply_removals(registry.removals_since(0))
         assert not accepts_work(other)
-        other.take([start(SECOND)])
+        other.merge([start(SECOND)])
         assert accepts_work(other)
--- a/tests/discovery/test_starts.py
+++ b/tests/discovery/test_starts.py
@@ -9,9 +9,9 @@
 
 from jujubeslip.discovery import (
     Endpoint,
-    EndpointBook,
-    _book,
+    EndpointRegistry,
     _models,
+    _registry,
     endpoint_from_record,
     to_record,
 )
@@ -25,7 +25,7 @@
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     clock = Clock()
-    monkeypatch.setattr(_book, "steady_seconds", clock.steady_seconds)
+    monkeypatch.setattr(_registry, "steady_seconds", clock.steady_seconds)
     monkeypatch.setattr(_models, "steady_seconds", clock.steady_seconds)
     return clock
 
@@ -53,7 +53,7 @@
     )
 
 
-def known(registry: EndpointBook) -> Endpoint:
+def known(registry: EndpointRegistry) -> Endpoint:
     found = registry.find("e")
     assert found is not None
     return found
@@ -68,35 +68,35 @@
     """
 
     def test_is_valid_although_its_sequence_is_lower(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST, 700)])
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST, 700)])
         later = announced(clock, SECOND, 1, role=EndpointRole.DECODE)
-        registry.take([later])
+        registry.merge([later])
         assert known(registry) == replace(later, restarted=True)
 
     def test_does_not_leave_with_the_previous_start(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST, 700, leaving=True)])
-        registry.note_left("e")
-        registry.take([announced(clock, SECOND)])
-        assert known(registry).stays
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST, 700, leaving=True)])
+        registry.remove_endpoint("e")
+        registry.merge([announced(clock, SECOND)])
+        assert known(registry).accepts_work
 
     def test_wakes_waiting_callers(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        version = registry.take([announced(clock, FIRST)])
-        registry.take([announced(clock, SECOND)])
+        registry = EndpointRegistry()
+        version = registry.merge([announced(clock, FIRST)])
+        registry.merge([announced(clock, SECOND)])
         waited = Deadline.after(5)
-        registry.wait_for_news(version, lambda: False, waited)
+        registry.wait_for_changes(version, lambda: False, waited)
         assert not waited.expired
 
     def test_has_another_start_id(self, clock: Clock) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         earlier = announced(clock, FIRST)
-        registry.take([earlier])
+        registry.merge([earlier])
         assert registry.find_start(earlier.start_id) is not None
-        registry.take([announced(clock, SECOND)])
+        registry.merge([announced(clock, SECOND)])
         assert registry.find_start(earlier.start_id) is None
-        assert registry.is_over(earlier)
+        assert registry.is_superseded(earlier)
 
 
 class TestEarlierStart:
@@ -104,26 +104,26 @@
 
     @pytest.mark.parametrize("leaving", [True, False])
     def test_does_not_change_the_later_start(self, clock: Clock, leaving: bool) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         later = announced(clock, SECOND)
-        registry.take([later])
-        registry.take([announced(clock, FIRST, 701, leaving)])
+        registry.merge([later])
+        registry.merge([announced(clock, FIRST, 701, leaving)])
         assert known(registry) == replace(later, restarted=True)
 
     def test_removal_that_names_it_changes_nothing(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST)])
-        registry.take([announced(clock, SECOND)])
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST)])
+        registry.merge([announced(clock, SECOND)])
         before = known(registry)
-        registry.note_left("e", FIRST)
+        registry.remove_endpoint("e", FIRST)
         assert known(registry) == before
 
     def test_without_a_start_time_precedes_all_others(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, 0, 700)])
-        registry.take([announced(clock, FIRST)])
-        registry.take([announced(clock, 0, 701, leaving=True)])
-        assert known(registry).started_at_ms == FIRST and known(registry).stays
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, 0, 700)])
+        registry.merge([announced(clock, FIRST)])
+        registry.merge([announced(clock, 0, 701, leaving=True)])
+        assert known(registry).started_at_ms == FIRST and known(registry).accepts_work
 
 
 class TestClockSetBack:
@@ -134,21 +134,21 @@
     """
 
     def test_new_start_is_valid_once_the_other_is_silent(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, SECOND, 700)])
-        clock.now += _book.STALE_START_SECONDS - 1
-        registry.take([announced(clock, FIRST, 29)])
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, SECOND, 700)])
+        clock.now += _registry.STALE_START_SECONDS - 1
+        registry.merge([announced(clock, FIRST, 29)])
         assert known(registry).started_at_ms == SECOND
         clock.now += 2
-        registry.take([announced(clock, FIRST, 31)])
-        assert known(registry).started_at_ms == FIRST and known(registry).stays
+        registry.merge([announced(clock, FIRST, 31)])
+        assert known(registry).started_at_ms == FIRST and known(registry).accepts_work
 
     def test_is_not_reverted_by_a_host_that_knows_the_other(self, clock: Clock) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         ended = announced(clock, SECOND, 700)
-        clock.now += _book.STALE_START_SECONDS + 1
-        registry.take([announced(clock, FIRST, 31)])
-        registry.take([ended])
+        clock.now += _registry.STALE_START_SECONDS + 1
+        registry.merge([announced(clock, FIRST, 31)])
+        registry.merge([ended])
         assert known(registry).started_at_ms == FIRST
 
 
@@ -159,77 +159,77 @@
     final, it would keep a start out of service that it wasn't meant for.
     """
 
-    def restarted(self, clock: Clock) -> EndpointBook:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST, 700)])
-        registry.take([announced(clock, SECOND, 1)])
+    def restarted(self, clock: Clock) -> EndpointRegistry:
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST, 700)])
+        registry.merge([announced(clock, SECOND, 1)])
         return registry
 
     def test_applies_at_once(self, clock: Clock) -> None:
         registry = self.restarted(clock)
         version = registry.version
-        registry.note_left("e")
-        assert not known(registry).stays
+        registry.remove_endpoint("e")
+        assert not known(registry).accepts_work
         waited = Deadline.after(5)
-        registry.wait_for_news(version, lambda: False, waited)
+        registry.wait_for_changes(version, lambda: False, waited)
         assert not waited.expired
 
     def test_ends_for_a_restarted_endpoint_that_keeps_running(
         self, clock: Clock
     ) -> None:
         registry = self.restarted(clock)
-        registry.note_left("e")
+        registry.remove_endpoint("e")
         clock.now += _models.REMOVAL_SECONDS - 0.1
-        registry.take([announced(clock, SECOND, 5)])
-        assert not known(registry).stays
+        registry.merge([announced(clock, SECOND, 5)])
+        assert not known(registry).accepts_work
         clock.now += 0.2
-        registry.take([announced(clock, SECOND, 6)])
-        assert known(registry).stays
+        registry.merge([announced(clock, SECOND, 6)])
+        assert known(registry).accepts_work
 
     def test_is_final_for_an_endpoint_without_earlier_start(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST)])
-        registry.note_left("e")
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST)])
+        registry.remove_endpoint("e")
         clock.now += 2 * _models.REMOVAL_SECONDS
-        registry.take([announced(clock, FIRST, 9)])
-        assert not known(registry).stays
+        registry.merge([announced(clock, FIRST, 9)])
+        assert not known(registry).accepts_work
 
     def test_that_names_the_start_is_final(self, clock: Clock) -> None:
         registry = self.restarted(clock)
-        registry.note_left("e", SECOND)
+        registry.remove_endpoint("e", SECOND)
         clock.now += 2 * _models.REMOVAL_SECONDS
-        registry.take([announced(clock, SECOND, 9)])
-        assert not known(registry).stays
+        registry.merge([announced(clock, SECOND, 9)])
+        assert not known(registry).accepts_work
 
     def test_before_the_new_start_is_announced_does_not_apply_to_it(
         self, clock: Clock
     ) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST, 700)])
-        registry.note_left("e")
-        registry.take([announced(clock, SECOND)])
-        assert known(registry).stays
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST, 700)])
+        registry.remove_endpoint("e")
+        registry.merge([announced(clock, SECOND)])
+        assert known(registry).accepts_work
 
 
-def exchange_state(registries: tuple[EndpointBook, EndpointBook]) -> None:
+def exchange_state(registries: tuple[EndpointRegistry, EndpointRegistry]) -> None:
     for _ in range(2):
         for sender, receiver in (registries, registries[::-1]):
-            receiver.take(
+            receiver.merge(
                 endpoint_from_record(to_record(item)) for item in sender.endpoints()
             )
 
 
 class TestStateExchangedBetweenHosts:
     def test_record_carries_the_start_and_its_removal(self, clock: Clock) -> None:
-        registry = EndpointBook()
-        registry.take([announced(clock, FIRST)])
-        registry.take([announced(clock, SECOND)])
+        registry = EndpointRegistry()
+        registry.merge([announced(clock, FIRST)])
+        registry.merge([announced(clock, SECOND)])
         clock.now += 1
-        registry.note_left("e")
+        registry.remove_endpoint("e")
         clock.now += 2
         carried = endpoint_from_record(to_record(known(registry)))
         assert carried.start_id == known(registry).start_id
-        assert carried.restarted and not carried.stays
+        assert carried.restarted and not carried.accepts_work
         assert carried.removed_at == pytest.approx(clock.now - 2)
 
     def test_record_of_a_host_without_start_times(self, clock: Clock) -> None:
@@ -243,7 +243,7 @@
     ) -> None:
         """Two hosts receive the announcements in random order and exchange them."""
         chance = random.Random(seed)
-        registries = (EndpointBook(), EndpointBook())
+        registries = (EndpointRegistry(), EndpointRegistry())
         events = [
             announced(clock, start, sequence, leaving=leaving)
             for start in (FIRST, SECOND, THIRD)
@@ -251,20 +251,20 @@
         ]
         chance.shuffle(events)
         for event in events:
-            chance.choice(registries).take([event])
+            chance.choice(registries).merge([event])
         exchange_state(registries)
         for registry in registries:
             latest = known(registry)
             assert latest.started_at_ms == THIRD
-            assert latest.sequence == 3 and latest.stays
+            assert latest.sequence == 3 and latest.accepts_work
         version = registries[0].version
-        assert registries[0].take(registries[1].endpoints()) == version
+        assert registries[0].merge(registries[1].endpoints()) == version
 
     @pytest.mark.parametrize("seed", range(50))
     def test_converges_on_late_removals(self, clock: Clock, seed: int) -> None:
         """Removals of earlier starts arrive at either host between announcements."""
         chance = random.Random(seed)
-        registries = (EndpointBook(), EndpointBook())
+        registries = (EndpointRegistry(), EndpointRegistry())
         calls: list[Endpoint | None] = [None, None]
         calls += [announced(clock, start, 2) for start in (FIRST, SECOND, THIRD)]
         chance.shuffle(calls)
@@ -272,13 +272,15 @@
             clock.now += chance.random()
             registry = chance.choice(registries)
             if call is None:
-                registry.note_left("e")
+                registry.remove_endpoint("e")
             else:
-                registry.take([replace(call, heard_at=clock.now)])
+                registry.merge([replace(call, heard_at=clock.now)])
         exchange_state(registries)
-        assert known(registries[0]).stays == known(registries[1]).stays
+        assert known(registries[0]).accepts_work == known(registries[1]).accepts_work
         clock.now += _models.REMOVAL_SECONDS + 1
-        chance.choice(registries).take([announced(clock, THIRD, 3)])
+        chance.choice(registries).merge([announced(clock, THIRD, 3)])
         exchange_state(registries)
         for registry in registries:
-            assert known(registry).started_at_ms == THIRD and known(registry).stays
+            assert (
+                known(registry).started_at_ms == THIRD and known(registry).accepts_work
+            )
--- a/tests/discovery/test_told_records.py
+++ b/tests/discovery/test_told_records.py
@@ -14,9 +14,9 @@
 
 from jujubeslip.discovery import (
     ControlFollowers,
+    ControlUpdate,
     Endpoint,
-    EndpointBook,
-    News,
+    EndpointRegistry,
     to_record,
 )
 from jujubeslip.peers import (
@@ -63,8 +63,8 @@
     """A host that follows one control host."""
 
     def __init__(self) -> None:
-        self.registry = EndpointBook()
-        self.updates: list[News] = []
+        self.registry = EndpointRegistry()
+        self.updates: list[ControlUpdate] = []
         process: Any = SimpleNamespace(start_task=lambda task: None)
         identity = PeerIdentity("entry-1", 1, "secret")
         self._followers = ControlFollowers(
@@ -166,4 +166,4 @@
         follower = Follower()
         follower.receive(removals=[invalid, EndpointRemoval("gone", 0, 5)])
         follower.receive(to_record(engine("gone")))
-        assert not follower.by_id()["gone"].stays
+        assert not follower.by_id()["gone"].accepts_work
--- a/tests/forwarding/test_choice.py
+++ b/tests/forwarding/test_choice.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import (
     ConnectionPool,
     EndpointConnection,
@@ -40,8 +40,8 @@
 
     @staticmethod
     def choice_of(*endpoints: Endpoint) -> tuple[Chooser, EndpointHealth]:
-        registry, health = EndpointBook(), EndpointHealth()
-        registry.take(
+        registry, health = EndpointRegistry(), EndpointHealth()
+        registry.merge(
             replace(item, address=f"10.0.0.{number}:80")
             for number, item in enumerate(endpoints)
         )
@@ -66,8 +66,8 @@
 
     @staticmethod
     def chooser_of(**holds: Hold | None) -> Chooser:
-        registry, health = EndpointBook(), EndpointHealth()
-        registry.take(
+        registry, health = EndpointRegistry(), EndpointHealth()
+        registry.merge(
             replace(engine(name), address=f"10.0.0.{number}:80")
             for number, name in enumerate(holds)
         )
--- a/tests/forwarding/test_endpoint_starts.py
+++ b/tests/forwarding/test_endpoint_starts.py
@@ -10,7 +10,7 @@
 
 from jujubeslip.accounts import ENDPOINT_BOUNDS, HostSpending
 from jujubeslip.admission import MemoryOptions
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.endpoints import ConnectionPool, EndpointUnreachableError
 from jujubeslip.forwarding._admissions import AdmissionAnswer
 from jujubeslip.forwarding._choice import Chooser, LeastCost
@@ -55,13 +55,13 @@
     return replace(announced, address=address)
 
 
-def registry_of(*endpoints: Endpoint) -> EndpointBook:
-    registry = EndpointBook()
-    registry.take(endpoints)
+def registry_of(*endpoints: Endpoint) -> EndpointRegistry:
+    registry = EndpointRegistry()
+    registry.merge(endpoints)
     return registry
 
 
-def build_sender(registry: EndpointBook) -> EndpointSender:
+def build_sender(registry: EndpointRegistry) -> EndpointSender:
     health = EndpointHealth()
     crash_registry, harmless = CrashRegistry(), HarmlessContents()
     contact = LeaderContact(PeerIdentity("host", 1, "secret"), lambda _: False)
@@ -92,7 +92,7 @@
         sender.health.note_replaced(earlier.start_id)
         sender.health.note_failure(earlier.start_id)
         assert sender.chooser.choose_healthy("model", EndpointRole.DECODE) is None
-        registry.take([later])
+        registry.merge([later])
         found = sender.chooser.choose_healthy("model", EndpointRole.DECODE)
         assert found is not None and found.start_id == later.start_id
         assert sender.health.failure_share(later.start_id) == 0
@@ -103,7 +103,7 @@
         chooser = build_sender(registry).chooser
         tried = {earlier.start_id}
         assert chooser.choose("model", EndpointRole.DECODE, tried) is None
-        registry.take([start(SECOND)])
+        registry.merge([start(SECOND)])
         assert chooser.choose("model", EndpointRole.DECODE, tried) is not None
 
 
@@ -139,7 +139,7 @@
             earlier = start(FIRST, address=worker.address)
             registry = registry_of(earlier)
             if known:
-                registry.take([start(SECOND, address=worker.address)])
+                registry.merge([start(SECOND, address=worker.address)])
             options = MemoryOptions(margin=0.05, safety_deviations=1.5)
             context: Any = SimpleNamespace(
                 request=SimpleNamespace(request_id="r"),
@@ -183,8 +183,8 @@
             sender = build_sender(registry_of())
             for started_at_ms in (FIRST, FIRST, SECOND):
                 asked = start(started_at_ms, address=worker.address)
-                question = sender.interface.ask_report("engine")
-                sender.ask(asked, question, Deadline.after(2))
+                internal_request = sender.interface.ask_report("engine")
+                sender.ask(asked, internal_request, Deadline.after(2))
             assert sender.pool.idle_count == len(worker.sockets) == 2
             sender.pool.close_all()
 
@@ -241,7 +241,7 @@
             answers = start(FIRST, endpoint_id=f"engine-{len(asked)}")
             return Grant(answers, None if reads_itself else prefill_engine)
 
-        callback = (lambda: registry.take([later])) if restarts else (lambda: None)
+        callback = (lambda: registry.merge([later])) if restarts else (lambda: None)
         stubbed: Any = SimpleNamespace(
             is_open=lambda *_: len(calls) < 2,
             may_send=lambda *_: True,
@@ -266,7 +266,7 @@
         with pytest.raises(RequestRefusedError):
             path.answer(context, Attempts())
         location = f"{prefill_engine.address}/h1"
-        assert [call.prompt_at for call in calls] == [
+        assert [call.prefilled_at for call in calls] == [
             location,
             "" if restarts else location,
         ]
@@ -293,7 +293,7 @@
         prompts = Prefiller(sender, True, Pressures())
 
         def prefill(*_: object) -> PromptLocation:
-            registry.take([later])
+            registry.merge([later])
             return PromptLocation(prefill_engine, "h1")
 
         monkeypatch.setattr(prompts, "prefill", prefill)
--- a/tests/forwarding/test_engine_reports.py
+++ b/tests/forwarding/test_engine_reports.py
@@ -11,7 +11,7 @@
 
 from jujubeslip.discovery import Endpoint
 from jujubeslip.forwarding._engine_reports import EngineReports
-from jujubeslip.interfaces import EndpointQuestion
+from jujubeslip.interfaces import InternalRequest
 from jujubeslip.platform._endpoint_answers import read_report
 from jujubeslip.platform._endpoint_calls import ask_report
 from tests.fakes.engines import engine
@@ -35,7 +35,7 @@
         self.ids: list[str] = []
 
     def ask(
-        self, endpoint: Endpoint, question: EndpointQuestion, *_: object
+        self, endpoint: Endpoint, internal_request: InternalRequest, *_: object
     ) -> tuple[int, bytes]:
         self.ids.append(endpoint.endpoint_id)
         used: object = "10" if endpoint.endpoint_id == "foreign" else 10
--- a/tests/forwarding/test_grants.py
+++ b/tests/forwarding/test_grants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.forwarding._admissions import AdmissionAnswer
 from jujubeslip.forwarding._grants import Grant, Grants, _wait_limit
 from jujubeslip.forwarding._models import Attempts
@@ -41,7 +41,7 @@
         self.ended.append((request_id, attempt))
 
 
-def find(registry: EndpointBook, leader: Leader) -> Grant | None:
+def find(registry: EndpointRegistry, leader: Leader) -> Grant | None:
     service = SimpleNamespace(engine=SimpleNamespace(reservation_ms=2000))
     context: Any = SimpleNamespace(
         table=SimpleNamespace(service_by_name={"model": service}),
@@ -69,22 +69,22 @@
     """
 
     def test_is_ended(self) -> None:
-        registry, leader = EndpointBook(), Leader()
-        registry.take([prefill_engine(), decode_engine(leaving=True)])
+        registry, leader = EndpointRegistry(), Leader()
+        registry.merge([prefill_engine(), decode_engine(leaving=True)])
         assert find(registry, leader) is None
         assert leader.ended == [("r-1", 0)]
 
     def test_prefill_engine_is_not_used(self) -> None:
-        registry, leader = EndpointBook(), Leader()
-        registry.take([prefill_engine(leaving=True), decode_engine()])
+        registry, leader = EndpointRegistry(), Leader()
+        registry.merge([prefill_engine(leaving=True), decode_engine()])
         grant = find(registry, leader)
         assert grant is not None and grant.endpoint.endpoint_id == "engine"
         assert grant.prefill_engine is None
 
     @pytest.mark.parametrize("missing", ["reader", "engine"])
     def test_that_is_not_known_is_not_used(self, missing: str) -> None:
-        registry, leader = EndpointBook(), Leader()
-        registry.take(
+        registry, leader = EndpointRegistry(), Leader()
+        registry.merge(
             [
                 item
                 for item in (prefill_engine(), decode_engine())
@@ -96,8 +96,8 @@
         assert grant is None or grant.prefill_engine is None
 
     def test_of_engines_that_stay_is_used(self) -> None:
-        registry, leader = EndpointBook(), Leader()
-        registry.take([prefill_engine(), decode_engine()])
+        registry, leader = EndpointRegistry(), Leader()
+        registry.merge([prefill_engine(), decode_engine()])
         grant = find(registry, leader)
         assert grant is not None and grant.prefill_engine == registry.find("reader")
         assert grant.prefill_seconds == 0.1
--- a/tests/forwarding/test_initial_discovery.py
+++ b/tests/forwarding/test_initial_discovery.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from jujubeslip.discovery import EndpointBook
-from jujubeslip.endpoints import CallerGoneError
+from jujubeslip.discovery import EndpointRegistry
+from jujubeslip.endpoints import ClientDisconnectedError
 from jujubeslip.forwarding._initial_discovery import (
     WAIT_SECONDS,
     InitialDiscovery,
@@ -33,10 +33,12 @@
     )
 
 
-def announce_after(registry: EndpointBook, seconds: float, role: EndpointRole) -> None:
+def announce_after(
+    registry: EndpointRegistry, seconds: float, role: EndpointRole
+) -> None:
     def announce() -> None:
         time.sleep(seconds)
-        registry.take([engine("e-1", role)])
+        registry.merge([engine("e-1", role)])
 
     threading.Thread(target=announce, daemon=True).start()
 
@@ -58,30 +60,32 @@
 
     @pytest.mark.parametrize("role", [EndpointRole.PLAIN, EndpointRole.DECODE])
     def test_requests_wait_for_an_endpoint(self, role: EndpointRole) -> None:
-        registry = EndpointBook()
+        registry = EndpointRegistry()
         announce_after(registry, 0.3, role)
         assert 0.2 < waited(InitialDiscovery(registry), context()) < WAIT_SECONDS
 
     def test_a_prefill_engine_does_not_end_the_wait(self) -> None:
-        registry = EndpointBook()
-        registry.take([engine("p-1", EndpointRole.PREFILL)])
+        registry = EndpointRegistry()
+        registry.merge([engine("p-1", EndpointRole.PREFILL)])
         announce_after(registry, 0.3, EndpointRole.DECODE)
         assert 0.2 < waited(InitialDiscovery(registry), context()) < WAIT_SECONDS
 
     def test_wait_is_bounded(self) -> None:
-        seconds = waited(InitialDiscovery(EndpointBook()), context())
+        seconds = waited(InitialDiscovery(EndpointRegistry()), context())
         assert WAIT_SECONDS <= seconds < WAIT_SECONDS + 0.3
 
     def test_most_of_the_time_is_left_for_the_answer(self) -> None:
-        assert waited(InitialDiscovery(EndpointBook()), context(seconds=0.6)) < 0.4
+        assert waited(InitialDiscovery(EndpointRegistry()), context(seconds=0.6)) < 0.4
 
     def test_disconnect_ends_the_wait(self) -> None:
-        with pytest.raises(CallerGoneError):
-            InitialDiscovery(EndpointBook()).wait_for(context(client_disconnected=True))
+        with pytest.raises(ClientDisconnectedError):
+            InitialDiscovery(EndpointRegistry()).wait_for(
+                context(client_disconnected=True)
+            )
 
     def test_requests_do_not_wait_if_an_endpoint_is_known(self) -> None:
-        registry = EndpointBook()
-        registry.take([engine("e-1", EndpointRole.DECODE)])
+        registry = EndpointRegistry()
+        registry.merge([engine("e-1", EndpointRole.DECODE)])
         assert waited(InitialDiscovery(registry), context()) < 0.1
 
 
@@ -89,6 +93,6 @@
     """Requests of a service without endpoints are refused at once."""
 
     def test_requests_do_not_wait(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        discovery = InitialDiscovery(EndpointBook())
+        discovery = InitialDiscovery(EndpointRegistry())
         monkeypatch.setattr(discovery, "_unknown_until", Deadline.after(0))
         assert waited(discovery, context()) < 0.1
--- a/tests/forwarding/test_large_configuration.py
+++ b/tests/forwarding/test_large_configuration.py
@@ -11,7 +11,7 @@
 import pytest
 
 from jujubeslip.control._configurations import ConfigurationTable
-from jujubeslip.discovery import News
+from jujubeslip.discovery import ControlUpdate
 from jujubeslip.forwarding import _routes_follower
 from jujubeslip.forwarding._routes_follower import FETCH_SECONDS, RoutesFollower
 from jujubeslip.peers import PackedConfiguration, PeerIdentity, VersionedCommand
@@ -82,14 +82,14 @@
         self, packed: PackedConfiguration, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         follower = self.follower(monkeypatch, packed)
-        follower.apply_update(News("control-1", VERSION, 1))
+        follower.apply_update(ControlUpdate("control-1", VERSION, 1))
         assert follower.table is not None
         assert (follower.version, len(follower.table.routes)) == (VERSION, ROUTES)
 
     def test_is_ignored_if_damaged(self, monkeypatch: pytest.MonkeyPatch) -> None:
         damaged = PackedConfiguration(VERSION, b"no compressed text")
         follower = self.follower(monkeypatch, damaged)
-        follower.apply_update(News("control-1", VERSION, 1))
+        follower.apply_update(ControlUpdate("control-1", VERSION, 1))
         assert follower.table is None
 
     @staticmethod
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -12,7 +12,7 @@
 import pytest
 
 from jujubeslip.admission import MemoryOptions
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.forwarding._models import Attempts
 from jujubeslip.forwarding._reservations import Reservation, Reservations
 from jujubeslip.kernel import Deadline, load_plugins
@@ -58,8 +58,8 @@
     *endpoints: Endpoint, busy: str = "", paused: str = "", seconds: float = 0.65
 ) -> tuple[Reservation | None, float]:
     """Return the reservation that a request gets, and how long that took."""
-    registry = EndpointBook()
-    registry.take(endpoints)
+    registry = EndpointRegistry()
+    registry.merge(endpoints)
     sender = build_sender(registry)
     reservations = Reservations(sender, OPTIONS, OWN_ZONE)
     context: Any = SimpleNamespace(
@@ -139,8 +139,8 @@
     @pytest.mark.parametrize("backoff", ["", "3"])
     def test_expires_by_itself(self, near: PlatformWorker, backoff: str) -> None:
         own = at(near.address, "near", OWN_ZONE)
-        registry = EndpointBook()
-        registry.take([own])
+        registry = EndpointRegistry()
+        registry.merge([own])
         sender = build_sender(registry)
         reservations = Reservations(sender, OPTIONS, OWN_ZONE)
         near.reservations["r1"] = 100
--- a/tests/notices/test_registry.py
+++ b/tests/notices/test_registry.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from jujubeslip.discovery import Endpoint, EndpointBook
+from jujubeslip.discovery import Endpoint, EndpointRegistry
 from jujubeslip.interfaces import EndpointHead
 from jujubeslip.notices import EndpointNotices, HoldReason, _models, _registry
 from jujubeslip.notices._models import LONGEST_BACKOFF_SECONDS
@@ -38,8 +38,8 @@
 
 
 def after_refusal(backoff: str, known: Endpoint = ENDPOINT) -> EndpointNotices:
-    endpoint_registry = EndpointBook()
-    endpoint_registry.take([known])
+    endpoint_registry = EndpointRegistry()
+    endpoint_registry.merge([known])
     notices = EndpointNotices(endpoint_registry)
     notices.note_answer(ENDPOINT, head(Retry_After=backoff), 999.0)
     return notices
@@ -94,7 +94,7 @@
 
     def test_is_read_from_answers_to_other_calls(self, now: list[float]) -> None:
         notices = EndpointNotices()
-        notices.note_other_answer(ENDPOINT, head(Retry_After="3"))
+        notices.record_internal_answer(ENDPOINT, head(Retry_After="3"))
         assert notices.hold_of(ENDPOINT.start_id) is not None
 
     def test_ends_with_its_start(self, now: list[float]) -> None:
@@ -152,5 +152,5 @@
     def test_excludes_answers_without_notice(self) -> None:
         notices = EndpointNotices()
         notices.note_answer(ENDPOINT, head(200), 999.0)
-        notices.note_other_answer(ENDPOINT, head(503))
+        notices.record_internal_answer(ENDPOINT, head(503))
         assert not notices._notice_by_start
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -18,7 +18,7 @@
 from jujubeslip.control._gateway import LeaderGateway
 from jujubeslip.discovery import (
     Endpoint,
-    EndpointBook,
+    EndpointRegistry,
     to_record,
     usable_endpoints,
 )
@@ -90,7 +90,7 @@
     """What a control host answers to endpoints, and what it then knows."""
 
     def __init__(self) -> None:
-        self.book = EndpointBook()
+        self.book = EndpointRegistry()
         watches: Any = SimpleNamespace(wait_until_confirmed=lambda *_: True)
         client: Any = None
         self._app = ControlApp(LeaderGateway(client, self.book, watches))
--- a/tests/quarantine/test_answered_crashes.py
+++ b/tests/quarantine/test_answered_crashes.py
@@ -81,7 +81,7 @@
         crash_with_stream(sender, clock)
         _, histories = sender.changes_since(0)
         records = [received(to_crash_record(history)) for history in histories]
-        receiver.take(usable_histories("host", records))
+        receiver.merge(usable_histories("host", records))
         assert quarantined(receiver) == [FATAL]
 
     def test_is_reported_as_unanswered_by_older_hosts(self, clock: Clock) -> None:
--- a/tests/quarantine/test_concurrent_contents.py
+++ b/tests/quarantine/test_concurrent_contents.py
@@ -57,7 +57,7 @@
 class EndedEndpoints:
     """Reports each endpoint with an interrupted run as ended."""
 
-    def is_over(self, endpoint: object) -> bool:
+    def is_superseded(self, endpoint: object) -> bool:
         return True
 
 
@@ -159,7 +159,7 @@
 ) -> None:
     _, found = sender.changes_since(0, suspects_only)
     records = [to_crash_record(history) for history in found]
-    receiver.take(usable_histories("host", records))
+    receiver.merge(usable_histories("host", records))
 
 
 @pytest.fixture
--- a/tests/quarantine/test_many_hosts.py
+++ b/tests/quarantine/test_many_hosts.py
@@ -96,7 +96,7 @@
     def _report(self, sender: Host, receiver: Host, suspects_only: bool) -> None:
         _, found = sender.registry.changes_since(0, suspects_only)
         records = [to_crash_record(history) for history in found]
-        receiver.registry.take(usable_histories("host", records))
+        receiver.registry.merge(usable_histories("host", records))
 
 
 @pytest.fixture
--- a/tests/quarantine/test_registry.py
+++ b/tests/quarantine/test_registry.py
@@ -68,7 +68,7 @@
         for delay_seconds, known in ((0.004, (first,)), (0.001, (first, second))):
             record = to_crash_record(CrashHistory(FATAL, known))
             clock.now += delay_seconds
-            registry.take(usable_histories("host", [record]))
+            registry.merge(usable_histories("host", [record]))
             clock.now += RUN_SECONDS
         history = registry.find(FATAL)
         assert history is not None
@@ -77,12 +77,12 @@
     def test_do_not_change_the_version_when_repeated(self, clock: Clock) -> None:
         registry = CrashRegistry()
         history = CrashHistory(FATAL, (crash("first", clock.now),))
-        registry.take([history])
+        registry.merge([history])
         version = registry.version
         record = to_crash_record(history)
         for _ in range(3):
             clock.now += 0.002
-            registry.take(usable_histories("host", [record]))
+            registry.merge(usable_histories("host", [record]))
         assert registry.version == version
 
 
@@ -186,7 +186,7 @@
         known = set()
         for order in itertools.permutations(reported):
             registry = CrashRegistry()
-            registry.take(order)
+            registry.merge(order)
             history = registry.find(FATAL)
             assert history is not None
             known.add(history.crashes)
@@ -259,4 +259,4 @@
         _, histories = sender.changes_since(0)
         records = [to_crash_record(history) for history in histories]
         clock.now += delay
-        receiver.take(usable_histories("host", records))
+        receiver.merge(usable_histories("host", records))
--- a/tests/quarantine/test_reported_crashes.py
+++ b/tests/quarantine/test_reported_crashes.py
@@ -56,7 +56,7 @@
         host = Host()
         host.harmless.note(POLL)
         clock.now += count
-        host.registry.take([CrashHistory(POLL, crashes(clock, count))])
+        host.registry.merge([CrashHistory(POLL, crashes(clock, count))])
         _, (history,) = host.registry.changes_since(0)
         assert not history.crashes
         assert host.cleared == 1
@@ -68,7 +68,7 @@
         found = crashes(clock, 1)
         for _ in range(5):
             clock.now += 1
-            host.registry.take([CrashHistory(POLL, found)])
+            host.registry.merge([CrashHistory(POLL, found)])
         assert host.cleared == 1
 
     def test_is_not_cleared_after_it_expires(self, clock: Clock) -> None:
@@ -76,13 +76,13 @@
         host = Host()
         host.harmless.note(POLL)
         clock.now += HARMLESS_SECONDS + 1
-        host.registry.take([CrashHistory(POLL, crashes(clock, 1))])
+        host.registry.merge([CrashHistory(POLL, crashes(clock, 1))])
         assert host.cleared == 0
 
     def test_another_content_is_not_cleared(self, clock: Clock) -> None:
         host = Host()
         host.harmless.note("1" * 16)
-        host.registry.take([CrashHistory(POLL, crashes(clock, 3))])
+        host.registry.merge([CrashHistory(POLL, crashes(clock, 3))])
         assert host.cleared == 0
         assert host.registry.quarantined_contents()
 
@@ -91,11 +91,11 @@
     def test_suspects_and_the_latest_of_the_others(self, clock: Clock) -> None:
         """Guards against replies that grow with the contents run at an endpoint."""
         registry = CrashRegistry()
-        registry.take([CrashHistory(POLL, crashes(clock, 2))])
+        registry.merge([CrashHistory(POLL, crashes(clock, 2))])
         others = [f"{number:016x}" for number in range(1, 2 * MAXIMUM_UNSUSPECTED)]
         for content in others:
             clock.now += 1
-            registry.take([CrashHistory(content, crashes(clock, 1))])
+            registry.merge([CrashHistory(content, crashes(clock, 1))])
         version, found = registry.changes_for_entry_host(0)
         reported = {history.fingerprint for history in found}
         assert reported == {POLL, *others[-MAXIMUM_UNSUSPECTED:]}
