--- a/src/jujubeslip/discovery/__init__.py
+++ b/src/jujubeslip/discovery/__init__.py
@@ -1,7 +1,6 @@
 """The registry of endpoints on control and entry hosts, and how it is kept current."""
 
-from jujubeslip.discovery._book import EndpointRegistry
-from jujubeslip.discovery._follower import ControlFollowers, ControlUpdate
+from jujubeslip.discovery._control_followers import ControlFollowers, ControlUpdate
 from jujubeslip.discovery._models import Endpoint, endpoint_from_record, to_record
 from jujubeslip.discovery._records import (
     Slots,
@@ -11,6 +10,7 @@
     usable_endpoints,
     usable_removals,
 )
+from jujubeslip.discovery._registry import EndpointRegistry
 from jujubeslip.discovery._removals import Removal
 
 __all__ = [
--- a/src/jujubeslip/discovery/_follower.py
+++ b/src/jujubeslip/discovery/_control_followers.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from jujubeslip.discovery._book import EndpointRegistry
 from jujubeslip.discovery._records import usable_endpoints, usable_removals
+from jujubeslip.discovery._registry import EndpointRegistry
 from jujubeslip.kernel import (
     Deadline,
     PeerUnavailableError,
--- a/src/jujubeslip/discovery/_book.py
+++ b/src/jujubeslip/discovery/_registry.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from jujubeslip.discovery._addresses import AddressClaim, has_lost_address
+from jujubeslip.discovery._address_claims import AddressClaim, has_lost_address
 from jujubeslip.discovery._models import Endpoint
 from jujubeslip.discovery._removals import (
     RETENTION_SECONDS,
--- a/src/jujubeslip/endpoints/__init__.py
+++ b/src/jujubeslip/endpoints/__init__.py
@@ -1,12 +1,12 @@
 """Clients of endpoints: announcements, connections, status, the engine protocol."""
 
-from jujubeslip.endpoints._adapter import EngineAdapter
 from jujubeslip.endpoints._announcements import announcement_from_json
 from jujubeslip.endpoints._connections import (
     ConnectionPool,
     EndpointConnection,
     has_ended,
 )
+from jujubeslip.endpoints._engine_adapter import EngineAdapter
 from jujubeslip.endpoints._errors import (
     AnswerCutError,
     ClientDisconnectedError,
@@ -29,7 +29,7 @@
     RequestRef,
 )
 from jujubeslip.endpoints._monitor import EndpointMonitor
-from jujubeslip.endpoints._plain import call_plain_service
+from jujubeslip.endpoints._plain_service import call_plain_service
 
 __all__ = [
     "AnswerCutError",
--- a/src/jujubeslip/endpoints/_plain.py
+++ b/src/jujubeslip/endpoints/_plain_service.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from jujubeslip.endpoints._adapter import EngineAdapter
+from jujubeslip.endpoints._engine_adapter import EngineAdapter
 from jujubeslip.endpoints._errors import (
     EndpointAnswerError,
     EndpointRefusedError,
--- a/src/jujubeslip/interfaces/__init__.py
+++ b/src/jujubeslip/interfaces/__init__.py
@@ -1,5 +1,6 @@
 """Plug-ins that translate between an HTTP interface and the project's own types."""
 
+from jujubeslip.interfaces._internal_requests import send_internal_request
 from jujubeslip.interfaces._models import (
     EncodedRefusal,
     EndpointCall,
@@ -12,7 +13,6 @@
     WsgiApp,
     interfaces,
 )
-from jujubeslip.interfaces._questions import send_internal_request
 
 __all__ = [
     "EncodedRefusal",
--- a/tests/discovery/test_addresses.py
+++ b/tests/discovery/test_addresses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from jujubeslip.discovery import Endpoint, EndpointRegistry, _registry
-from jujubeslip.discovery._addresses import MAXIMUM_DELAY_SECONDS
+from jujubeslip.discovery._address_claims import MAXIMUM_DELAY_SECONDS
 from jujubeslip.peers import EndpointRole
 from tests.fakes.clock import Clock
 from tests.fakes.engines import engine
--- a/tests/discovery/test_removals.py
+++ b/tests/discovery/test_removals.py
@@ -8,7 +8,7 @@
 from jujubeslip.discovery._registry import STALE_START_SECONDS
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.peers import RemovalScope
-from tests.discovery.test_book import endpoint
+from tests.discovery.test_registry import endpoint
 
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_005_000
 
