--- a/src/jujubeslip/entry/__init__.py
+++ b/src/jujubeslip/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry process: HTTP to clients and endpoints, Thrift to the other processes."""
+"""The entry process: HTTP for clients and endpoints, Thrift for the other processes."""
 
 from jujubeslip.entry._process import run_entry
 
--- a/src/jujubeslip/entry/_announcements.py
+++ b/src/jujubeslip/entry/_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of endpoints over HTTP, passed on to the home of their pool."""
+"""Receives endpoint announcements over HTTP and forwards them to the pool's home."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AnnouncementReceiver:
-    """Takes endpoints' announcements; the one who sends them knows their secret."""
+    """Receives announcements from endpoints that present the endpoint secret."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
     def receive(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Pass an announcement on, or refuse it with what is wrong."""
+        """Forward an announcement, or refuse it with the reason."""
         authorization = environ.get("HTTP_AUTHORIZATION", "")
         require_secret(authorization, self._settings.endpoint_secret)
         announcement = announcement_from_json(_body_object(environ))
-        announcement.place = self._place_of(
+        announcement.place = self._locality_of(
             announcement.service_name, announcement.availability_zone
         )
         try:
@@ -48,13 +48,13 @@
         except (PeerUnavailableError, PeerRefusal) as error:
             raise RequestRefusedError(
                 "home_unavailable",
-                "The home of the endpoint's pool does not answer.",
+                "The home of the endpoint's pool is unavailable.",
                 retry_after=0.5,
                 remedy="Announce again, also to another entry host.",
             ) from error
         return json_answer(start_response, 200, {"accepted": True})
 
-    def _place_of(self, service_name: str, availability_zone: str) -> str:
+    def _locality_of(self, service_name: str, availability_zone: str) -> str:
         service = self._configuration.declaration.service_by_name.get(service_name)
         if service is None:
             raise RequestRefusedError(
--- a/src/jujubeslip/entry/_client_call.py
+++ b/src/jujubeslip/entry/_client_call.py
@@ -1,4 +1,4 @@
-"""One client's call: the span, the open request, the answer, their end."""
+"""One client call: its span, its open request, its answer and their cleanup."""
 
 from __future__ import annotations
 
@@ -38,28 +38,30 @@
 
 @dataclass(frozen=True)
 class CallServices:
-    """What every call needs.
+    """The services shared by all client calls.
 
-    `places` bounds how many are served at a time; `abandoning` is set when an operator
-    ends the stop of the process early.
+    `request_slots` bounds the number of concurrent calls. `abandoning` is set when an
+    operator ends the shutdown of the process early.
     """
 
     service: RequestService
     open_requests: OpenRequests
     meters: Meters
-    places: threading.Semaphore
+    request_slots: threading.Semaphore
     abandoning: threading.Event
 
 
 class ClientCall:
-    """One client's call, from its place to its end."""
+    """One client call, from acquiring a request slot to releasing it."""
 
     def __init__(
         self, services: CallServices, environ: Environ, request: ClientRequest
     ) -> None:
         self._services = services
         self._request = request
-        self._gone = environ.get("waitress.client_disconnected", lambda: False)
+        self._client_disconnected = environ.get(
+            "waitress.client_disconnected", lambda: False
+        )
         self._traceparent = environ.get("HTTP_TRACEPARENT", "")
         self._stack = ExitStack()
         self._started = steady_seconds()
@@ -67,7 +69,10 @@
         self._outcome = "abandoned"
 
     def answer(self, start_response: StartResponse) -> Iterable[bytes]:
-        """Return the answer's body; a refusal before the first token has a status."""
+        """Return the response body.
+
+        A refusal before the first token is sent with an HTTP error status.
+        """
         try:
             self._open()
             context = self._services.service.decide(
@@ -78,7 +83,7 @@
             self._stack.callback(steps.close)  # type: ignore[attr-defined]
             first = next(steps, None)
         except RequestRefusedError as refusal:
-            self._note_refusal(refusal)
+            self._record_refusal(refusal)
             self._close()
             return refuse(start_response, refusal, self._request.request_id)
         except CallerGoneError as error:
@@ -90,7 +95,7 @@
         return self._body(start_response, context, first, steps)
 
     def _interrupted(self) -> bool:
-        return self._services.abandoning.is_set() or bool(self._gone())
+        return self._services.abandoning.is_set() or bool(self._client_disconnected())
 
     def _refuse_abandoned(
         self, start_response: StartResponse, error: CallerGoneError
@@ -99,30 +104,35 @@
         return refuse(start_response, refusal, self._request.request_id)
 
     def _abandoned(self, error: CallerGoneError) -> RequestRefusedError:
-        """Return what became of a request that an operator abandoned.
+        """Return the refusal for an abandoned request.
 
-        A client that closed its connection itself reads it no more.
+        It is only counted if an operator abandoned the request. A client that closed
+        its connection no longer reads the refusal.
         """
         refusal = _abandoned_refusal(error.ran)
         if self._services.abandoning.is_set():
-            self._note_refusal(refusal)
+            self._record_refusal(refusal)
         return refusal
 
     def _until_abandoned(self, steps: Iterator[object]) -> Iterator[object]:
-        """Yield the steps; tokens that come fast leave no wait in which to look."""
+        """Yield the steps until the request is abandoned.
+
+        The flag is checked at each step, because the service checks it only while it
+        waits, and tokens that arrive fast leave no wait.
+        """
         for step in steps:
             if self._services.abandoning.is_set():
                 raise CallerGoneError("The request was abandoned.", Ran.UNKNOWN)
             yield step
 
     def _open(self) -> None:
-        if not self._services.places.acquire(blocking=False):
+        if not self._services.request_slots.acquire(blocking=False):
             raise RequestRefusedError(
                 "entry_full",
-                "This entry host serves as many requests as it can.",
+                "This entry host serves its maximum number of concurrent requests.",
                 retry_after=0.5,
             )
-        self._stack.callback(self._services.places.release)
+        self._stack.callback(self._services.request_slots.release)
         open_requests = self._services.open_requests
         self._stack.enter_context(open_requests.serving(self._request.request_id))
         parent = context_from_traceparent(self._traceparent)
@@ -145,14 +155,15 @@
             self._outcome = "whole"
             self._close()
             return plain_answer(start_response, first, headers)
-        self._note_first_token()
+        self._record_first_token()
         if not self._request.stream:
-            return self._collected(start_response, first, steps, headers)
+            return self._complete_answer(start_response, first, steps, headers)
         start_answer(start_response, 200, STREAM_TYPE, headers)
-        # The thread's trace context goes with the generator to its own steps.
+        # The span stays current in this thread until the stream is closed, so the
+        # generator's steps run in its trace context.
         return _Stream(self._events(first, steps), self._close)
 
-    def _collected(
+    def _complete_answer(
         self,
         start_response: StartResponse,
         first: object,
@@ -163,7 +174,7 @@
             rest = self._until_abandoned(steps)
             tokens = [str(first), *(str(step) for step in rest)]
         except RequestRefusedError as refusal:
-            self._note_refusal(refusal)
+            self._record_refusal(refusal)
             return refuse(start_response, refusal, self._request.request_id)
         except CallerGoneError as error:
             return self._refuse_abandoned(start_response, error)
@@ -189,23 +200,23 @@
                 yield event("token", {"index": count, "token": str(step)})
                 count += 1
         except RequestRefusedError as refusal:
-            self._note_refusal(refusal)
+            self._record_refusal(refusal)
             yield event("error", refusal_fields(refusal, self._request.request_id))
             return
         except CallerGoneError as error:
-            told = self._abandoned(error)
-            yield event("error", refusal_fields(told, self._request.request_id))
+            abandonment = self._abandoned(error)
+            yield event("error", refusal_fields(abandonment, self._request.request_id))
             return
         except Exception:
             logger.exception(
                 "call failed", extra={"request_id": self._request.request_id}
             )
             failed = internal_refusal()
-            self._note_refusal(failed)
+            self._record_refusal(failed)
             yield event("error", refusal_fields(failed, self._request.request_id))
             return
         self._outcome = "whole"
-        self._note_gaps(count)
+        self._record_token_gap(count)
         yield event(
             "end",
             {
@@ -215,20 +226,20 @@
             },
         )
 
-    def _note_first_token(self) -> None:
+    def _record_first_token(self) -> None:
         milliseconds = (steady_seconds() - self._started) * 1000
         attributes = {"service": self._request.service.name, "rule": self._rule_name}
         self._services.meters.first_token.record(milliseconds, attributes)
         self._first_token_at = steady_seconds()
 
-    def _note_gaps(self, count: int) -> None:
+    def _record_token_gap(self, count: int) -> None:
         if count < 2:
             return
         gap = (steady_seconds() - self._first_token_at) * 1000 / (count - 1)
         attributes = {"service": self._request.service.name, "rule": self._rule_name}
         self._services.meters.between_tokens.record(gap, attributes)
 
-    def _note_refusal(self, refusal: RequestRefusedError) -> None:
+    def _record_refusal(self, refusal: RequestRefusedError) -> None:
         self._outcome = "refused"
         self._services.meters.refusals.add(
             1, {"error_id": refusal.error_id, "ran": refusal.ran.value}
@@ -257,19 +268,19 @@
     not_run = ran is Ran.NO
     return RequestRefusedError(
         "abandoned",
-        "An operator ended the stop of this entry host before the answer was whole.",
+        "An operator ended this entry host's shutdown before the answer was complete.",
         ran=ran,
         retry_after=RETRY_SECONDS if not_run else None,
         remedy=(
             "Send the request again, to another entry host."
             if not_run
-            else "It may have run: send it again only if it may be repeated."
+            else "It may have run: send it again only if it is safe to repeat."
         ),
     )
 
 
 class _Stream:
-    """An event stream whose close, by either end, frees what the request holds."""
+    """An event stream that releases the request's resources when it is closed."""
 
     def __init__(self, events: Iterator[bytes], close: Callable[[], None]) -> None:
         self._events = events
--- a/src/jujubeslip/entry/_configuration.py
+++ b/src/jujubeslip/entry/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this host, learned from control or from peers."""
+"""The active configuration of this host, fetched from control or from peers."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 
 
 @dataclass(frozen=True)
-class InForce:
-    """One revision, parsed."""
+class ActiveConfiguration:
+    """A configuration revision and its parsed declaration."""
 
     configuration: Configuration
     declaration: Declaration
 
 
 class ConfigurationFollower:
-    """Follows control by long poll, and any peer that has a newer revision.
+    """Follows control by long polling, and fetches newer revisions from peers.
 
-    The revision only grows: an answer with an older one is passed over, so a replica
-    that lags, or a peer that was cut off, can't bring an old configuration back.
+    The revision only increases. A reply with an older one is ignored, so that a lagging
+    replica or a peer that was partitioned can't restore an old configuration.
     """
 
     def __init__(self, control: ControlClient | None, clients: PeerClients) -> None:
         self._control = control
         self._clients = clients
-        self._in_force = InForce(Configuration(0, "", "", ""), Declaration())
+        self._active = ActiveConfiguration(Configuration(0, "", "", ""), Declaration())
         self._lock = threading.Lock()
 
     @property
     def revision(self) -> int:
-        """Return the revision in force here; 0 before the first one."""
-        return int(self._in_force.configuration.revision)
+        """Return the active revision; 0 before the first one."""
+        return int(self._active.configuration.revision)
 
     @property
     def declaration(self) -> Declaration:
-        """Return the declaration in force here."""
-        return self._in_force.declaration
+        """Return the active declaration."""
+        return self._active.declaration
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration in force here, for peers."""
-        return self._in_force.configuration
+        """Return the active configuration in the form that peers exchange."""
+        return self._active.configuration
 
     def start(self, process: Process) -> None:
-        """Start the task that follows control."""
+        """Start the task that polls control."""
         if self._control is not None:
             process.start_task(self._follow, process)
 
@@ -68,34 +68,42 @@
             try:
                 configuration = self._control.get_configuration(self.revision, POLL_MS)
             except (PeerUnavailableError, PeerRefusal) as error:
-                logger.info("control unavailable", extra={"error": str(error)})
+                logger.info(
+                    "configuration poll failed: control unavailable",
+                    extra={"error": str(error)},
+                )
                 process.stopped.wait(RETRY_PAUSE)
                 continue
-            self.take(configuration)
+            self.apply(configuration)
 
     def fetch_from_peer(self, address: str) -> None:
-        """Take over a newer configuration that a peer's gossip told of."""
+        """Fetch a newer configuration that a peer announced by gossip."""
         try:
             configuration = self._clients.get(address).call(
                 lambda peer: peer.get_configuration(self.revision), PEER_TIMEOUT
             )
         except (PeerUnavailableError, PeerRefusal) as error:
-            logger.info("configuration not fetched", extra={"error": str(error)})
+            logger.info(
+                "configuration not fetched from peer", extra={"error": str(error)}
+            )
             return
-        self.take(configuration)
+        self.apply(configuration)
 
-    def take(self, configuration: Configuration) -> None:
-        """Put a newer configuration in force."""
+    def apply(self, configuration: Configuration) -> None:
+        """Activate a configuration if its revision is newer than the active one."""
         if configuration.revision <= self.revision:
             return
         parsed = parse_declaration(configuration.declaration)
         if isinstance(parsed, Failure):
             problems = [str(problem) for problem in parsed.failure()]
-            logger.error("declaration not usable", extra={"problems": problems})
+            logger.error(
+                "configuration rejected: invalid declaration",
+                extra={"problems": problems},
+            )
             return
         with self._lock:
             if configuration.revision <= self.revision:
                 return
-            self._in_force = InForce(configuration, parsed.unwrap())
+            self._active = ActiveConfiguration(configuration, parsed.unwrap())
         extra = {"revision": configuration.revision}
         logger.info("configuration in force", extra=extra)
--- a/src/jujubeslip/entry/_http_app.py
+++ b/src/jujubeslip/entry/_http_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface (WSGI): clients' requests, announcements, readiness."""
+"""The WSGI application: client requests, endpoint announcements and readiness."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class HttpApp:
-    """Routes HTTP calls; one thread of the server serves one call to its end."""
+    """Routes HTTP calls; each call occupies one server thread until it ends."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         self._process = process
         self._configuration = configuration
         self._announcements = AnnouncementReceiver(settings, configuration, router)
-        places = max(1, settings.http_threads - settings.reserved_threads)
+        request_slots = max(1, settings.http_threads - settings.reserved_threads)
         self._services = CallServices(
             service,
             open_requests,
             meters,
-            threading.Semaphore(places),
+            threading.Semaphore(request_slots),
             process.abandoning,
         )
 
@@ -70,8 +70,8 @@
         except RequestRefusedError as refusal:
             return refuse(start_response, refusal, "")
         except Exception:
-            # Left to the HTTP library, it would be a page of text that says nothing
-            # of the run.
+            # The HTTP library would answer with a text page that does not tell the
+            # client whether the request ran.
             logger.exception("call failed", extra={"path": path[:200]})
             return refuse(start_response, internal_refusal(), "")
 
@@ -123,7 +123,7 @@
         return parts[2]
     raise RequestRefusedError(
         "path_unknown",
-        "There is no such path.",
+        "The path is unknown.",
         status=404,
         remedy="POST to /v1/services/NAME/requests.",
     )
@@ -133,7 +133,7 @@
     if environ.get("REQUEST_METHOD") != method:
         raise RequestRefusedError(
             "method_unknown",
-            "The path does not take this method.",
+            "The path does not support this method.",
             status=405,
             remedy=f"Use {method}.",
         )
--- a/src/jujubeslip/entry/_http_errors.py
+++ b/src/jujubeslip/entry/_http_errors.py
@@ -1,4 +1,4 @@
-"""Refusals of what the HTTP library finds wrong before a call reaches the program."""
+"""Refusals for requests that the HTTP library rejects before they reach the app."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class RefusalTask(ErrorTask):
-    """Answers with the same fields as every other refusal.
+    """Sends an error of the HTTP library with the same fields as other refusals.
 
-    The library would answer with a page of text, in which a client that reads
-    `error_id` and `remedy` from each refusal finds neither.
+    The library itself would answer with a text page, which lacks the `error_id` and
+    `remedy` that clients read from each refusal.
     """
 
     def execute(self) -> None:
@@ -39,7 +39,7 @@
 
 
 class RefusingChannel(HTTPChannel):
-    """A client's connection whose errors are refusals."""
+    """A client connection whose HTTP errors are sent as refusals."""
 
     error_task_class = RefusalTask
 
@@ -48,14 +48,14 @@
     if status == BODY_TOO_LONG:
         return RequestRefusedError(
             "body_too_long",
-            "The body is longer than this entry host takes.",
+            "The body exceeds the size limit of this entry host.",
             status=status,
             remedy="Send less, or ask the operators about `maximum_body_bytes`.",
         )
     if status == HEADERS_TOO_LONG:
         return RequestRefusedError(
             "headers_too_long",
-            "The headers are longer than this entry host takes.",
+            "The headers exceed the size limit of this entry host.",
             status=status,
             remedy="Send fewer or shorter headers.",
         )
@@ -65,5 +65,5 @@
         "http_invalid",
         f"The request is not valid HTTP: {detail[:200]}",
         status=status,
-        remedy="Correct the client, or what stands between it and the entry host.",
+        remedy="Correct the client, or the proxy between it and the entry host.",
     )
--- a/src/jujubeslip/entry/_peer_handler.py
+++ b/src/jujubeslip/entry/_peer_handler.py
@@ -1,4 +1,4 @@
-"""What an entry host answers to the other processes of the system."""
+"""The Thrift service of an entry host for the other processes of the system."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PeerHandler:
-    """The EntryPeer service; each method passes on to the part that knows."""
+    """The EntryPeer service; each method delegates to the responsible component."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         directory: HostDirectory,
         gossip: Gossip,
         homes: Homes,
-        keeper: KeyKeeper,
+        key_owner: KeyKeeper,
         open_requests: OpenRequests,
         configuration: ConfigurationFollower,
         limit_reports: LimitReports,
@@ -43,17 +43,17 @@
         self._directory = directory
         self._gossip = gossip
         self._homes = homes
-        self._keeper = keeper
+        self._key_owner = key_owner
         self._open_requests = open_requests
         self._configuration = configuration
         self._limit_reports = limit_reports
 
     def gossip(self, message: GossipMessage) -> GossipMessage:
-        """Exchange views of the entry hosts."""
+        """Merge a peer's view of the entry hosts and return this host's view."""
         return self._gossip.receive(message)
 
     def reaches(self, host_id: str) -> bool:
-        """Say whether another entry host answers this one."""
+        """Return whether another entry host answers this one."""
         return self._gossip.reaches(host_id)
 
     def hosts_after(self, host_id: str) -> GossipMessage:
@@ -61,66 +61,66 @@
         return self._gossip.hosts_after(host_id)
 
     def announce(self, announcement: Announcement) -> None:
-        """Take an endpoint's announcement, as the home of its pool."""
+        """Record an endpoint's announcement, as the home of its pool."""
         self._homes.announce(announcement)
 
     def reserve(self, request: ReserveRequest) -> ReserveReply:
-        """Grant, refuse, or say that the request waits."""
+        """Grant or refuse a reservation, or report that it is queued."""
         return self._homes.reserve(request)
 
     def withdraw(self, request: ReserveRequest) -> None:
-        """Forget a request whose caller is gone."""
+        """Withdraw the reservation of a request whose caller has disconnected."""
         self._homes.withdraw(request)
 
     def progress(self, progress: GrantProgress) -> None:
-        """Note what became of a grant."""
+        """Record the progress of a grant."""
         self._homes.progress(progress)
 
     def claim_key(self, claim: KeyClaim) -> KeyReply:
-        """Claim an idempotency key, as its keeper."""
-        return self._keeper.claim(claim)
+        """Claim an idempotency key, as its owner."""
+        return self._key_owner.claim(claim)
 
     def finish_key(self, claim: KeyClaim, outcome: bytes) -> None:
-        """Record the answer of a key's run."""
-        self._keeper.finish(claim, outcome)
+        """Record the answer of the request that claimed a key."""
+        self._key_owner.finish(claim, outcome)
 
     def abandon_key(self, claim: KeyClaim) -> None:
-        """Free a key whose run ended without an answer."""
-        self._keeper.abandon(claim)
+        """Release a key whose request ended without an answer."""
+        self._key_owner.abandon(claim)
 
     def closed_requests(
         self, incarnation: int, held: list[HeldRequest]
     ) -> list[HeldRequest]:
-        """Return which of an engine's held requests this process does not serve."""
+        """Return which of an engine's held requests this process no longer serves."""
         if incarnation != self._directory.own.incarnation:
             return held
         return self._open_requests.closed_among(held)
 
     def get_configuration(self, known_revision: int) -> Configuration:
-        """Return the configuration in force here."""
+        """Return the active configuration of this host."""
         return self._configuration.configuration
 
     def report_usage(self, host_id: str, usages: list[LimitUsage]) -> list[LimitShare]:
-        """Return a host's shares of limits, as their keeper."""
+        """Return a host's shares of limits, as the owner of these limits."""
         return self._limit_reports.answer(host_id, usages)
 
     def abandon(self) -> int:
-        """End what a stopping host still serves; return how many requests that were.
+        """Abandon the open requests of a stopping host and return their number.
 
-        Only an operator asks for it, when an answer takes longer than the stop may.
+        Only operators call it, when an answer takes longer than the shutdown may.
         """
         if not self._process.stopping.is_set():
             raise PeerRefusal(
                 "not_stopping",
-                "This entry host is not stopping, so it abandons nothing.",
-                "Stop it with `jujubeslip drain`, then abandon what is left.",
+                "This entry host is not stopping, so no requests were abandoned.",
+                "Stop it with `jujubeslip drain`, then abandon the remaining requests.",
                 0,
             )
         self._process.abandoning.set()
         return self._open_requests.count
 
     def status(self) -> EntryStatus:
-        """Return this host's account of itself, for operators."""
+        """Return the status of this host, for operators."""
         own = self._directory.own
         return EntryStatus(
             own.host_id,
--- a/src/jujubeslip/entry/_process.py
+++ b/src/jujubeslip/entry/_process.py
@@ -1,4 +1,4 @@
-"""The wiring of an entry process."""
+"""Builds, starts and stops the components of an entry process."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 
 logger = logging.getLogger(__name__)
 
-# How long others need to hear that this host is leaving, in seconds.
+# Time for the other hosts to learn by gossip that this host is leaving.
 LEAVE_SECONDS = 1.0
 
 
 class EntryProcess:
-    """Everything that an entry host runs, built in the order in which it is used."""
+    """The components of an entry host, built in the order of their dependencies."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -90,7 +90,7 @@
         self._limits = ClientLimits(lambda: len(self._directory.live_hosts()))
         self._limit_reports = LimitReports(self._directory, self._clients, self._limits)
         self._open_requests = OpenRequests()
-        self._keeper = KeyKeeper(self._directory)
+        self._key_owner = KeyKeeper(self._directory)
         self._http = HttpServer(http_options(settings), self._build_app())
         self._peers = PeerServer(
             settings.peer_listen_address or settings.peer_address,
@@ -135,7 +135,7 @@
             KeeperKeys(
                 self._directory,
                 self._clients,
-                self._keeper,
+                self._key_owner,
                 self._process,
                 has_peers=bool(self._settings.entry_peers),
             ),
@@ -158,32 +158,32 @@
             self._directory,
             self._gossip,
             self._homes,
-            self._keeper,
+            self._key_owner,
             self._open_requests,
             self._configuration,
             self._limit_reports,
         )
 
     def run(self) -> None:
-        """Serve until SIGTERM, then finish what is open and exit with status 0."""
+        """Serve until SIGTERM, then finish the open requests and exit with status 0."""
         self._process.catch_signals()
         self._peers.start()
         self._gossip.start(self._process)
         self._configuration.start(self._process)
         self._homes.start()
         self._limit_reports.start(self._process)
-        KeyCopies(self._directory, self._clients, self._keeper).start(self._process)
+        KeyCopies(self._directory, self._clients, self._key_owner).start(self._process)
         self._http.start(self._process)
         extra = {"http": self._settings.http_address, "peers": self._peers.address}
-        logger.info("entry host serves", extra=extra)
+        logger.info("entry host ready", extra=extra)
         self._process.run(self._drain)
 
     def _drain(self) -> None:
-        """Take no new request, hand the homes over, finish what is open.
+        """Refuse new requests, hand over the homes and finish the open requests.
 
         The port is closed only after LEAVE_SECONDS. Until then new requests are
-        refused with a truthful "not run"; a port that closes at once resets the
-        connections that wait to be accepted.
+        refused as "not run". Closing the port at once would reset the connections
+        that wait to be accepted.
         """
         self._directory.leave()
         self._process.stopped.wait(LEAVE_SECONDS)
@@ -194,7 +194,7 @@
 
 
 def http_options(settings: EntrySettings) -> HttpServerOptions:
-    """Return the bounds of the server for clients and endpoints."""
+    """Return the options of the HTTP server for clients and endpoints."""
     return HttpServerOptions(
         address=settings.http_address,
         threads=settings.http_threads,
--- a/src/jujubeslip/entry/_responses.py
+++ b/src/jujubeslip/entry/_responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers of the entry host: JSON, plain services' answers, refusals, events."""
+"""HTTP responses of the entry host: JSON, plain answers, refusals and events."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     content_type: str,
     headers: Iterable[tuple[str, str]] = (),
 ) -> None:
-    """Send the status and the headers."""
+    """Start a response with its status and headers."""
     reason = REASON_BY_STATUS.get(status, "Status")
     head = [("Content-Type", content_type), ("Cache-Control", "no-store"), *headers]
     start_response(f"{status} {reason}", head)
@@ -49,7 +49,7 @@
     fields: object,
     headers: Iterable[tuple[str, str]] = (),
 ) -> Iterable[bytes]:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     body = json.dumps(fields).encode()
     length = ("Content-Length", str(len(body)))
     start_answer(start_response, status, JSON_TYPE, [length, *headers])
@@ -61,14 +61,14 @@
     answer: PlainServiceAnswer,
     headers: list[tuple[str, str]],
 ) -> Iterable[bytes]:
-    """Return the answer of a plain service as it came."""
+    """Return the answer of a plain service unchanged."""
     length = ("Content-Length", str(len(answer.body)))
     start_answer(start_response, answer.status, answer.content_type, [length, *headers])
     return [answer.body]
 
 
 def refusal_fields(refusal: RequestRefusedError, request_id: str) -> dict[str, object]:
-    """Return a refusal as clients read it."""
+    """Return the JSON fields of a refusal."""
     return {
         "error_id": refusal.error_id,
         "message": refusal.message,
@@ -82,7 +82,7 @@
 def refuse(
     start_response: StartResponse, refusal: RequestRefusedError, request_id: str
 ) -> Iterable[bytes]:
-    """Return a refusal as an answer of its own."""
+    """Return a refusal as a complete HTTP response."""
     headers = []
     if refusal.retry_after is not None:
         headers.append(("Retry-After", f"{max(1, math.ceil(refusal.retry_after))}"))
@@ -98,11 +98,11 @@
 
 
 def internal_refusal() -> RequestRefusedError:
-    """Return the refusal of a call that failed in a way nobody foresaw."""
+    """Return the refusal for a call that failed with an unexpected exception."""
     return RequestRefusedError(
         "internal",
         "The entry host failed on this request.",
         status=INTERNAL_STATUS,
         ran=Ran.UNKNOWN,
-        remedy="Report it with the request id; the entry host's log says more.",
+        remedy="Report it with the request id; see the entry host's log for details.",
     )
--- a/tests/entry/support.py
+++ b/tests/entry/support.py
@@ -1,4 +1,4 @@
-"""Steps that the tests of bad input share."""
+"""Helpers shared by the tests of invalid input."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def strict_system() -> ClusterSpec:
-    """Return a system with small limits that logs everything."""
+    """Return a system with low limits that logs at the DEBUG level."""
     plain = PlainSpec("plain-1", "confirmations")
     endpoints: tuple[EngineSpec | PlainSpec, ...] = (*model_endpoints(), plain)
     return small_system(
@@ -46,7 +46,7 @@
     headers: dict[str, str] | None = None,
     method: str = "POST",
 ) -> tuple[int, dict]:
-    """Send a body as it is, and return the status and the error of the answer."""
+    """Send a raw body and return the status and the error of the response."""
     address = cluster.http_address_by_id["entry-1"]
     connection = http.client.HTTPConnection(address, timeout=WAIT_SECONDS)
     head = {"Authorization": f"Bearer {key}", **(headers or {})}
@@ -59,7 +59,7 @@
 
 
 def raw_head(length: int) -> bytes:
-    """Return the head of a request whose body has this many bytes."""
+    """Return the head of a request with this content length."""
     return (
         f"POST {REQUESTS} HTTP/1.1\r\nHost: entry\r\n"
         f"Authorization: Bearer {CLIENT_KEY}\r\nContent-Length: {length}\r\n\r\n"
@@ -72,8 +72,8 @@
     return socket.create_connection((host, int(port)), WAIT_SECONDS)
 
 
-def check_unharmed(cluster: Cluster) -> None:
-    """Check that another client is served, and that nothing stays held."""
+def check_unaffected(cluster: Cluster) -> None:
+    """Check that another client is served and that no resource stays held."""
     address = cluster.client_address("entry-1")
     assert_whole(ask(address, SERVICE, model_message()))
     wait_until(
@@ -84,7 +84,7 @@
 
 
 def check_error(error: dict, error_id: str) -> None:
-    """Check that an error says what happened and what to do about it."""
+    """Check that an error has its id, a message and a remedy, and says `not run`."""
     assert error["error_id"] == error_id, error
     assert error["ran"] == "no"
     assert error["message"]
@@ -92,5 +92,5 @@
 
 
 def body(**fields: object) -> bytes:
-    """Return a request with some of its fields replaced."""
+    """Return a request body with some of its fields replaced."""
     return json.dumps({**model_message(), **fields}).encode()
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input is refused clearly, holds nothing, and harms no other client."""
+"""Invalid input is refused with a clear error and affects no other client."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     REQUESTS,
     body,
     check_error,
-    check_unharmed,
+    check_unaffected,
     connect,
     send,
     strict_system,
@@ -64,11 +64,11 @@
         yield cluster
 
 
-class TestRequestThatCanNotBeRead:
-    """A client sends what is no request; others stream from the same entry host.
+class TestInvalidRequest:
+    """A client sends an invalid request while others stream from the same entry host.
 
-    The caller must learn what to correct, and not see a bare "500" that sends it to
-    the operators. No endpoint hears of it, and the streams go on.
+    The error must say what to correct. A plain "500" would make the caller turn to the
+    operators. No endpoint receives the request, and the streams continue.
     """
 
     @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
         check_error(error, "request_invalid")
 
     @pytest.mark.parametrize("accept", ["\u00e9", "*/*"])
-    def test_headers_that_say_nothing_do_no_harm(
+    def test_malformed_optional_headers_are_ignored(
         self, cluster: Cluster, accept: str
     ) -> None:
         headers = {
@@ -139,9 +139,7 @@
         address = cluster.client_address("entry-1")
         assert_whole(ask(address, SERVICE, model_message(), headers))
 
-    def test_leaves_streams_alone_and_reaches_no_endpoint(
-        self, cluster: Cluster
-    ) -> None:
+    def test_affects_no_stream_and_reaches_no_endpoint(self, cluster: Cluster) -> None:
         cluster.order_faults("prefill-1", pause_phase="prefill")
         call = open_call(cluster, "entry-1", "beside")
         wait_in_phase(cluster, "beside", "prefill")
@@ -151,7 +149,7 @@
         assert self._runs(cluster) == before
         cluster.order_faults("prefill-1", resume_phase="prefill")
         assert_whole(call.answer())
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
     def _runs(self, cluster: Cluster) -> int:
         return sum(
@@ -160,37 +158,37 @@
         )
 
 
-class TestRequestThatIsTooLong:
-    """A client sends more than an entry host takes: it is told which limit it met.
+class TestOversizedRequest:
+    """A client sends more than an entry host accepts; the error names the limit.
 
-    The HTTP library refuses it before the program sees it, with a page of text. A
-    client that reads `error_id` and `remedy` from each refusal would find none.
+    The HTTP library rejects such a request before the application sees it. Its text
+    page lacks the `error_id` and `remedy` that clients read from each refusal.
     """
 
-    def test_in_its_body(self, cluster: Cluster) -> None:
+    def test_body(self, cluster: Cluster) -> None:
         status, error = send(cluster, body(prompt="w " * BODY_BYTES))
         assert status == 413
         check_error(error, "body_too_long")
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
-    def test_in_its_headers(self, cluster: Cluster) -> None:
+    def test_headers(self, cluster: Cluster) -> None:
         status, error = send(cluster, body(), headers={"X-Long": "h" * 40_000})
         assert status == 431
         check_error(error, "headers_too_long")
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
-    def test_or_is_no_http(self, cluster: Cluster) -> None:
+    def test_content_length_that_is_no_number(self, cluster: Cluster) -> None:
         with connect(cluster) as connection:
             connection.sendall(b"POST / HTTP/1.1\r\nContent-Length: many\r\n\r\n")
             response = http.client.HTTPResponse(connection)
             response.begin()
             assert response.status == 400
             check_error(json.loads(response.read())["error"], "http_invalid")
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
 
-class TestCallerThatIsNotKnown:
-    """Someone calls with a wrong key or secret, or for what is not there."""
+class TestUnauthorizedCaller:
+    """A caller uses a wrong key or secret, or an unknown service, path or method."""
 
     @pytest.mark.parametrize("key", ["", WRONG_KEY, "\u00e9", ENDPOINT_SECRET])
     def test_client_account(self, cluster: Cluster, key: str) -> None:
@@ -247,16 +245,16 @@
         assert command.wait() == 1
         assert "peer_not_authorized" in command.output()
 
-    def test_peer_that_speaks_something_else(self, cluster: Cluster) -> None:
+    def test_peer_with_another_protocol(self, cluster: Cluster) -> None:
         host, port = cluster.peer_address_by_id["entry-1"].split(":")
         for content in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, b"\0\0\0\x04abcd"):
             with socket.create_connection((host, int(port))) as connection:
                 connection.sendall(content)
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
 
-class TestAnnouncementThatCanNotBeUsed:
-    """An endpoint with the right secret announces nonsense."""
+class TestInvalidAnnouncement:
+    """An endpoint with the right secret sends an invalid announcement."""
 
     @pytest.mark.parametrize(
         "changes",
@@ -289,9 +287,9 @@
 
 
 class TestLogs:
-    """Keys and secrets are in no log, also at the level with the most detail."""
+    """No log contains keys or secrets, not even at the DEBUG level."""
 
-    def test_hold_no_key(self, cluster: Cluster) -> None:
+    def test_contain_no_secrets(self, cluster: Cluster) -> None:
         send(cluster, body(), key=WRONG_KEY)
         send(cluster, b"{", ENDPOINTS, WRONG_KEY)
         assert_whole(ask(cluster.client_address("entry-2"), SERVICE, model_message()))
--- a/tests/entry/test_planned_stops.py
+++ b/tests/entry/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off no request in flight."""
+"""A planned shutdown interrupts no request in flight."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def open_streams(cluster: Cluster, host: str, name: str, count: int) -> list[Future]:
-    """Open streams that stand still in decode; the futures are their answers."""
+    """Open streams that are paused in decode; the futures return their answers."""
     futures = []
     for number in range(count):
         call = open_call(cluster, host, f"{name}-{number}")
@@ -83,7 +83,7 @@
 
 
 def wait_refused(cluster: Cluster, host: str) -> None:
-    """Wait until the entry host takes no new connection."""
+    """Wait until the entry host refuses new connections."""
 
     def refused() -> bool:
         address = cluster.http_address_by_id[host]
@@ -93,24 +93,25 @@
         except ConnectionRefusedError:
             return True
         except ConnectionResetError:
-            # It came just as the listening socket was closed.
+            # The connection was queued when the listening socket was closed.
             return False
         finally:
             connection.close()
         return False
 
-    wait_until(refused, f"{host} listens no more", WAIT_SECONDS)
+    wait_until(refused, f"{host} stops listening", WAIT_SECONDS)
 
 
 class TestEntryHostWithOpenStreams:
     """An entry host gets SIGTERM while clients read long answers from it.
 
-    A host that ended at once would cut them all off, and the balancer would send it
-    new requests until it noticed. It fails its readiness, listens no more, and ends
-    with status 0 once the last answer has left, however often it is told.
+    A host that exited at once would interrupt all of them, and the load balancer would
+    send it new requests until it noticed. Instead it reports not ready, stops
+    listening, and exits with status 0 after the last answer, however many signals it
+    gets.
     """
 
-    def test_finishes_them_and_takes_no_new_one(
+    def test_finishes_them_and_refuses_new_requests(
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         _, host, other = hosts
@@ -144,7 +145,7 @@
         response = connection.getresponse()
         return response.status, json.loads(response.read()).get("error", {})
 
-    def test_finishes_answers_that_are_sent_in_one_piece(
+    def test_finishes_unstreamed_answers(
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         _, host, _ = hosts
@@ -161,15 +162,15 @@
         assert process.wait() == 0
 
 
-class TestLastBytes:
-    """The last request of a stopping host has ended, its bytes are not sent yet.
+class TestUnsentBytes:
+    """The last request of a stopping host has ended, but its bytes are not sent yet.
 
     The host counts a request as ended before the HTTP library has written the end of
-    its answer. If it exited then, the client would read an answer that is cut. So it
-    waits for the threads that serve calls as well as for unsent bytes.
+    its answer. If it exited then, the client would read a truncated answer. So it
+    waits for the threads that serve calls and for unsent bytes.
     """
 
-    def test_are_waited_for(self) -> None:
+    def test_delay_the_exit(self) -> None:
         ended, written = threading.Event(), threading.Event()
 
         class Body:
@@ -200,11 +201,11 @@
         finally:
             written.set()
             process.stopped.set()
-            _end(server)
+            _stop_server(server)
 
 
-def _end(server: HttpServer) -> None:
-    """Let the server's task end, which only the end of the process does otherwise."""
+def _stop_server(server: HttpServer) -> None:
+    """End the server's task, which otherwise runs until the process exits."""
     inner = server._server
     inner.trigger.pull_trigger(lambda: wasyncore.close_all(inner._map, True))
 
@@ -227,15 +228,15 @@
     return connection.getresponse().read()
 
 
-class TestHomeOfBusyEndpoints:
+class TestHomeWithQueue:
     """The home of the engines gets SIGTERM while it has a queue.
 
-    Clients of other entry hosts wait for its grants and stream on engines that it
-    granted. Its end may cut off none of them: those that wait ask the next home,
-    which counts what the engines hold already.
+    Clients of other entry hosts wait for its grants and stream from engines that it
+    granted. Its shutdown must interrupt none of them: the waiting requests go to the
+    next home, which accounts for what the engines hold already.
     """
 
-    def test_hands_its_queue_over(
+    def test_hands_over_its_queue(
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         home, other, third = hosts
@@ -253,7 +254,7 @@
         process.terminate()
         wait_until(
             lambda: _queued(cluster, home) == 0,
-            "nobody waits at the old home any more",
+            "no request waits at the old home",
             WAIT_SECONDS,
         )
         resume(cluster, "prefill")
@@ -264,14 +265,15 @@
 
 
 class TestAbandon:
-    """An operator ends a stop early, since an answer takes too long to wait for.
+    """An operator ends a shutdown early, because an answer takes too long.
 
-    Each caller is told what became of its request. Those that wait were not run, and
-    may be sent elsewhere at once. What has reached an endpoint may have run: said to
-    be "not run", a shift confirmation would be sent again and be made twice.
+    Each caller gets an error that says whether its request ran. Waiting requests did
+    not run and may be sent elsewhere at once. A request that reached an endpoint may
+    have run: if it were reported as "not run", the client would resend a shift
+    confirmation, and it would be made twice.
     """
 
-    def test_tells_each_caller_the_truth(
+    def test_reports_whether_each_request_ran(
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         _, host, _ = hosts
@@ -322,7 +324,7 @@
         arguments += ["--entry", cluster.peer_address_by_id[host]]
         return ManagedProcess("drain", "jujubeslip.cli", arguments, cluster.folder)
 
-    def test_is_refused_by_a_host_that_goes_on(
+    def test_is_refused_by_a_host_that_is_not_stopping(
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         _, host, _ = hosts
@@ -339,15 +341,15 @@
         assert_whole(stream.result())
 
 
-class TestEngineThatIsDrained:
+class TestDrainedEngine:
     """An engine gets SIGTERM while it computes and streams for clients.
 
-    It announces that it leaves and ends once it holds nothing. Its requests are let
-    finish there, the new ones go to the other engine of its role.
+    It announces that it is leaving and exits once it holds no request. Its requests
+    finish there, and new ones go to the other engine of its role.
     """
 
     @pytest.mark.parametrize("phase", ["prefill", "decode"])
-    def test_finishes_what_it_has(
+    def test_finishes_its_requests(
         self, cluster: Cluster, hosts: tuple[str, str, str], phase: str
     ) -> None:
         _, host, other = hosts
@@ -356,10 +358,14 @@
         for number in range(4):
             name = f"drained-{phase}-{number}"
             calls.append(in_background(open_call(cluster, host, name).answer))
-        leaver = wait_until(lambda: engines_in(cluster, phase), f"{phase} runs")[0]
-        process = cluster.process_by_name[leaver]
+        leaving_engine = wait_until(
+            lambda: engines_in(cluster, phase), f"{phase} runs"
+        )[0]
+        process = cluster.process_by_name[leaving_engine]
         process.terminate()
-        wait_until(lambda: _leaves(cluster, leaver), f"{leaver} leaves")
+        wait_until(
+            lambda: _is_leaving(cluster, leaving_engine), f"{leaving_engine} leaves"
+        )
         resume(cluster, phase)
         for future in calls:
             assert_whole(future.result())
@@ -369,7 +375,7 @@
             assert_whole(answer)
 
 
-def _leaves(cluster: Cluster, endpoint_id: str) -> bool:
+def _is_leaving(cluster: Cluster, endpoint_id: str) -> bool:
     return bool(cluster.endpoint_call(endpoint_id, "GET", "/v1/status")["leaving"])
 
 
--- a/tests/entry/test_slow_clients.py
+++ b/tests/entry/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Requests that never arrive whole hold nothing and harm no other client."""
+"""Requests that are never completed hold no resources and affect no other client."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from tests.entry.support import (
     RECEIVE_MS,
-    check_unharmed,
+    check_unaffected,
     connect,
     raw_head,
     strict_system,
@@ -30,26 +30,26 @@
         yield cluster
 
 
-class TestRequestThatNeverArrivesWhole:
-    """A client stops half-way, or sends a byte a second, as some do by the hundred.
+class TestIncompleteRequest:
+    """Clients stop in the middle of a request, or hundreds send a byte a second.
 
-    Each such connection would be held for hours, and no thread or connection would
-    be left for others. It is closed after the receive timeout; nothing has been
-    started for it.
+    Without a receive timeout each such connection would be held for hours, and no
+    thread or connection would be left for others. It is closed after the timeout, and
+    no work has been started for it.
     """
 
-    def test_is_forgotten_when_the_client_goes(self, cluster: Cluster) -> None:
+    def test_is_dropped_when_the_client_disconnects(self, cluster: Cluster) -> None:
         with connect(cluster) as connection:
             connection.sendall(raw_head(100) + b'{"prompt": "half')
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
-    def test_is_closed_when_the_client_stands_still(self, cluster: Cluster) -> None:
+    def test_is_closed_when_the_client_stalls(self, cluster: Cluster) -> None:
         with connect(cluster) as connection:
             connection.sendall(raw_head(100) + b'{"prompt": "half')
             assert connection.recv(100) == b""
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
-    def test_slow_clients_by_the_hundred_harm_no_other(self, cluster: Cluster) -> None:
+    def test_hundreds_of_slow_clients_affect_no_other(self, cluster: Cluster) -> None:
         clients = [connect(cluster) for _ in range(SLOW_CLIENTS)]
         started = time.monotonic()
         head = raw_head(100)
@@ -68,7 +68,7 @@
         finally:
             for client in clients:
                 client.close()
-        check_unharmed(cluster)
+        check_unaffected(cluster)
 
     def _send_byte(
         self, clients: list[socket.socket], byte: bytes
