--- a/src/jujubeslip/membership/__init__.py
+++ b/src/jujubeslip/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry hosts live, learned by probes and gossip, and which owns what."""
+"""Membership of entry hosts by probes and gossip, and ownership of pools and keys."""
 
 from jujubeslip.membership._directory import HostDirectory
 from jujubeslip.membership._gossip import Gossip
--- a/src/jujubeslip/membership/_directory.py
+++ b/src/jujubeslip/membership/_directory.py
@@ -1,4 +1,4 @@
-"""What this host knows of the entry hosts, and until when it may rely on it."""
+"""This host's view of the entry hosts, valid while its lease on the view holds."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 class HostDirectory:
     """The entry hosts by id, as this host sees them.
 
-    `address_by_id` holds addresses that go before those that hosts give of themselves.
+    The addresses in `address_by_id` override those that the hosts announce.
     """
 
     def __init__(
@@ -38,41 +38,41 @@
         return self._table.own
 
     @property
-    def lapsed(self) -> bool:
-        """Say whether this host may have missed news and needs a full exchange."""
-        return self._lease.lapsed
+    def view_expired(self) -> bool:
+        """Return whether this host may have missed updates and needs a full list."""
+        return self._lease.view_expired
 
     @property
     def hears_others(self) -> bool:
-        """Say whether this host's view of the others may be relied on now."""
+        """Return whether this host's view of the others is valid now."""
         with self._lock:
             return self._lease.valid
 
     @property
     def alone(self) -> bool:
-        """Say whether this host knows others and hears none of them."""
+        """Return whether this host knows others but its view of them is invalid."""
         with self._lock:
             return bool(self._table.record_by_id) and not self._lease.valid
 
     @property
     def superseded(self) -> bool:
-        """Say whether a later incarnation of this host runs, so that this must stop."""
+        """Return whether a later incarnation of this host runs and this must stop."""
         return self._table.superseded
 
-    def beat(self, configuration_revision: int) -> None:
-        """Let deadlines take effect, and tell of a new revision; call it often."""
+    def tick(self, configuration_revision: int) -> None:
+        """Apply expired deadlines and announce a new revision; call it often."""
         with self._lock:
             self._lease.tick()
             if self.own.configuration_revision != configuration_revision:
                 self.own.configuration_revision = configuration_revision
                 self._table.raise_heartbeat()
             if self._lease.valid:
-                self._table.bury_suspects()
-            self._table.forget_old()
+                self._table.expire_suspects()
+            self._table.remove_expired()
             self._refresh()
 
     def leave(self) -> None:
-        """Say from now on that this host is leaving; final for its incarnation."""
+        """Announce that this host is leaving; this is final for its incarnation."""
         with self._lock:
             self.own.status = HostStatus.LEAVING
             self._table.raise_heartbeat()
@@ -80,129 +80,133 @@
             self._refresh()
 
     def take_urgent(self) -> bool:
-        """Say, once, whether something changed that the neighbours must hear now."""
+        """Return and reset whether the neighbours must get a change at once."""
         with self._lock:
             urgent, self._table.urgent = self._table.urgent, False
             return urgent
 
-    # What this host hears and finds out
+    # Updates from peers and from probes
 
     def merge(self, states: Iterable[HostState]) -> None:
-        """Take over what is newer than what this host knows."""
+        """Merge the states that are newer than the known ones."""
         with self._lock:
             for state in states:
                 self._table.merge(state)
             self._refresh()
 
     def suspect(self, host_id: str) -> None:
-        """Suspect a host that neither this host nor its helpers could reach."""
+        """Mark a host as suspected that neither this host nor its helpers reached."""
         with self._lock:
             self._table.suspect(host_id)
             self._refresh()
 
-    def is_sound(self, host_id: str) -> bool:
-        """Say whether a host is known here and neither suspected nor dead."""
+    def is_healthy(self, host_id: str) -> bool:
+        """Return whether a host is known here and neither suspected nor dead."""
         with self._lock:
             record = self._table.record_by_id.get(host_id)
-            return record is not None and record.sound
+            return record is not None and record.healthy
 
-    def note_reached(self, host_id: str, reached: bool) -> None:
-        """Note whether this host itself got an answer from another one."""
+    def record_reachability(self, host_id: str, reached: bool) -> None:
+        """Record whether this host itself got an answer from another one."""
         with self._lock:
-            self._table.note_reached(host_id, reached)
+            self._table.record_reachability(host_id, reached)
             self._refresh()
 
     def renew_lease(self, asked_at: float) -> None:
-        """Note an answer of a peer that was asked at this monotonic instant."""
+        """Renew the lease by a peer's answer to a call sent at this monotonic time."""
         with self._lock:
             self._lease.renew(asked_at)
 
     def take_full_list(
         self, live: Iterable[HostState], asked_at: float, complete: bool
     ) -> None:
-        """Compare with all live hosts that a peer knows, or take them over.
+        """Apply a peer's list of all live hosts, or compare it with this host's view.
 
-        `complete` says that the peer's own view held. A host whose view lapsed gives
-        each host that is not listed the time of a suspicion to be heard of. Else a
-        difference only makes this host probe: a list from the other side of a network
-        partition can't take hosts away.
+        `complete` means that the peer's own view is valid. If this host's view has
+        expired, each host that is not listed is suspected, and is dead unless it
+        refutes that in time. Otherwise a difference only makes this host probe, so
+        that a list from the other side of a network partition removes no host.
         """
         with self._lock:
             listed = [state.host_id for state in live]
-            if self._lease.lapsed:
+            if self._lease.view_expired:
                 if self._lease.restore(asked_at, complete) and complete:
                     self._table.suspect_unlisted(listed)
             elif complete:
-                self._table.doubt_differences(listed)
+                self._table.verify_differences(listed)
             self._refresh()
 
-    def take_doubted(self) -> str | None:
-        """Return one host to probe now, or None."""
+    def pop_host_to_verify(self) -> str | None:
+        """Remove and return one host to probe now, or None."""
         with self._lock:
-            doubted = self._table.doubted
-            return doubted.pop() if doubted else None
+            hosts_to_verify = self._table.hosts_to_verify
+            return hosts_to_verify.pop() if hosts_to_verify else None
 
     # Views
 
     def _refresh(self) -> None:
-        """Compute anew what the readers ask for, if something changed."""
+        """Recompute the cached views if a record changed."""
         if not self._table.changed:
             return
         self._table.changed = False
         own = copy(self.own)
         records = self._table.record_by_id.values()
-        seen = [own, *(record.seen() for record in records if not record.dead)]
-        live = [state for state in seen if state.status == HostStatus.ALIVE]
-        suspected = [state for state in seen if state.status == HostStatus.SUSPECT]
+        visible = [
+            own,
+            *(record.local_state() for record in records if not record.dead),
+        ]
+        live = [state for state in visible if state.status == HostStatus.ALIVE]
+        suspected = [state for state in visible if state.status == HostStatus.SUSPECT]
         unreachable = {
             record.state.host_id
             for record in records
             if record.unreachable_until is not None
         }
         self._view = LiveView(live or [own], unreachable, suspected)
-        self._view_alone = LiveView([own], set())
+        self._single_host_view = LiveView([own], set())
         self._digest = self._table.digest()
-        self._successor_by_ring = successors(own, seen[1:])
+        self._successor_by_ring = successors(own, visible[1:])
 
     def _current_view(self) -> LiveView:
         with self._lock:
-            return self._view if self._lease.valid else self._view_alone
+            return self._view if self._lease.valid else self._single_host_view
 
     def states(self) -> list[HostState]:
-        """Return all known hosts with their status as this host sees it."""
+        """Return all known hosts with their status in this host's view."""
         with self._lock:
             best = self._lease.best_status
             states = [copy(self.own)]
             for record in self._table.record_by_id.values():
-                state = record.seen()
+                state = record.local_state()
                 state.status = _worse(record.status, best)
                 states.append(state)
             return states
 
     def live_hosts(self) -> list[HostState]:
-        """Return the hosts to rely on: not dead, suspected, leaving or unreachable."""
+        """Return the usable hosts: not dead, suspected, leaving or unreachable."""
         return list(self._current_view().reachable)
 
-    def home_of(self, service: str, place: str) -> HostState:
+    def home_of(self, service: str, locality: str) -> HostState:
         """Return the home of a service's endpoints in a zone or region.
 
-        Hosts of that place come first, so that a zone that is cut off keeps its homes.
+        Hosts of that zone or region come first, so that a partitioned zone keeps its
+        homes.
         """
-        return self.homes_of(service, place)[0]
+        return self.homes_of(service, locality)[0]
 
-    def homes_of(self, service: str, place: str) -> list[HostState]:
+    def homes_of(self, service: str, locality: str) -> list[HostState]:
         """Return the home of a service's endpoints, and its standby if there is one."""
-        return self._current_view().homes_of(service, place)
+        return self._current_view().homes_of(service, locality)
 
     def keepers_of(self, key: str, count: int) -> list[HostState]:
-        """Return the hosts that keep what is known of a client's key, owner first."""
+        """Return the hosts that store the state of a key, the primary owner first."""
         return self._current_view().keepers_of(key, count)
 
     def status_of(self, host_id: str, incarnation: int) -> HostStatus:
         """Return the status of one incarnation; an older one is dead.
 
-        While this host may have missed news nobody is dead: what a living host holds
-        at an engine would be cancelled.
+        While this host may have missed updates, no host counts as dead. Otherwise the
+        requests that a live host holds at an engine could be cancelled.
         """
         with self._lock:
             if host_id == self.own.host_id:
@@ -234,49 +238,51 @@
                     return host_id
             return None
 
-    # What gossip and the probes ask for
+    # Data for gossip messages and probes
 
     @property
     def view_digest(self) -> int:
-        """Return the digest of the live hosts, or 0 while the view has lapsed."""
+        """Return the digest of the live hosts, or 0 while the view is invalid."""
         with self._lock:
             return self._digest if self._lease.valid else 0
 
     @property
-    def has_news(self) -> bool:
-        """Say whether there are changes still to be told."""
+    def has_updates(self) -> bool:
+        """Return whether there are updates still to be sent."""
         with self._lock:
-            return bool(self._table.news)
+            return bool(self._table.updates)
 
     def states_for(self, host_id: str) -> list[HostState]:
-        """Return what to tell a host: this one's state, doubts of it, some news.
+        """Return the states to send to a host.
 
-        A host whose view lapsed tells no news: it may be what was true before.
+        These are this host's own state, a suspicion of the receiver so that it can
+        refute it, and some updates. While the view is invalid no updates are sent,
+        because they may be outdated.
         """
         with self._lock:
             states = {self.own.host_id: copy(self.own)}
             record = self._table.record_by_id.get(host_id)
-            if record is not None and not record.sound:
-                states[host_id] = record.told()
+            if record is not None and not record.healthy:
+                states[host_id] = record.gossip_state()
             if self._lease.valid:
-                for state in self._table.news_states():
+                for state in self._table.next_updates():
                     states.setdefault(state.host_id, state)
             return list(states.values())
 
     def page_after(self, host_id: str) -> list[HostState]:
-        """Return the next live hosts in order of their ids; none behind the last."""
+        """Return the next live hosts ordered by id; empty after the last one."""
         with self._lock:
             if self._lease.valid:
                 return self._table.page_after(host_id)
             return [copy(self.own)] if self.own.host_id > host_id else []
 
     def neighbours(self) -> dict[str, HostState]:
-        """Return the host to probe on each ring; a ring without others is left out."""
+        """Return the host to probe on each ring; rings without others are left out."""
         with self._lock:
             return dict(self._successor_by_ring)
 
-    def helpers_against(self, host_id: str, count: int) -> list[HostState]:
-        """Return hosts to ask whether they reach one that this host can't reach."""
+    def helpers_for(self, host_id: str, count: int) -> list[HostState]:
+        """Return random hosts to ask whether they reach one that this one can't."""
         with self._lock:
             others = [
                 state for state in self._view.reachable if state.host_id != host_id
@@ -285,7 +291,7 @@
         return random.sample(others, min(count, len(others)))
 
     def addresses(self, *, lost: bool = False) -> list[str]:
-        """Return the addresses of all known hosts, or of those that are dead."""
+        """Return the addresses of all known hosts, or only of dead ones if `lost`."""
         with self._lock:
             return [
                 record.address
--- a/src/jujubeslip/membership/_gossip.py
+++ b/src/jujubeslip/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""The tasks that keep a host's view of the others fresh, at a cost that stays level."""
+"""Tasks that keep a host's view current, at a cost independent of the host count."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.25
-# Each ring's successor is probed this often, in seconds, give or take a fifth.
+# Seconds between probes of each ring's successor, varied by JITTER.
 PROBE_INTERVAL = 1.25
 JITTER = 0.2
-# How often one of many lost hosts is tried again, in seconds; of few, less often, so
-# that all hosts together try each one about RECONTACT_RATE times a second.
+# Minimum seconds between attempts to contact a lost host. With few lost hosts the time
+# is longer: all hosts together try each one about RECONTACT_RATE times a second.
 RECONTACT_SECONDS = 2.0
 RECONTACT_RATE = 4.0
-# At most one full list is read in this time to look for a difference.
+# Minimum seconds between full lists that are read to compare views.
 COMPARE_SECONDS = 2.0
 
 
 class Gossip:
-    """Probes this host's successors on a few rings and spreads news with the probes.
+    """Probes this host's successors on a few rings and sends updates with the probes.
 
-    One task for each ring, so that a successor that doesn't answer holds up no other.
+    Each ring has its own task, so that a silent successor delays no other probe.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         self._process = process
         process.repeat(TICK_SECONDS, self._tick)
         process.repeat(TICK_SECONDS, self._restore_view)
-        process.repeat(TICK_SECONDS, self._settle_doubts)
+        process.repeat(TICK_SECONDS, self._verify_hosts)
         for ring in RINGS:
             process.start_task(self._probe_ring, ring)
 
-    # What peers ask
+    # Calls from peers
 
     def receive(self, message: GossipMessage) -> GossipMessage:
-        """Merge what a peer tells and return what it should hear."""
+        """Merge a peer's states and return the states to send to it."""
         self._directory.merge(message.hosts)
         return self._prober.message_for(message.sender_id)
 
     def reaches(self, host_id: str) -> bool:
-        """Say whether a host answers this one, for a peer that it doesn't answer."""
+        """Return whether a host answers this one, for a peer that it doesn't answer."""
         address = self._directory.address_of(host_id)
         return bool(address and self._prober.exchange(address, host_id))
 
@@ -85,9 +85,9 @@
     # Tasks
 
     def _tick(self) -> None:
-        self._directory.beat(self._configuration_revision())
+        self._directory.tick(self._configuration_revision())
         if self._directory.superseded and not self._process.stopping.is_set():
-            logger.error("a later incarnation of this host runs; this one stops")
+            logger.error("host stops: a later incarnation of it runs")
             self._process.request_stop()
         if not self._directory.take_urgent():
             return
@@ -102,7 +102,7 @@
 
     def _probe_ring(self, ring: str) -> None:
         stopped = self._process.stopped
-        # The first wait differs, so that the probes of the rings don't coincide.
+        # A random first wait spreads the probes of the rings over the interval.
         wait = PROBE_INTERVAL * self._random.random()
         while not stopped.wait(wait):
             neighbour = self._directory.neighbours().get(ring)
@@ -117,44 +117,44 @@
             self._follow_up(address, reply)
 
     def _follow_up(self, address: str, reply: GossipMessage) -> None:
-        """Fetch what an answer shows to be missing here."""
+        """Fetch a newer configuration or a full list if the reply differs."""
         if reply.configuration_revision > self._configuration_revision():
             self._on_newer_configuration(address)
         digests = (reply.view_digest, self._directory.view_digest)
         if digests[0] == digests[1] or 0 in digests:
             return
-        # While news is on its way the views differ for a moment anyway.
-        settled = not self._directory.has_news and len(reply.hosts) == 1
+        # Views differ briefly while updates are in transit, so these are not compared.
+        settled = not self._directory.has_updates and len(reply.hosts) == 1
         if settled and self._compare_at.expired:
             self._compare_at = Deadline.after(COMPARE_SECONDS)
             self._prober.read_full_list(address)
 
     def _restore_view(self) -> None:
-        """After a start, a freeze or a silence, read all live hosts from a peer."""
-        if not self._directory.lapsed:
+        """Read all live hosts from a peer after a start, a freeze or a silence."""
+        if not self._directory.view_expired:
             return
         addresses = set(self._directory.addresses()) | set(self._seeds)
         addresses.discard(str(self._directory.own.address))
         if not addresses:
             return
         address = self._random.choice(sorted(addresses))
-        # The exchange tells the peer of this host, which a page does not.
+        # The exchange announces this host to the peer; reading a page does not.
         reply = self._prober.exchange(address)
         if reply is not None and self._prober.read_full_list(address):
             self._follow_up(address, reply)
 
-    def _settle_doubts(self) -> None:
-        host_id = self._directory.take_doubted()
+    def _verify_hosts(self) -> None:
+        host_id = self._directory.pop_host_to_verify()
         if host_id is not None:
             self._probe(host_id)
         elif self._recontact_at.expired:
             self._recontact_at = Deadline.after(self._recontact())
 
     def _recontact(self) -> float:
-        """Try a host that is lost, and return the seconds until the next try.
+        """Try to contact a lost host and return the seconds until the next attempt.
 
-        So a healed network partition is found. An answer makes both sides raise their
-        heartbeats, and the hosts of both sides hear of it.
+        This detects that a network partition has healed. An answer makes both sides
+        raise their heartbeats, and gossip spreads them to the hosts of both sides.
         """
         known = set(self._directory.addresses())
         lost = set(self._directory.addresses(lost=True)) | (set(self._seeds) - known)
@@ -168,4 +168,4 @@
     def _note_unavailable(self, address: str) -> None:
         host_id = self._directory.host_at(address)
         if host_id is not None:
-            self._directory.note_reached(host_id, False)
+            self._directory.record_reachability(host_id, False)
--- a/src/jujubeslip/membership/_peers.py
+++ b/src/jujubeslip/membership/_peers.py
@@ -1,4 +1,4 @@
-"""Clients of the entry hosts, one for each peer address."""
+"""Clients for calls to entry hosts, one for each peer address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PeerClients:
-    """Opens and keeps a client for each peer address."""
+    """Creates and caches a client for each peer address."""
 
     def __init__(self, identity: PeerIdentity) -> None:
         self.identity = identity
@@ -22,7 +22,7 @@
         self._on_unavailable: Callable[[str], None] = lambda address: None
 
     def report_unavailable_to(self, report: Callable[[str], None]) -> None:
-        """Call `report` with the address of each peer that didn't answer a call."""
+        """Call `report` with the peer's address whenever a call gets no answer."""
         self._on_unavailable = report
 
     def get(self, address: str) -> PeerClient:
@@ -34,16 +34,16 @@
                 self._client_by_address[address] = client
             return client
 
-    def unavailable(self, address: str) -> None:
-        """Pass on that neither a pooled nor a fresh connection brought an answer."""
+    def notify_unavailable(self, address: str) -> None:
+        """Report a peer that answered on neither a pooled nor a fresh connection."""
         self._on_unavailable(address)
 
 
 class _ReportingClient(PeerClient):
-    """Reports failed calls of every kind.
+    """A client that reports each call without an answer, not only failed probes.
 
-    A host whose probes go through while its other calls fail, or one that this host
-    doesn't probe, is found out by the first request that needs it.
+    So the first request that needs a host detects that it is unreachable, even if its
+    probes succeed or this host doesn't probe it.
     """
 
     def __init__(self, address: str, clients: PeerClients) -> None:
@@ -54,5 +54,5 @@
         try:
             return super().call(operation, timeout)
         except PeerUnavailableError:
-            self._clients.unavailable(self.address)
+            self._clients.notify_unavailable(self.address)
             raise
--- a/src/jujubeslip/membership/_prober.py
+++ b/src/jujubeslip/membership/_prober.py
@@ -1,4 +1,4 @@
-"""Probes of one host: an exchange with it, and others asked when it fails."""
+"""Probes a host by an exchange, and asks other hosts to probe it if that fails."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 logger = logging.getLogger(__name__)
 
-# The time for one try in seconds; a silent pooled connection and a fresh one take two.
+# Seconds for one attempt; a silent pooled connection and a fresh one take two.
 PROBE_TIMEOUT = 0.4
 PAGE_TIMEOUT = 1.0
-HELPERS = 3
-HELP_SECONDS = 1.0
-# A full list ends after this many pages, whatever a peer sends.
+HELPER_COUNT = 3
+HELPER_TIMEOUT = 1.0
+# Bounds the pages that are read of a full list, whatever a peer sends.
 MAXIMUM_PAGES = 1000
 
 
 class Prober:
-    """Calls other hosts and tells the directory what came of it."""
+    """Calls other hosts and records the results in the directory."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._configuration_revision = configuration_revision
 
     def message_for(self, host_id: str) -> GossipMessage:
-        """Return what to tell a host."""
+        """Return the gossip message to send to a host."""
         return GossipMessage(
             self._directory.own.host_id,
             self._directory.states_for(host_id),
@@ -46,9 +46,10 @@
         )
 
     def exchange(self, address: str, host_id: str = "") -> GossipMessage | None:
-        """Exchange news with the host at an address, or return None.
+        """Exchange updates with the host at an address; return None on failure.
 
-        An answer of another host than `host_id`, which has taken its address, is none.
+        An answer of another host than `host_id`, which has taken over its address, also
+        counts as a failure.
         """
         asked_at = steady_seconds()
         message = self.message_for(host_id)
@@ -61,14 +62,14 @@
             return None
         self._directory.merge(reply.hosts)
         self._directory.renew_lease(asked_at)
-        self._directory.note_reached(reply.sender_id, True)
+        self._directory.record_reachability(reply.sender_id, True)
         return reply if host_id in ("", reply.sender_id) else None
 
     def probe(self, host_id: str, process: Process) -> GossipMessage | None:
         """Exchange with a host; suspect it if the helpers don't reach it either.
 
-        One host that can't reach another, as in a network partition of one direction,
-        is no reason to take the other's homes away from everybody.
+        If a single host can't reach another, as when a network partition affects one
+        direction, the other one must not lose its homes for all hosts.
         """
         address = self._directory.address_of(host_id)
         if address is None:
@@ -76,8 +77,8 @@
         reply = self.exchange(address, host_id)
         if reply is not None:
             return reply
-        self._directory.note_reached(host_id, False)
-        if not self._directory.is_sound(host_id):
+        self._directory.record_reachability(host_id, False)
+        if not self._directory.is_healthy(host_id):
             return None
         if not self._helpers_reach(host_id, process):
             self._directory.suspect(host_id)
@@ -87,9 +88,9 @@
         reached = threading.Event()
         pending = {
             process.start_task(self._ask_helper, helper, host_id, reached)
-            for helper in self._directory.helpers_against(host_id, HELPERS)
+            for helper in self._directory.helpers_for(host_id, HELPER_COUNT)
         }
-        deadline = Deadline.after(HELP_SECONDS)
+        deadline = Deadline.after(HELPER_TIMEOUT)
         while pending and not reached.is_set() and not deadline.expired:
             _, pending = wait(pending, deadline.remaining(), FIRST_COMPLETED)
         return reached.is_set()
@@ -99,7 +100,7 @@
     ) -> None:
         try:
             answered = self._clients.get(helper.address).call(
-                lambda peer: peer.reaches(host_id), HELP_SECONDS
+                lambda peer: peer.reaches(host_id), HELPER_TIMEOUT
             )
         except (PeerUnavailableError, PeerRefusal):
             return
@@ -107,7 +108,7 @@
             reached.set()
 
     def read_full_list(self, address: str) -> bool:
-        """Read all live hosts that a peer knows, page by page; False on a failure."""
+        """Read all live hosts that a peer knows by pages; return False on failure."""
         asked_at = steady_seconds()
         live: list[HostState] = []
         complete = True
--- a/src/jujubeslip/membership/_records.py
+++ b/src/jujubeslip/membership/_records.py
@@ -1,4 +1,4 @@
-"""What a host keeps of another one: its own word, and how far it is believed."""
+"""A host's record of another host: its announced state and local suspicions."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import HostState, HostStatus
 
-# A suspected host is dead unless it refutes the suspicion within this time, in seconds.
+# Seconds in which a suspected host must refute the suspicion, or it counts as dead.
 REFUTE_WITHIN = 1.5
-# A host that this host could not reach itself is passed over for this long.
+# Seconds for which a host is skipped after this host could not reach it.
 UNREACHABLE_SECONDS = 2.0
-# Another host's suspicion is checked, not taken over, this long after an answer, in
-# seconds. A true suspicion of a host that went silent is older than its last answer by
-# the time of a probe and of the helpers', which is longer.
+# Seconds after an answer in which another host's suspicion is verified by a probe and
+# not adopted. A true suspicion comes later than this after the last answer, since the
+# failed probe and the helpers' probes before it take longer.
 TRUSTED_AFTER_ANSWER = 0.7
-# A dead host's record is kept this long, so that old gossip can't bring it back.
-FORGET_AFTER = 600.0
+# Seconds for which a dead host's record is kept, so that old gossip can't revive it.
+RETENTION_SECONDS = 600.0
 
-SOUND = (HostStatus.ALIVE, HostStatus.LEAVING)
+HEALTHY_STATUSES = (HostStatus.ALIVE, HostStatus.LEAVING)
 
 
 class HostRecord:
-    """A host's newest word of itself, and a suspicion with its deadline.
+    """A host's newest announced state, and a suspicion with its deadline.
 
-    `state.status` is ALIVE or LEAVING. Suspicion and death are this host's own
-    deadlines: a death is never taken over from others.
+    `state.status` is ALIVE or LEAVING. Suspicion and death follow this host's own
+    deadlines: a death is never adopted from others.
     """
 
     def __init__(self, state: HostState, address: str | None = None) -> None:
@@ -37,19 +37,19 @@
         self.dead_at: Deadline | None = None
         self.unreachable_until: Deadline | None = None
         self.trusted_until = Deadline.after(0)
-        self.forget_at = Deadline.after(FORGET_AFTER)
-        if state.status not in SOUND:
+        self.remove_at = Deadline.after(RETENTION_SECONDS)
+        if state.status not in HEALTHY_STATUSES:
             self.state.status = HostStatus.ALIVE
             self.suspect()
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return what orders the words of one host."""
+        """Return the version by which states of one host are ordered."""
         return (self.state.incarnation, self.state.heartbeat)
 
     @property
     def status(self) -> HostStatus:
-        """Return the host's status as far as it is known here."""
+        """Return the host's status as known here."""
         if self.dead:
             return HostStatus.DEAD
         if self.dead_at is not None:
@@ -57,35 +57,35 @@
         return HostStatus(self.state.status)
 
     @property
-    def sound(self) -> bool:
-        """Say whether the host is neither suspected nor dead."""
+    def healthy(self) -> bool:
+        """Return whether the host is neither suspected nor dead."""
         return not self.dead and self.dead_at is None
 
     def suspect(self) -> None:
-        """Begin a suspicion, with the whole time for its refutation."""
+        """Suspect the host, and give it the full time to refute that."""
         self.dead_at = Deadline.after(REFUTE_WITHIN)
 
-    def bury(self) -> None:
-        """Take the host for dead, unless a greater heartbeat is heard of."""
+    def mark_dead(self) -> None:
+        """Mark the host as dead until a newer state replaces this record."""
         self.dead = True
         self.dead_at = None
-        self.forget_at = Deadline.after(FORGET_AFTER)
+        self.remove_at = Deadline.after(RETENTION_SECONDS)
 
-    def seen(self) -> HostState:
-        """Return the state with the status and the address that count on this host."""
-        state = self.told()
+    def local_state(self) -> HostState:
+        """Return the state with the status and address that this host uses."""
+        state = self.gossip_state()
         state.address = self.address
         return state
 
-    def told(self) -> HostState:
-        """Return the state as it is told to others."""
+    def gossip_state(self) -> HostState:
+        """Return the state as sent to other hosts."""
         state = copy(self.state)
         state.status = self.status
         return state
 
 
 def digest_of(state: HostState) -> int:
-    """Return one host's part of the digest of a view."""
+    """Return one host's contribution to the digest of a view."""
     text = f"{state.host_id}/{state.incarnation}/{state.heartbeat}"
     digest = hashlib.blake2b(text.encode(), digest_size=7).digest()
     return int.from_bytes(digest, "big")
--- a/src/jujubeslip/membership/_rendezvous.py
+++ b/src/jujubeslip/membership/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every host computes the same owner of a key by itself."""
+"""Rendezvous hashing: each host computes the same owner of a key on its own."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def rendezvous_order(key: str, host_ids: Iterable[str]) -> list[str]:
-    """Return the hosts in their order of preference for the key, the owner first.
+    """Return the hosts in order of preference for the key, the owner first.
 
-    When a host leaves, only the keys that it owned get another owner.
+    When a host leaves, only the keys that it owned move to another owner.
     """
     hosts = list(host_ids)
     return first_in_rendezvous_order(key, hosts, len(hosts))
@@ -36,15 +36,15 @@
 
 
 def hash_of(text: str) -> int:
-    """Return 64 bits that are the same on every host."""
+    """Return a 64-bit hash that is the same on every host."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def _mix(value: int) -> int:
-    """Spread a 64-bit value.
+    """Mix the bits of a 64-bit value.
 
-    A hash function for each pair of key and host would cost more than all the rest of
-    a request's path at some hundred hosts.
+    With several hundred hosts, a cryptographic hash of each pair of key and host would
+    cost more than the rest of a request's processing.
     """
     for multiplier in _MULTIPLIERS:
         value ^= value >> 30
--- a/src/jujubeslip/membership/_rings.py
+++ b/src/jujubeslip/membership/_rings.py
@@ -1,4 +1,4 @@
-"""Whom a host probes: its successors on rings that every host computes alike."""
+"""The hosts that a host probes: its successors on rings that all hosts agree on."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from jujubeslip.peers import HostState
 
-# Rings over all hosts, and over the hosts of the own availability zone.
+# Rings over all hosts, and over the hosts of this host's availability zone.
 SYSTEM_RINGS = ("system-a", "system-b")
 ZONE_RINGS = ("zone-a", "zone-b", "zone-c")
 RINGS = SYSTEM_RINGS + ZONE_RINGS
 
 
 def successors(own: HostState, others: Collection[HostState]) -> dict[str, HostState]:
-    """Return the next host on each ring; a ring without other hosts is left out.
+    """Return the next host on each ring, without rings that have no other host.
 
-    On the first ring every host has exactly one that probes it, so none is left out,
-    and the work, the connections and the tasks of a host don't grow with their number.
-    In a small system the other rings pass over hosts that are probed already, so that
-    the loss of one host doesn't silence all rings.
+    On the first ring exactly one host probes each host, so all are probed, while the
+    work, connections and tasks of a host don't grow with the number of hosts. In a
+    small system the other rings skip hosts that are probed already, so that the loss
+    of one host doesn't silence all rings.
     """
     in_zone = [s for s in others if s.availability_zone == own.availability_zone]
     found: dict[str, HostState] = {}
     for ring in RINGS:
         members = in_zone if ring in ZONE_RINGS else others
-        taken = {state.host_id for state in found.values()}
-        fresh = [state for state in members if state.host_id not in taken]
-        if fresh or members:
-            found[ring] = _next_on(ring, own, fresh or members)
+        probed = {state.host_id for state in found.values()}
+        unprobed = [state for state in members if state.host_id not in probed]
+        if unprobed or members:
+            found[ring] = _next_on(ring, own, unprobed or members)
     return found
 
 
--- a/tests/membership/hosts.py
+++ b/tests/membership/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that run only the membership part, with a fault proxy on each hop."""
+"""Hosts that run only the membership code, with a fault proxy on each hop."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Hosts:
-    """Starts `host-0`, `host-1`, ... in the given zones, and ends only these.
+    """Starts `host-0`, `host-1`, ... in the given zones, and stops only these.
 
-    Each host knows all others by the address of a proxy of its own, so that every hop
-    can fail by itself.
+    Each host reaches each other one through a separate proxy, so that every hop can
+    fail independently.
     """
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -46,9 +46,9 @@
         try:
             for host in self.by_id.values():
                 host.tell("watch")
-            everyone = set(self.by_id)
-            self.wait(lambda: all(self.live(host) == everyone for host in everyone))
-            self.wait(lambda: all(self._is_calm(host) for host in everyone))
+            all_hosts = set(self.by_id)
+            self.wait(lambda: all(self.live(host) == all_hosts for host in all_hosts))
+            self.wait(lambda: all(self._is_settled(host) for host in all_hosts))
         except BaseException:
             self.stop()
             raise
@@ -57,49 +57,49 @@
     def __exit__(self, *_: object) -> None:
         self.stop()
 
-    def _is_calm(self, host_id: str) -> bool:
-        """Say whether the notes of a host end with everyone alive."""
+    def _is_settled(self, host_id: str) -> bool:
+        """Return whether the last recorded change of every host is to ALIVE."""
         status_by_id = dict(self.changes(host_id))
         return status_by_id == dict.fromkeys(self.by_id, "ALIVE")
 
     def stop(self) -> None:
-        """End the processes and the proxies."""
+        """Stop the processes and the proxies."""
         for host in self.by_id.values():
             host.end()
         for proxy in self.proxy_by_hop.values():
             proxy.stop()
 
     def wait(self, condition: Callable[[], bool]) -> None:
-        """Wait until the condition holds, within a generous bound."""
+        """Wait until the condition holds, at most BOUND_SECONDS."""
         wait_until(condition, "the hosts' views are as expected", BOUND_SECONDS)
 
     def statuses(self, host_id: str) -> dict[str, str]:
-        """Return how a host sees all others."""
+        """Return the status of all other hosts in a host's view."""
         statuses = self.by_id[host_id].report()["status_by_id"]
         assert isinstance(statuses, dict)
         return statuses
 
     def live(self, host_id: str) -> set[str]:
-        """Return the hosts that a host relies on."""
+        """Return the live hosts in a host's view."""
         return set(self.by_id[host_id].report()["live"])
 
     def changes(self, host_id: str) -> list[tuple[str, str]]:
-        """Return whom a host has seen in which new status, in order."""
+        """Return the changes of status that a host has seen, in order."""
         changes = list(self.by_id[host_id].changes)
         return [(change["changed"], change["to"]) for change in changes]
 
-    def forget_changes(self) -> None:
-        """Begin anew to note changes."""
+    def clear_changes(self) -> None:
+        """Discard the recorded changes."""
         for host in self.by_id.values():
             host.changes.clear()
 
-    def cut_between(self, zone: str) -> None:
-        """Cut a zone off from all others, in both directions."""
+    def partition_zone(self, zone: str) -> None:
+        """Partition a zone from all others, in both directions."""
         for (source, target), proxy in self.proxy_by_hop.items():
             if (self.zone_by_id[source] == zone) != (self.zone_by_id[target] == zone):
                 proxy.cut()
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Restore all connections."""
         for proxy in self.proxy_by_hop.values():
             proxy.heal()
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""What one host believes of the others, with a clock that the tests move."""
+"""One host's view of the others, with a clock that the tests advance."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     )
 
 
-class Running:
-    """A directory whose host ticks and hears from its peers."""
+class RunningHost:
+    """A directory whose host ticks and receives answers from its peers."""
 
     def __init__(self, clock: Clock, others: int) -> None:
         self.clock = clock
@@ -47,11 +47,11 @@
         self.directory.merge(self.others)
         self.directory.take_full_list(self.others, clock.now, complete=True)
 
-    def run(self, seconds: float, heard: bool = True) -> None:
+    def run(self, seconds: float, renewed: bool = True) -> None:
         for _ in range(round(seconds / TICK)):
             self.clock.now += TICK
-            self.directory.beat(0)
-            if heard:
+            self.directory.tick(0)
+            if renewed:
                 self.directory.renew_lease(self.clock.now)
 
     def status(self, host_id: str) -> HostStatus:
@@ -59,8 +59,8 @@
 
 
 class TestSuspicion:
-    def test_turns_to_death_unless_refuted(self, clock: Clock) -> None:
-        host = Running(clock, 2)
+    def test_expires_to_dead_unless_refuted(self, clock: Clock) -> None:
+        host = RunningHost(clock, 2)
         host.directory.suspect("other-0")
         host.directory.suspect("other-1")
         host.run(1)
@@ -70,117 +70,115 @@
         assert host.status("other-0") == HostStatus.DEAD
         assert host.status("other-1") == HostStatus.ALIVE
 
-    def test_old_word_does_not_end_it(self, clock: Clock) -> None:
-        host = Running(clock, 1)
+    def test_old_state_does_not_refute_it(self, clock: Clock) -> None:
+        host = RunningHost(clock, 1)
         host.directory.suspect("other-0")
         host.directory.merge([state("other-0")])
         host.run(2)
         host.directory.merge([state("other-0")])
         assert host.status("other-0") == HostStatus.DEAD
 
-    def test_host_refutes_what_it_hears_of_itself(self, clock: Clock) -> None:
-        host = Running(clock, 1)
+    def test_host_refutes_a_suspicion_of_itself(self, clock: Clock) -> None:
+        host = RunningHost(clock, 1)
         host.directory.merge([state("own", HostStatus.DEAD, heartbeat=4)])
         assert host.directory.own.heartbeat == 5
         assert host.directory.take_urgent()
 
-    def test_death_is_never_taken_over(self, clock: Clock) -> None:
-        """Each side of a healed partition tells of deaths that were none."""
-        host = Running(clock, 1)
+    def test_death_is_never_adopted(self, clock: Clock) -> None:
+        """Each side of a healed partition announces deaths of hosts that are alive."""
+        host = RunningHost(clock, 1)
         host.directory.merge([state("other-0", HostStatus.DEAD, heartbeat=7)])
         assert host.status("other-0") == HostStatus.ALIVE
 
-    def test_later_incarnation_ends_the_earlier_one(self, clock: Clock) -> None:
-        host = Running(clock, 1)
+    def test_later_incarnation_replaces_the_earlier_one(self, clock: Clock) -> None:
+        host = RunningHost(clock, 1)
         host.directory.merge([state("other-0", incarnation=2)])
         assert host.directory.status_of("other-0", 1) == HostStatus.DEAD
         assert host.directory.status_of("other-0", 2) == HostStatus.ALIVE
 
-    def test_replaced_host_finds_out(self, clock: Clock) -> None:
-        host = Running(clock, 1)
+    def test_replaced_host_detects_it(self, clock: Clock) -> None:
+        host = RunningHost(clock, 1)
         host.directory.merge([state("own", incarnation=2)])
         assert host.directory.superseded
 
 
 class TestFreeze:
-    def test_view_lapses_before_the_first_tick(self, clock: Clock) -> None:
-        """A frozen host wakes, and a request reads the view before the tick task.
+    def test_view_expires_before_the_first_tick(self, clock: Clock) -> None:
+        """A frozen host resumes, and a request reads the view before the tick task.
 
-        All deadlines have passed: it would find its neighbours alive as before, or
-        dead, and cancel at the engines what they hold.
+        All deadlines have passed. Without the check on reading, the request would find
+        its neighbours alive as before, or dead, and cancel what they hold at engines.
         """
-        host = Running(clock, 2)
+        host = RunningHost(clock, 2)
         host.run(1)
         clock.now += 30
         assert host.directory.live_hosts() == [host.directory.own]
         assert host.status("other-0") == HostStatus.SUSPECT
-        host.directory.beat(0)
-        assert host.directory.lapsed
+        host.directory.tick(0)
+        assert host.directory.view_expired
         host.directory.renew_lease(clock.now)
         assert host.directory.live_hosts() == [host.directory.own]
 
     def test_only_a_full_list_restores_it(self, clock: Clock) -> None:
-        host = Running(clock, 2)
+        host = RunningHost(clock, 2)
         clock.now += 30
-        host.directory.beat(0)
-        told = [state("other-0")]
-        host.directory.merge(told)
-        host.directory.take_full_list(told, clock.now, complete=True)
+        host.directory.tick(0)
+        announced = [state("other-0")]
+        host.directory.merge(announced)
+        host.directory.take_full_list(announced, clock.now, complete=True)
         live = {item.host_id for item in host.directory.live_hosts()}
         assert live == {"own", "other-0"}
         host.run(2)
         assert host.status("other-1") == HostStatus.DEAD
 
-    def test_tells_nothing_that_may_be_old(self, clock: Clock) -> None:
-        host = Running(clock, 2)
+    def test_sends_no_outdated_updates(self, clock: Clock) -> None:
+        host = RunningHost(clock, 2)
         clock.now += 30
-        host.directory.beat(0)
-        told = {item.host_id for item in host.directory.states_for("other-0")}
-        assert told == {"own"}
+        host.directory.tick(0)
+        announced = {item.host_id for item in host.directory.states_for("other-0")}
+        assert announced == {"own"}
         assert host.directory.view_digest == 0
 
-    def test_silence_of_all_peers_is_their_death_on_a_running_host(
-        self, clock: Clock
-    ) -> None:
-        """The only host of a zone is cut off; its engines' memory must come free."""
-        host = Running(clock, 2)
-        host.run(2, heard=False)
+    def test_silent_peers_are_dead_on_a_running_host(self, clock: Clock) -> None:
+        """The only host of a zone is partitioned; its engines' memory must be freed."""
+        host = RunningHost(clock, 2)
+        host.run(2, renewed=False)
         assert host.status("other-0") == HostStatus.SUSPECT
-        host.run(2, heard=False)
+        host.run(2, renewed=False)
         assert host.status("other-0") == HostStatus.DEAD
 
 
 class TestBounds:
-    def test_message_holds_few_records_however_much_changed(self, clock: Clock) -> None:
-        host = Running(clock, 1000)
+    def test_message_size_is_independent_of_the_changes(self, clock: Clock) -> None:
+        host = RunningHost(clock, 1000)
         assert len(host.directory.states_for("other-1")) <= 10
 
-    def test_every_change_is_told_and_telling_ends(self, clock: Clock) -> None:
-        host = Running(clock, 30)
-        told: dict[str, int] = {}
-        while host.directory.has_news:
+    def test_every_change_is_sent_a_bounded_number_of_times(self, clock: Clock) -> None:
+        host = RunningHost(clock, 30)
+        announced: dict[str, int] = {}
+        while host.directory.has_updates:
             for item in host.directory.states_for("peer")[1:]:
-                told[item.host_id] = told.get(item.host_id, 0) + 1
-        assert told.keys() == {item.host_id for item in host.others}
-        assert max(told.values()) <= 2 * len(bin(31))
+                announced[item.host_id] = announced.get(item.host_id, 0) + 1
+        assert announced.keys() == {item.host_id for item in host.others}
+        assert max(announced.values()) <= 2 * len(bin(31))
 
-    def test_neighbours_stay_as_few(self, clock: Clock) -> None:
-        host = Running(clock, 380)
+    def test_number_of_neighbours_is_constant(self, clock: Clock) -> None:
+        host = RunningHost(clock, 380)
         assert len(host.directory.neighbours()) == 5
 
     def test_every_host_is_probed_by_another(self, clock: Clock) -> None:
-        everyone = [state(f"host-{number}") for number in range(60)]
+        all_hosts = [state(f"host-{number}") for number in range(60)]
         probed = set()
-        for own in everyone:
+        for own in all_hosts:
             directory = HostDirectory(own)
-            directory.merge(everyone)
+            directory.merge(all_hosts)
             probed |= {item.host_id for item in directory.neighbours().values()}
-        assert probed == {item.host_id for item in everyone}
+        assert probed == {item.host_id for item in all_hosts}
 
 
 class TestHomes:
     def test_move_only_from_the_lost_host(self, clock: Clock) -> None:
-        host = Running(clock, 9)
+        host = RunningHost(clock, 9)
         services = [f"service-{number}" for number in range(60)]
 
         def homes() -> dict[str, str]:
@@ -199,22 +197,22 @@
         assert moved == {name for name in services if before[name] == lost}
 
     def test_stay_in_their_zone(self, clock: Clock) -> None:
-        host = Running(clock, 9)
+        host = RunningHost(clock, 9)
         zone = host.others[0].availability_zone
         assert host.directory.home_of("service", zone).availability_zone == zone
 
     def test_of_an_unreachable_host_move_here_but_its_keys_do_not(
         self, clock: Clock
     ) -> None:
-        """Two hosts that differ on a key's keepers could both run it."""
-        host = Running(clock, 5)
+        """Two hosts that disagree on a key's owners could both run its request."""
+        host = RunningHost(clock, 5)
         keys = [f"key-{number}" for number in range(50)]
 
         def keepers() -> list[str]:
             return [host.directory.keepers_of(key, 1)[0].host_id for key in keys]
 
         before = keepers()
-        host.directory.note_reached("other-3", False)
+        host.directory.record_reachability("other-3", False)
         live = {item.host_id for item in host.directory.live_hosts()}
         assert "other-3" not in live
         assert keepers() == before
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of hosts and of the network between them, with real processes."""
+"""Failures of hosts and of the network between them, in real processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 class TestKilledHost:
     """A host is killed.
 
-    Requests that need it as a home would wait for their timeout each time. The others
-    find out by their probes, suspect it, and call it dead when it doesn't refute.
+    Until the others detect it, each request that needs it as a home waits for its
+    timeout. Their probes fail, so they suspect it, and it is dead when it doesn't
+    refute the suspicion.
     """
 
-    def test_is_dead_for_all_others_and_nobody_else_is(self) -> None:
+    def test_is_the_only_host_that_all_others_consider_dead(self) -> None:
         with Hosts((*ZONES, "zone-3", "zone-3", "zone-3")) as hosts:
-            hosts.forget_changes()
+            hosts.clear_changes()
             hosts.by_id["host-3"].signal(signal.SIGKILL)
             others = set(hosts.by_id) - {"host-3"}
             hosts.wait(
@@ -29,24 +30,24 @@
 
 
 class TestFrozenHost:
-    """A host is stopped for seconds and goes on, and another one dies meanwhile.
+    """A host is frozen for seconds and resumes, and another one dies meanwhile.
 
-    What the frozen host knew is from before: its first requests would go to the dead
-    host, and it would cancel what living hosts hold at the engines, as their deadlines
-    passed while it slept. It hears nothing of what was told, so it must read the whole
-    list from a peer before it relies on anyone. The others took it for dead.
+    The view of the frozen host is outdated. Its first requests would go to the dead
+    host, and it would cancel what live hosts hold at the engines, as their deadlines
+    passed during the freeze. It missed all updates, so it must read the full list from
+    a peer before it relies on any host. The others considered it dead.
     """
 
-    def test_relies_on_nobody_until_it_has_heard_anew(self) -> None:
+    def test_relies_on_no_host_before_a_full_list(self) -> None:
         with Hosts(ZONES) as hosts:
             others = {"host-0", "host-1"}
             hosts.by_id["host-2"].signal(signal.SIGSTOP)
             hosts.by_id["host-3"].signal(signal.SIGKILL)
-            gone = {"host-2": "DEAD", "host-3": "DEAD"}
+            dead = {"host-2": "DEAD", "host-3": "DEAD"}
             hosts.wait(
-                lambda: all(gone.items() <= hosts.statuses(h).items() for h in others)
+                lambda: all(dead.items() <= hosts.statuses(h).items() for h in others)
             )
-            hosts.forget_changes()
+            hosts.clear_changes()
             hosts.by_id["host-2"].signal(signal.SIGCONT)
             alive = {"host-0", "host-1", "host-2"}
             hosts.wait(lambda: all(hosts.live(host) == alive for host in alive))
@@ -58,16 +59,16 @@
             assert seen.index(("host-0", "SUSPECT")) < seen.index(("host-0", "ALIVE"))
 
 
-class TestOneDirectionCut:
+class TestOneDirectionPartition:
     """One host can't reach another one, which all others reach.
 
-    If its word counted for all, the reached host would lose its homes; if it went on
-    to rely on that host, its own requests would wait for a timeout each time.
+    If all hosts adopted its suspicion, the unreachable host would lose its homes. If it
+    still relied on that host, each of its own requests would wait for a timeout.
     """
 
-    def test_counts_only_for_the_host_that_it_concerns(self) -> None:
+    def test_affects_only_the_host_that_can_not_reach_the_other(self) -> None:
         with Hosts(ZONES) as hosts:
-            hosts.forget_changes()
+            hosts.clear_changes()
             hosts.proxy_by_hop["host-0", "host-1"].cut()
             hosts.wait(lambda: "host-1" not in hosts.live("host-0"))
             assert "host-1" in hosts.live("host-2")
@@ -78,43 +79,43 @@
 
 
 class TestSilentConnections:
-    """All open connections go silent for good, while new ones work.
+    """All open connections go silent permanently, while new ones work.
 
-    Something between the hosts has lost track of them. Each probe on such a connection
-    times out, and every host would take every other one for dead at once.
+    A device between the hosts has lost their state. Each probe on such a connection
+    times out, so without fresh connections every host would consider all others dead.
     """
 
-    def test_nobody_is_taken_for_dead(self) -> None:
+    def test_no_host_is_considered_dead(self) -> None:
         with Hosts(ZONES) as hosts:
-            hosts.forget_changes()
+            hosts.clear_changes()
             for proxy in hosts.proxy_by_hop.values():
                 proxy.freeze()
             accepted = {
                 hop: proxy.accepted for hop, proxy in hosts.proxy_by_hop.items()
             }
-            everyone = set(hosts.by_id)
+            all_hosts = set(hosts.by_id)
             hosts.wait(
                 lambda: (
                     sum(p.accepted for p in hosts.proxy_by_hop.values())
                     >= sum(accepted.values()) + len(ZONES)
                 )
             )
-            hosts.wait(lambda: all(hosts.live(host) == everyone for host in everyone))
+            hosts.wait(lambda: all(hosts.live(host) == all_hosts for host in all_hosts))
             for host in hosts.by_id:
                 assert not hosts.changes(host)
 
 
-class TestZoneCut:
-    """An availability zone is cut off from the others, and the cut heals.
+class TestZonePartition:
+    """An availability zone is partitioned from the others, and the partition heals.
 
-    Each side must go on by itself with its own hosts and neither flap between them nor
-    stay apart afterwards: both took the other side for dead and probe it no more.
+    Each side must continue with its own hosts, without flapping. Afterwards both sides
+    must merge again, although each considers the other dead and no longer probes it.
     """
 
-    def test_each_side_keeps_its_own_hosts_and_both_meet_again(self) -> None:
+    def test_each_side_keeps_its_hosts_and_both_merge_again(self) -> None:
         with Hosts(ZONES) as hosts:
-            hosts.forget_changes()
-            hosts.cut_between("zone-1")
+            hosts.clear_changes()
+            hosts.partition_zone("zone-1")
             first, second = {"host-0", "host-1"}, {"host-2", "host-3"}
             hosts.wait(
                 lambda: (
@@ -124,10 +125,10 @@
             )
             assert not self._changes_within(hosts, first, second)
             hosts.heal()
-            everyone = first | second
-            hosts.wait(lambda: all(hosts.live(host) == everyone for host in everyone))
-            # What was written during the cut arrives now, and may bring a suspicion
-            # that was true then; it is refuted long before it can turn to death.
+            all_hosts = first | second
+            hosts.wait(lambda: all(hosts.live(host) == all_hosts for host in all_hosts))
+            # Messages written during the partition arrive now and may carry a suspicion
+            # that was true then. It is refuted long before the host counts as dead.
             changes = self._changes_within(hosts, first, second)
             assert "DEAD" not in {status for _, status in changes}, changes
 
--- a/tests/membership/test_homes.py
+++ b/tests/membership/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes that fail or are cut off, with the whole system in real processes."""
+"""Homes that fail or are partitioned, with the whole system in real processes."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SLOTS = 2
-# Urgent requests may use every slot, and a stream may wait at a gate for long.
+# Urgent requests may use every slot; long timeouts let a stream wait at a gate.
 MESSAGE = {
     "prompt": "the stop at fifth and main is closed",
     "max_tokens": 8,
     "priority": "urgent",
 }
-PATIENT = DECLARATION.replace(
+PATIENT_DECLARATION = DECLARATION.replace(
     "first_token_ms = 10000, wait_ms = 10000",
     "first_token_ms = 30000, wait_ms = 30000, between_tokens_ms = 30000",
 )
@@ -40,7 +40,7 @@
 
 
 def entry_status(cluster: Cluster, host_id: str) -> EntryStatus | None:
-    """Return a host's account of itself, or None if it doesn't answer."""
+    """Return a host's status, or None if it doesn't answer."""
     address = cluster.peer_address_by_id[host_id]
     client = PeerClient(EntryPeer.Client, address, PeerIdentity("test", 1, PEER_SECRET))
     try:
@@ -81,7 +81,7 @@
 
 
 def ask_until_whole(cluster: Cluster, host_id: str) -> list[ClientAnswer]:
-    """Ask as a client that heeds Retry-After would; return all answers."""
+    """Retry as a client that respects Retry-After; return all answers."""
     answers: list[ClientAnswer] = []
 
     def whole() -> bool:
@@ -114,7 +114,7 @@
         )
 
     def finish(self) -> list[ClientAnswer]:
-        """Let the streams go on, and return their answers."""
+        """Resume the streams and return their answers."""
         self._cluster.order_faults("decode-1", resume_phase="decode")
         answers = [answer.result(BOUND_SECONDS) for answer in self._answers]
         self._pool.shutdown()
@@ -125,14 +125,14 @@
 def cluster(tmp_path: Path) -> Iterator[Cluster]:
     endpoints = model_endpoints(1, 1, {**FAST, "slots": SLOTS})
     hops = frozenset((a, b) for a in ENTRIES for b in ENTRIES if a != b)
-    spec = small_system(endpoints, 3, hops=hops, declaration=PATIENT)
+    spec = small_system(endpoints, 3, hops=hops, declaration=PATIENT_DECLARATION)
     with Cluster(spec, tmp_path) as cluster:
         yield cluster
 
 
 class TestLostHome:
-    def assert_all_goes_on(self, cluster: Cluster, home: str) -> None:
-        """Ask for one more than the engine holds while its answers are under way."""
+    def assert_requests_succeed(self, cluster: Cluster, home: str) -> None:
+        """Check that a request beyond the engine's slots and all streams succeed."""
         others = set(ENTRIES) - {home}
         entry = min(others)
         wait_home(cluster, others)
@@ -145,7 +145,7 @@
         cluster.wait_nothing_held()
 
     def fill(self, cluster: Cluster) -> str:
-        """Fill all slots through a host that is not the home; return the home."""
+        """Fill all slots through a host that is not the home, and return the home."""
         home = wait_home(cluster, set(ENTRIES))
         entry = min(set(ENTRIES) - {home})
         self.streams = Streams(cluster, entry, SLOTS)
@@ -154,18 +154,18 @@
     def test_killed(self, cluster: Cluster) -> None:
         """The home of a pool is killed while its decode slots are all in use.
 
-        Running answers must go on and new ones must begin at the next home, which
-        knows of the running ones only from the engine's list.
+        Running answers must continue and new ones must start through the next home,
+        which knows the running ones only from the engine's list of held requests.
         """
         home = self.fill(cluster)
         cluster.process_by_name[home].kill()
-        self.assert_all_goes_on(cluster, home)
+        self.assert_requests_succeed(cluster, home)
 
-    def test_frozen_and_woken(self, cluster: Cluster) -> None:
-        """The home is frozen until another host has its pool, and wakes then.
+    def test_frozen_and_resumed(self, cluster: Cluster) -> None:
+        """The home is frozen until another host takes over its pool, and resumes then.
 
-        Two hosts hold the pool now. The woken one has grants and a queue of before,
-        and its view of the hosts is old: it must leave the pool to the other.
+        Now two hosts hold the pool. The resumed one has its previous grants and queue
+        and an outdated view of the hosts, so it must leave the pool to the other one.
         """
         home = self.fill(cluster)
         cluster.process_by_name[home].signal(signal.SIGSTOP)
@@ -178,13 +178,13 @@
         wait_nothing_granted(cluster, set(ENTRIES))
         cluster.wait_nothing_held()
 
-    def test_cut_off_from_the_others(self, cluster: Cluster) -> None:
-        """The home is cut off from all other entry hosts and goes on running.
+    def test_partitioned_from_the_others(self, cluster: Cluster) -> None:
+        """The home is partitioned from all other entry hosts and continues to run.
 
-        Both sides take the pool then and may give out too much. The endpoints go on
-        to announce themselves to the home, which answers, so the others would soon
-        have none. When the cut heals, one of them is the home again and nothing stays
-        granted twice.
+        Then both sides hold the pool and may grant too much. The endpoints continue to
+        announce themselves to the old home, which answers, so the other hosts would
+        soon have no endpoints. When the partition heals, one host is the home again
+        and nothing stays granted twice.
         """
         home = self.fill(cluster)
         proxies = [proxy for hop, proxy in cluster.proxy_by_hop.items() if home in hop]
@@ -193,7 +193,7 @@
         others = set(ENTRIES) - {home}
         for answer in self.streams.finish():
             assert answer.whole, answer
-        # What the others heard of the endpoints before the cut runs out meanwhile.
+        # Meanwhile the announcements that the others got before the partition expire.
         until = Deadline.after(ANNOUNCEMENT_LIFETIME + STATUS_LIFETIME)
         while not until.expired:
             for host_id in sorted(others):
@@ -206,11 +206,11 @@
         cluster.wait_nothing_held()
 
 
-class TestCutOffZone:
-    """An availability zone is cut off from the others and from control.
+class TestPartitionedZone:
+    """An availability zone is partitioned from the others and from control.
 
     Its entry hosts must serve with the endpoints of their own zone, and a host of the
-    zone that has an older configuration must learn the newer one from a peer there.
+    zone with an older configuration must fetch the newer one from a peer in the zone.
     """
 
     ZONE_BY_ENTRY = {"entry-1": "zone-1", "entry-2": "zone-2", "entry-3": "zone-2"}
@@ -249,7 +249,7 @@
             ask_until_whole(cluster, host_id)
         cluster.wait_nothing_held()
 
-    def test_learns_a_configuration_from_its_own_zone(self, cluster: Cluster) -> None:
+    def test_fetches_a_configuration_from_its_own_zone(self, cluster: Cluster) -> None:
         cluster.proxy_by_hop["entry-3", "control-1"].cut()
         cluster.proxy_by_hop["entry-3", "entry-1"].cut()
         cluster.proxy_by_hop["entry-1", "entry-3"].cut()
--- a/tests/membership/test_prober.py
+++ b/tests/membership/test_prober.py
@@ -1,4 +1,4 @@
-"""What a host concludes from a probe that fails."""
+"""The consequences of a failed probe for the directory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Network:
-    """Answers in place of all peers: helpers say whether they reach the target."""
+    """A fake for all peers, whose helpers report whether they reach the target."""
 
     def __init__(self, helpers_reach: bool) -> None:
         self.helpers_reach = helpers_reach
@@ -51,40 +51,40 @@
 
 def probe_silent_host(helpers_reach: bool) -> tuple[HostDirectory, Network]:
     directory = HostDirectory(host("own"))
-    everyone = [host(f"host-{number}") for number in range(6)]
-    directory.merge(everyone)
+    all_hosts = [host(f"host-{number}") for number in range(6)]
+    directory.merge(all_hosts)
     network = Network(helpers_reach)
     prober = Prober(directory, cast(PeerClients, network), lambda: 0)
     prober.probe(TARGET, Process("test"))
     return directory, network
 
 
-def told_status(directory: HostDirectory) -> HostStatus:
-    """Return what this host tells the target of itself."""
-    told = {item.host_id: item.status for item in directory.states_for(TARGET)}
-    return told.get(TARGET, HostStatus.ALIVE)
+def gossiped_status(directory: HostDirectory) -> HostStatus:
+    """Return the target's status in this host's messages to it."""
+    gossiped = {item.host_id: item.status for item in directory.states_for(TARGET)}
+    return gossiped.get(TARGET, HostStatus.ALIVE)
 
 
 class TestSilentHost:
-    def test_is_suspected_if_nobody_reaches_it(self) -> None:
+    def test_is_suspected_if_no_helper_reaches_it(self) -> None:
         directory, network = probe_silent_host(helpers_reach=False)
-        assert told_status(directory) == HostStatus.SUSPECT
+        assert gossiped_status(directory) == HostStatus.SUSPECT
         assert len(set(network.asked) - {TARGET}) == 3
 
     def test_is_not_suspected_if_a_helper_reaches_it(self) -> None:
-        """One cut hop must not take the homes of a host away from everybody."""
+        """One failed hop must not take a host's homes away for all hosts."""
         directory, _ = probe_silent_host(helpers_reach=True)
-        assert told_status(directory) == HostStatus.ALIVE
+        assert gossiped_status(directory) == HostStatus.ALIVE
 
     @pytest.mark.parametrize("helpers_reach", [True, False])
     def test_is_probed_again_soon(self, helpers_reach: bool) -> None:
         directory, _ = probe_silent_host(helpers_reach)
-        assert directory.take_doubted() == TARGET
+        assert directory.pop_host_to_verify() == TARGET
 
 
 class TestAddress:
-    def test_answer_of_another_host_is_none(self) -> None:
-        """A host is gone, and its address was given to another one."""
+    def test_answer_of_another_host_is_a_failure(self) -> None:
+        """A host was removed, and its address was assigned to another one."""
         directory = HostDirectory(host("own"))
         directory.merge([host("host-2")])
         prober = Prober(directory, cast(PeerClients, Network(True)), lambda: 0)
