--- a/src/jujubeslip/membership/_directory.py
+++ b/src/jujubeslip/membership/_directory.py
@@ -1,4 +1,4 @@
-"""This host's view of the entry hosts, valid while its lease on the view holds."""
+"""The host's view of the entry hosts, valid while its lease on the view holds."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
     @property
     def superseded(self) -> bool:
-        """Return whether a later incarnation of this host runs and this must stop."""
+        """Return whether a later incarnation of this host has replaced this one."""
         return self._table.superseded
 
     def tick(self, configuration_revision: int) -> None:
--- a/src/jujubeslip/peers/__init__.py
+++ b/src/jujubeslip/peers/__init__.py
@@ -1,7 +1,7 @@
-"""Calls between processes of the system: Thrift over TCP, authenticated, bounded.
+"""Authenticated Thrift calls with timeouts between the processes of the system.
 
-A message that was received holds plain integers in its enum fields, so they are
-compared with `==`, never with `is`.
+The enum fields of received messages hold plain integers, so compare them with `==`,
+never with `is`.
 """
 
 from jujubeslip.peers._client import ControlClients, PeerClient
--- a/src/jujubeslip/peers/_client.py
+++ b/src/jujubeslip/peers/_client.py
@@ -1,4 +1,4 @@
-"""The calling side of one peer: pooled connections, each call with a deadline."""
+"""Clients for calls to peers, with pooled connections and a timeout for each call."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 T = TypeVar("T")
 
-# Thrift logs an error for each failed connect; the callers here report it themselves.
+# Thrift logs an error for each failed connection attempt; callers report it themselves.
 logging.getLogger("thrift.transport.TSocket").setLevel(logging.CRITICAL)
 
 MAXIMUM_IDLE_CONNECTIONS = 32
-# How long a connection may take to be there before another one is tried, in seconds.
-# The packet that opens it is lost where the peer's machine is about to start or its
-# queue is full; the system sends it again only after a second.
-CONNECT_SECONDS = 0.25
-# What a call gets at least once it is connected, in seconds.
-LEAST_SECONDS = 0.05
+# Seconds for one connection attempt before another one starts. The SYN packet is lost
+# if the peer's machine is still starting or its accept queue is full, and the operating
+# system resends it only after a second.
+CONNECT_TIMEOUT = 0.25
+# Minimum timeout in seconds for connecting and for a call once connected.
+MINIMUM_TIMEOUT = 0.05
 
 
 class _Connection:
@@ -44,17 +44,17 @@
         self.client: Any = client_type(protocol)
         try:
             self._open(deadline)
-            self.set_timeout(max(LEAST_SECONDS, deadline.remaining()))
+            self.set_timeout(max(MINIMUM_TIMEOUT, deadline.remaining()))
             self.client.hello(identity)
         except BaseException:
             self.close()
             raise
 
     def _open(self, deadline: Deadline) -> None:
-        """Connect, with a new packet where the first one got no answer."""
+        """Connect, with a new attempt whenever one times out before the deadline."""
         while True:
-            left = max(LEAST_SECONDS, deadline.remaining())
-            self.set_timeout(min(left, CONNECT_SECONDS))
+            remaining = max(MINIMUM_TIMEOUT, deadline.remaining())
+            self.set_timeout(min(remaining, CONNECT_TIMEOUT))
             try:
                 self._transport.open()
             except TTransport.TTransportException as error:
@@ -74,10 +74,10 @@
     """Calls to one peer address.
 
     Every call of the system's protocols is idempotent by its ids, so a call that
-    fails on a pooled connection is sent again over a fresh one. That guards against
-    connections that something between the hosts has lost track of: they go silent
-    for good while new ones work, which shows as a timeout. Only when the fresh one
-    fails too is the peer reported as unavailable.
+    fails on a pooled connection is resent over a fresh one. This guards against
+    connections whose state a device between the hosts has lost: they go silent
+    permanently while new ones work, and calls on them time out. The peer is reported
+    as unavailable only if the fresh connection fails too.
     """
 
     def __init__(self, client_type: type, address: str, identity: PeerIdentity) -> None:
@@ -88,10 +88,10 @@
         self._lock = threading.Lock()
 
     def call(self, operation: Callable[[Any], T], timeout: float) -> T:
-        """Run the operation with a client; `timeout` in seconds bounds each try.
+        """Run the operation with a client; `timeout` in seconds bounds each attempt.
 
         Raises PeerRefusal or NotLeader as the peer sent them, and PeerUnavailableError
-        when neither a pooled nor a fresh connection brought an answer.
+        if neither a pooled nor a fresh connection returned an answer.
         """
         pooled = self._take_idle()
         if pooled is not None:
@@ -102,11 +102,11 @@
     def call_within(
         self, operation: Callable[[Any], T], timeout: float, pooled_share: float = 1.0
     ) -> T:
-        """Run the operation with a client; `timeout` in seconds bounds all tries.
+        """Run the operation with a client; `timeout` in seconds bounds all attempts.
 
-        For a caller who has another way to go on: where the peer's zone was cut off,
-        the pooled connection is silent, and so would a fresh one be. With a share below
-        one, a pooled connection that stays silent leaves the rest for a fresh one.
+        For callers that have a fallback: if the peer's zone is partitioned, the pooled
+        connection is silent, and a fresh one would be too. With `pooled_share` below
+        one, a silent pooled connection leaves the rest of the time for a fresh one.
         """
         deadline = Deadline.after(timeout)
         pooled = self._take_idle()
@@ -126,8 +126,8 @@
         except (TException, OSError, EOFError) as error:
             if isinstance(error, PeerRefusal | NotLeader):
                 raise
-            # The other pooled ones are as old and likely as silent; each would cost a
-            # timeout, and a few in a row make a living host a suspect.
+            # The other pooled connections are as old and probably silent as well. Each
+            # would cost a timeout, and a few in a row make a live host suspected.
             self.close()
             raise self._unavailable(error) from error
 
@@ -138,7 +138,7 @@
                 self._client_type, self.address, self._identity, timeout
             )
             return self._call_on(
-                fresh, operation, max(LEAST_SECONDS, deadline.remaining())
+                fresh, operation, max(MINIMUM_TIMEOUT, deadline.remaining())
             )
         except (TException, OSError, EOFError) as error:
             if isinstance(error, PeerRefusal | NotLeader):
@@ -166,7 +166,7 @@
             self._put_idle(connection)
             raise
         except BaseException:
-            # A late answer could still arrive here and be read as the next call's.
+            # A late answer could still arrive and be read as that of the next call.
             connection.close()
             raise
         self._put_idle(connection)
@@ -185,7 +185,7 @@
 
 
 class ControlClients:
-    """Opens and keeps a client for each control host; may be used by threads."""
+    """Creates and caches a client for each control host; thread-safe."""
 
     def __init__(self, identity: PeerIdentity) -> None:
         self._identity = identity
--- a/src/jujubeslip/peers/_server.py
+++ b/src/jujubeslip/peers/_server.py
@@ -1,4 +1,4 @@
-"""The answering side: one task for each connection, closed unless it says hello."""
+"""A Thrift server with a task for each connection, which must call hello first."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 logger = logging.getLogger(__name__)
 
-# A silent connection is closed after this long; the caller opens a fresh one.
+# Seconds until an idle connection is closed; the caller opens a fresh one.
 IDLE_SECONDS = 60.0
 BACKLOG = 512
 
 
 class _AuthenticatedHandler:
-    """Lets calls through to the handler once the connection has said hello."""
+    """Passes calls to the handler once hello has authenticated the connection."""
 
     def __init__(self, handler: Any, secret: str) -> None:
         self._handler = handler
@@ -35,7 +35,7 @@
         if not hmac.compare_digest(given, self._secret.encode()):
             raise PeerRefusal(
                 "peer_not_authorized",
-                "The peer secret is wrong.",
+                "The peer secret is invalid.",
                 "Give both processes the same peer_secret.",
                 0,
             )
@@ -45,7 +45,7 @@
         if self._identity is None:
             raise PeerRefusal(
                 "peer_not_authorized",
-                "The connection has not said hello.",
+                "The connection is not authenticated.",
                 "Call hello first on each connection.",
                 0,
             )
@@ -53,7 +53,7 @@
 
 
 class PeerServer:
-    """Listens on an address and serves a handler to peers that know the secret."""
+    """Listens on an address and serves a handler to peers that present the secret."""
 
     def __init__(
         self,
@@ -94,8 +94,8 @@
         transport_socket.setTimeout(int(IDLE_SECONDS * 1000))
         transport = TTransport.TFramedTransport(transport_socket)
         protocol = TBinaryProtocol.TBinaryProtocolAccelerated(transport)
-        gate = _AuthenticatedHandler(self._handler, self._secret)
-        processor = self._processor_type(gate)
+        authenticated_handler = _AuthenticatedHandler(self._handler, self._secret)
+        processor = self._processor_type(authenticated_handler)
         try:
             while True:
                 processor.process(protocol, protocol)
