--- a/tests/entry/test_planned_stops.py
+++ b/tests/entry/test_planned_stops.py
@@ -118,12 +118,14 @@
         process = cluster.process_by_name[host]
         pause(cluster, "decode")
         streams = open_streams(cluster, host, "long", 3)
-        kept = http.client.HTTPConnection(cluster.http_address_by_id[host])
-        assert self._ask(kept, "GET", "/v1/ready")[0] == 200
+        keep_alive = http.client.HTTPConnection(cluster.http_address_by_id[host])
+        assert self._ask(keep_alive, "GET", "/v1/ready")[0] == 200
         process.terminate()
         wait_refused(cluster, host)
-        assert self._ask(kept, "GET", "/v1/ready")[0] == 503
-        status, error = self._ask(kept, "POST", f"/v1/services/{SERVICE}/requests")
+        assert self._ask(keep_alive, "GET", "/v1/ready")[0] == 503
+        status, error = self._ask(
+            keep_alive, "POST", f"/v1/services/{SERVICE}/requests"
+        )
         assert (status, error["error_id"], error["ran"]) == (503, "stopping", "no")
         message = model_message(DECODE_GATE_TOKENS)
         assert ask(cluster.client_address(other), SERVICE, message).whole
@@ -134,7 +136,7 @@
         for stream in streams:
             assert_whole(stream.result())
         assert process.wait() == 0
-        kept.close()
+        keep_alive.close()
 
     def _ask(
         self, connection: http.client.HTTPConnection, method: str, path: str
--- a/tests/membership/test_homes.py
+++ b/tests/membership/test_homes.py
@@ -80,7 +80,7 @@
     wait_until(nothing, "no grant is left", BOUND_SECONDS)
 
 
-def ask_until_whole(cluster: Cluster, host_id: str) -> list[ClientAnswer]:
+def ask_until_complete(cluster: Cluster, host_id: str) -> list[ClientAnswer]:
     """Retry as a client that respects Retry-After; return all answers."""
     answers: list[ClientAnswer] = []
 
@@ -88,7 +88,7 @@
         answers.append(ask(cluster.client_address(host_id), "summaries", MESSAGE))
         return answers[-1].whole
 
-    wait_until(whole, "an answer is whole", BOUND_SECONDS)
+    wait_until(whole, "an answer is complete", BOUND_SECONDS)
     return answers
 
 
@@ -109,7 +109,7 @@
                 [item["phase"] for item in cluster.held("decode-1")]
                 == ["decode"] * count
             ),
-            "all streams have begun",
+            "all streams have started",
             BOUND_SECONDS,
         )
 
@@ -137,7 +137,7 @@
         entry = min(others)
         wait_home(cluster, others)
         with ThreadPoolExecutor(1) as pool:
-            extra = pool.submit(ask_until_whole, cluster, entry)
+            extra = pool.submit(ask_until_complete, cluster, entry)
             for answer in self.streams.finish():
                 assert answer.whole, answer
             assert extra.result(BOUND_SECONDS)[-1].whole
@@ -174,7 +174,7 @@
         for answer in self.streams.finish():
             assert answer.whole, answer
         for host_id in ENTRIES:
-            ask_until_whole(cluster, host_id)
+            ask_until_complete(cluster, host_id)
         wait_nothing_granted(cluster, set(ENTRIES))
         cluster.wait_nothing_held()
 
@@ -197,11 +197,11 @@
         until = Deadline.after(ANNOUNCEMENT_LIFETIME + STATUS_LIFETIME)
         while not until.expired:
             for host_id in sorted(others):
-                ask_until_whole(cluster, host_id)
+                ask_until_complete(cluster, host_id)
         for proxy in proxies:
             proxy.heal()
         for host_id in ENTRIES:
-            ask_until_whole(cluster, host_id)
+            ask_until_complete(cluster, host_id)
         wait_nothing_granted(cluster, set(ENTRIES))
         cluster.wait_nothing_held()
 
@@ -235,7 +235,7 @@
         with Cluster(spec, tmp_path) as cluster:
             yield cluster
 
-    def cut(self, cluster: Cluster) -> None:
+    def partition(self, cluster: Cluster) -> None:
         zone = {**self.ZONE_BY_ENTRY, "control-1": "zone-1"}
         for (source, target), proxy in cluster.proxy_by_hop.items():
             if zone[source] != zone[target]:
@@ -243,10 +243,10 @@
 
     def test_serves_with_its_own_endpoints(self, cluster: Cluster) -> None:
         for host_id in ENTRIES:
-            ask_until_whole(cluster, host_id)
-        self.cut(cluster)
+            ask_until_complete(cluster, host_id)
+        self.partition(cluster)
         for host_id in ("entry-2", "entry-3", "entry-1"):
-            ask_until_whole(cluster, host_id)
+            ask_until_complete(cluster, host_id)
         cluster.wait_nothing_held()
 
     def test_fetches_a_configuration_from_its_own_zone(self, cluster: Cluster) -> None:
