--- a/bench/capacity/tables.py
+++ b/bench/capacity/tables.py
@@ -73,7 +73,7 @@
         "directory of entry hosts, microseconds a call",
         entry_hosts=size,
         home_of=_cpu(lambda: directory.home_of("summaries", "region-0")),
-        keepers_of=_cpu(lambda: directory.keepers_of("client/key", 2)),
+        keepers_of=_cpu(lambda: directory.key_owners_of("client/key", 2)),
         live_hosts=_cpu(directory.live_hosts),
     )
 
--- a/src/jujubeslip/membership/_directory.py
+++ b/src/jujubeslip/membership/_directory.py
@@ -43,13 +43,13 @@
         return self._lease.view_expired
 
     @property
-    def hears_others(self) -> bool:
+    def has_valid_view(self) -> bool:
         """Return whether this host's view of the others is valid now."""
         with self._lock:
             return self._lease.valid
 
     @property
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Return whether this host knows others but its view of them is invalid."""
         with self._lock:
             return bool(self._table.record_by_id) and not self._lease.valid
@@ -117,7 +117,7 @@
         with self._lock:
             self._lease.renew(asked_at)
 
-    def take_full_list(
+    def apply_full_list(
         self, live: Iterable[HostState], asked_at: float, complete: bool
     ) -> None:
         """Apply a peer's list of all live hosts, or compare it with this host's view.
@@ -198,9 +198,9 @@
         """Return the home of a service's endpoints, and its standby if there is one."""
         return self._current_view().homes_of(service, locality)
 
-    def keepers_of(self, key: str, count: int) -> list[HostState]:
+    def key_owners_of(self, key: str, count: int) -> list[HostState]:
         """Return the hosts that store the state of a key, the primary owner first."""
-        return self._current_view().keepers_of(key, count)
+        return self._current_view().key_owners_of(key, count)
 
     def status_of(self, host_id: str, incarnation: int) -> HostStatus:
         """Return the status of one incarnation; an older one is dead.
--- a/src/jujubeslip/membership/_prober.py
+++ b/src/jujubeslip/membership/_prober.py
@@ -123,7 +123,7 @@
             live += page.hosts
             after = page.hosts[-1].host_id
         self._directory.merge(live)
-        self._directory.take_full_list(live, asked_at, complete)
+        self._directory.apply_full_list(live, asked_at, complete)
         return True
 
     def _read_page(self, address: str, after: str) -> GossipMessage | None:
--- a/src/jujubeslip/membership/_view.py
+++ b/src/jujubeslip/membership/_view.py
@@ -66,7 +66,7 @@
         order = first_in_rendezvous_order(key, candidates, HOSTS_PER_POOL)
         return [self._live_by_id[host_id] for host_id in order]
 
-    def keepers_of(self, key: str, count: int) -> list[HostState]:
+    def key_owners_of(self, key: str, count: int) -> list[HostState]:
         """Return the hosts that store the state of a key, the primary owner first."""
         group = (hash_of(f"key/{key}") % KEY_GROUPS, count)
         owners = self._owners_by_group.get(group)
--- a/src/jujubeslip/requests/_key_replicator.py
+++ b/src/jujubeslip/requests/_key_replicator.py
@@ -55,7 +55,7 @@
     def _copy(self, record: KeyRecord) -> bool:
         """Copy one key to its owners; return whether each of them has it."""
         claim = record.claim
-        key_owners = self._directory.keepers_of(
+        key_owners = self._directory.key_owners_of(
             f"{claim.client}/{claim.key}", KEY_OWNERS
         )
         own = self._directory.own.host_id
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -72,7 +72,7 @@
 
     def claim(self, claim: KeyClaim) -> KeyReply:
         """Claim at a quorum of owners; a run known to any of them wins."""
-        if self._has_peers and not self._directory.hears_others:
+        if self._has_peers and not self._directory.has_valid_view:
             raise _no_host_reachable()
         key_owners = self._key_owners_of(claim)
         reply = self._claim_at_quorum(claim, key_owners)
@@ -148,7 +148,7 @@
 
     def _key_owners_of(self, claim: KeyClaim) -> list[HostState]:
         key = f"{claim.client}/{claim.key}"
-        return self._directory.keepers_of(key, KEY_OWNERS)
+        return self._directory.key_owners_of(key, KEY_OWNERS)
 
     def _is_own(self, key_owner: HostState) -> bool:
         return bool(key_owner.host_id == self._directory.own.host_id)
--- a/src/jujubeslip/routing/_home_router.py
+++ b/src/jujubeslip/routing/_home_router.py
@@ -210,7 +210,7 @@
         for standby in standbys:
             self._process.start_task(self._announce_to_standby, standby, announcement)
         self._announce_to(home, announcement)
-        if self._directory.alone:
+        if self._directory.isolated:
             # A host that is partitioned from the other entry hosts keeps the endpoint
             # in its own pools. The others would not learn of the endpoint while this
             # host accepts its announcements, so the error makes the endpoint announce
--- a/src/jujubeslip/routing/_limit_reports.py
+++ b/src/jujubeslip/routing/_limit_reports.py
@@ -51,7 +51,7 @@
         manager_by_id: dict[str, HostState] = {}
         usages_by_id: dict[str, list[LimitUsage]] = defaultdict(list)
         for usage in self._limits.usages():
-            manager = self._directory.keepers_of(f"limit/{usage.client}", 1)[0]
+            manager = self._directory.key_owners_of(f"limit/{usage.client}", 1)[0]
             manager_by_id[manager.host_id] = manager
             usages_by_id[manager.host_id].append(usage)
         for manager_id, usages in usages_by_id.items():
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -45,7 +45,7 @@
         self.directory = HostDirectory(state("own"))
         self.others = [state(f"other-{number}") for number in range(others)]
         self.directory.merge(self.others)
-        self.directory.take_full_list(self.others, clock.now, complete=True)
+        self.directory.apply_full_list(self.others, clock.now, complete=True)
 
     def run(self, seconds: float, renewed: bool = True) -> None:
         for _ in range(round(seconds / TICK)):
@@ -125,7 +125,7 @@
         host.directory.tick(0)
         announced = [state("other-0")]
         host.directory.merge(announced)
-        host.directory.take_full_list(announced, clock.now, complete=True)
+        host.directory.apply_full_list(announced, clock.now, complete=True)
         live = {item.host_id for item in host.directory.live_hosts()}
         assert live == {"own", "other-0"}
         host.run(2)
@@ -209,7 +209,7 @@
         keys = [f"key-{number}" for number in range(50)]
 
         def keepers() -> list[str]:
-            return [host.directory.keepers_of(key, 1)[0].host_id for key in keys]
+            return [host.directory.key_owners_of(key, 1)[0].host_id for key in keys]
 
         before = keepers()
         host.directory.record_reachability("other-3", False)
--- a/tests/requests/test_key_quorum.py
+++ b/tests/requests/test_key_quorum.py
@@ -57,7 +57,7 @@
     others = [_state(other) for other in HOST_IDS if other != host_id]
     directory = HostDirectory(_state(host_id))
     directory.merge(others)
-    directory.take_full_list(others, steady_seconds(), complete=True)
+    directory.apply_full_list(others, steady_seconds(), complete=True)
     return directory
 
 
