--- a/src/jujubeslip/entry/_announcements.py
+++ b/src/jujubeslip/entry/_announcements.py
@@ -8,7 +8,7 @@
 
 from jujubeslip.declaration import Spread
 from jujubeslip.endpoints import announcement_from_json
-from jujubeslip.entry._configuration import ConfigurationFollower
+from jujubeslip.entry._configuration_follower import ConfigurationFollower
 from jujubeslip.entry._responses import Environ, StartResponse, json_answer
 from jujubeslip.kernel import (
     EntrySettings,
--- a/src/jujubeslip/entry/_http_app.py
+++ b/src/jujubeslip/entry/_http_app.py
@@ -9,7 +9,7 @@
 from jujubeslip.declaration import Declaration
 from jujubeslip.entry._announcements import AnnouncementReceiver
 from jujubeslip.entry._client_call import CallServices, ClientCall
-from jujubeslip.entry._configuration import ConfigurationFollower
+from jujubeslip.entry._configuration_follower import ConfigurationFollower
 from jujubeslip.entry._responses import (
     Environ,
     StartResponse,
--- a/src/jujubeslip/entry/_peer_handler.py
+++ b/src/jujubeslip/entry/_peer_handler.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from jujubeslip.entry._configuration import ConfigurationFollower
+from jujubeslip.entry._configuration_follower import ConfigurationFollower
 from jujubeslip.homes import Homes
 from jujubeslip.kernel import Process
 from jujubeslip.membership import Gossip, HostDirectory
--- a/src/jujubeslip/entry/_process.py
+++ b/src/jujubeslip/entry/_process.py
@@ -5,7 +5,7 @@
 import logging
 
 from jujubeslip.control import ControlClient
-from jujubeslip.entry._configuration import ConfigurationFollower
+from jujubeslip.entry._configuration_follower import ConfigurationFollower
 from jujubeslip.entry._http_app import HttpApp
 from jujubeslip.entry._http_errors import RefusingChannel
 from jujubeslip.entry._peer_handler import PeerHandler
--- a/src/jujubeslip/membership/__init__.py
+++ b/src/jujubeslip/membership/__init__.py
@@ -2,7 +2,7 @@
 
 from jujubeslip.membership._directory import HostDirectory
 from jujubeslip.membership._gossip import Gossip
-from jujubeslip.membership._peers import PeerClients
+from jujubeslip.membership._peer_clients import PeerClients
 from jujubeslip.membership._rendezvous import rendezvous_order
 
 __all__ = ["Gossip", "HostDirectory", "PeerClients", "rendezvous_order"]
--- a/src/jujubeslip/membership/_directory.py
+++ b/src/jujubeslip/membership/_directory.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Mapping
 from copy import copy
 
+from jujubeslip.membership._host_table import HostTable
 from jujubeslip.membership._lease import ViewLease
+from jujubeslip.membership._live_view import LiveView
 from jujubeslip.membership._rings import successors
-from jujubeslip.membership._table import HostTable
-from jujubeslip.membership._view import LiveView
 from jujubeslip.peers import HostState, HostStatus
 
 _ORDER = (HostStatus.ALIVE, HostStatus.LEAVING, HostStatus.SUSPECT, HostStatus.DEAD)
--- a/src/jujubeslip/membership/_gossip.py
+++ b/src/jujubeslip/membership/_gossip.py
@@ -8,7 +8,7 @@
 
 from jujubeslip.kernel import Deadline, Process
 from jujubeslip.membership._directory import HostDirectory
-from jujubeslip.membership._peers import PeerClients
+from jujubeslip.membership._peer_clients import PeerClients
 from jujubeslip.membership._prober import Prober
 from jujubeslip.membership._rings import RINGS
 from jujubeslip.peers import GossipMessage
--- a/src/jujubeslip/membership/_table.py
+++ b/src/jujubeslip/membership/_host_table.py
@@ -6,14 +6,14 @@
 from copy import copy
 
 from jujubeslip.kernel import Deadline
-from jujubeslip.membership._news import UpdateQueue
-from jujubeslip.membership._records import (
+from jujubeslip.membership._host_record import (
     RETENTION_SECONDS,
     TRUSTED_AFTER_ANSWER,
     UNREACHABLE_SECONDS,
     HostRecord,
     digest_of,
 )
+from jujubeslip.membership._update_queue import UpdateQueue
 from jujubeslip.peers import HostState, HostStatus
 
 # Seconds until a host that no peer has announced counts as dead.
--- a/src/jujubeslip/membership/_prober.py
+++ b/src/jujubeslip/membership/_prober.py
@@ -9,7 +9,7 @@
 
 from jujubeslip.kernel import Deadline, PeerUnavailableError, Process, steady_seconds
 from jujubeslip.membership._directory import HostDirectory
-from jujubeslip.membership._peers import PeerClients
+from jujubeslip.membership._peer_clients import PeerClients
 from jujubeslip.peers import GossipMessage, HostState, PeerRefusal
 
 logger = logging.getLogger(__name__)
