--- a/src/jujubeslip/platform/__init__.py
+++ b/src/jujubeslip/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The interface of the users' platform: it translates, and decides nothing."""
+"""The interface of the users' platform: translates its protocol, without policy."""
 
 from jujubeslip.platform._plugin import PlatformInterface
 
--- a/src/jujubeslip/platform/_announcements.py
+++ b/src/jujubeslip/platform/_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of endpoints."""
+"""Decodes the announcements and removals that endpoints send."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 )
 from jujubeslip.peers import EndpointRole
 
-# A plain endpoint names no stage.
+# A plain endpoint sends no stage.
 ROLE_BY_STAGE = {
     "prefill": EndpointRole.PREFILL,
     "decode": EndpointRole.DECODE,
     None: EndpointRole.PLAIN,
 }
 LEAVING_STATE = "draining"
-# Longest body that is read, in bytes; an announcement with one model has some 300.
+# Longest body that is read, in bytes; an announcement with one model takes about 300.
 MAXIMUM_BYTES = 65_536
-# How long an endpoint may say that it stays slow, in milliseconds: a day. The other
-# hosts are told what is left, which must stay in the bounds of what they take.
+# Longest remaining slow start that an endpoint may announce, in milliseconds: a day.
+# The remainder is sent to the other hosts and must be within the bounds they accept.
 MAXIMUM_COLD_MS = 24 * 3600 * 1000
 
 
@@ -44,16 +44,16 @@
 
 class _WireAnnouncement(StrictModel):
     id: Annotated[Id | None, NotNull] = None
-    """Its id once more; the path's is the one that counts."""
+    """Its id again; if given, it must equal the id in the path."""
     service: Text
     address: EndpointAddress
     zone: Text
     version: Text
-    """Of its software."""
+    """Version of its software."""
     slots: Slots
     state: Literal["ready", "draining"]
     cold_left_ms: int = Field(alias="coldLeftMs", ge=0, le=MAXIMUM_COLD_MS)
-    """For how much longer it is slow after its start."""
+    """How much longer it stays slow after its start."""
     stage: Annotated[Literal["prefill", "decode"] | None, NotNull] = None
     models: Annotated[tuple[_WireModel, ...] | None, NotNull] = None
     born: Annotated[Whole | None, NotNull] = None
@@ -63,7 +63,7 @@
 
 class _WireRemoval(StrictModel):
     born: Annotated[Whole | None, NotNull] = None
-    """When the removed start began, in milliseconds of Unix time."""
+    """When the removed start of the endpoint began, in milliseconds of Unix time."""
 
 
 class _WirePath(StrictModel):
@@ -71,39 +71,43 @@
 
 
 def read_endpoint_id(text: str) -> Result[str, str]:
-    """Return the id in the path of an endpoint's call, or what is wrong with it."""
+    """Return the endpoint id in a request's path, or what is wrong with it."""
     return read_fields(_WirePath, {"id": text}).map(lambda path: path.id)
 
 
 def read_announcement(endpoint_id: str, body: bytes) -> Result[Endpoint, str]:
-    """Return what an endpoint says of itself, or which fields are wrong."""
+    """Return the announced endpoint, or which fields are wrong."""
     return read_json(_WireAnnouncement, body).bind(
-        lambda told: _endpoint(endpoint_id, told)
+        lambda announcement: _endpoint(endpoint_id, announcement)
     )
 
 
-def _endpoint(endpoint_id: str, told: _WireAnnouncement) -> Result[Endpoint, str]:
-    if told.id not in (None, endpoint_id):
-        return Failure("'id': it is not the path's; send the path's, or none.")
+def _endpoint(
+    endpoint_id: str, announcement: _WireAnnouncement
+) -> Result[Endpoint, str]:
+    if announcement.id not in (None, endpoint_id):
+        return Failure(
+            "'id': it differs from the id in the path; send that one, or none."
+        )
     return Success(
         Endpoint(
             endpoint_id=endpoint_id,
-            service_name=told.service,
-            address=told.address,
-            availability_zone=told.zone,
-            sequence=told.seq,
-            leaving=told.state == LEAVING_STATE,
-            slots=told.slots,
-            role=ROLE_BY_STAGE[told.stage],
+            service_name=announcement.service,
+            address=announcement.address,
+            availability_zone=announcement.zone,
+            sequence=announcement.seq,
+            leaving=announcement.state == LEAVING_STATE,
+            slots=announcement.slots,
+            role=ROLE_BY_STAGE[announcement.stage],
             heard_at=steady_seconds(),
-            slow_until=Deadline.from_remaining_ms(told.cold_left_ms),
-            started_at_ms=told.born or 0,
+            slow_until=Deadline.from_remaining_ms(announcement.cold_left_ms),
+            started_at_ms=announcement.born or 0,
         )
     )
 
 
 def read_removal(body: bytes) -> Result[int, str]:
-    """Return the start that is removed, 0 where the removal names none."""
+    """Return the removed start, or 0 if the removal names none."""
     if not body:
         return Success(0)
-    return read_json(_WireRemoval, body).map(lambda told: told.born or 0)
+    return read_json(_WireRemoval, body).map(lambda removal: removal.born or 0)
--- a/src/jujubeslip/platform/_configurations.py
+++ b/src/jujubeslip/platform/_configurations.py
@@ -1,4 +1,4 @@
-"""The operator's configurations."""
+"""Decodes the operator's configurations into route tables."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
     find_problem,
 )
 
-MILLISECONDS_OF_TARGET = "sloMs"
-# Clients leave a stream after a pause of this long, four targets, or eight of the
-# longest pauses that are in time, whichever is longest; so the platform's pages say.
-LEAST_PATIENCE_MS = 2000
+TARGET_MS_FIELD = "sloMs"
+# The platform's documentation says that clients close a stream after a pause of this
+# long, 4 times the target or 8 times the longest timely gap, whichever is longest.
+MINIMUM_CLIENT_TIMEOUT_MS = 2000
 
-# What clients may send, and how long they may take, in bytes and milliseconds.
+# Fields that bound the size of clients' requests, in bytes, and how long clients may
+# take, in milliseconds.
 CLIENT_LIMITS = ("maxHeaderBytes", "maxBodyBytes", "headerTimeoutMs", "idleTimeoutMs")
 
 
 def read_routes(content: str) -> Result[RouteTable, str]:
     """Return the routes of a configuration, or what is wrong with it.
 
-    Fields that are not known here are passed over.
+    Unknown fields are ignored.
     """
     try:
         fields = json.loads(content)
         table = _table(fields)
-        _check_unused(fields)
+        _check_unused_fields(fields)
     except KeyError as error:
         return Failure(f"The field {error} is missing; add it.")
     except (ValueError, TypeError, AttributeError) as error:
-        return Failure(f"The configuration can't be read: {error}.")
+        return Failure(f"The configuration is invalid: {error}.")
     problem = find_problem(table)
     return Failure(problem) if problem else Success(table)
 
@@ -55,7 +56,7 @@
 
 
 def _route(fields: dict[str, Any]) -> Route:
-    target_ms = _integer(fields.get(MILLISECONDS_OF_TARGET, fields["timeoutMs"]))
+    target_ms = _integer(fields.get(TARGET_MS_FIELD, fields["timeoutMs"]))
     gap_ms = _integer(fields.get("gapSloMs", 0))
     return Route(
         name=str(fields["name"]),
@@ -67,7 +68,7 @@
         target_ms=target_ms,
         maximum_attempts=_integer(fields.get("maxAttempts", 1)),
         resumable=bool(fields.get("resumable", False)),
-        patience_ms=max(LEAST_PATIENCE_MS, 4 * target_ms, 8 * gap_ms),
+        patience_ms=max(MINIMUM_CLIENT_TIMEOUT_MS, 4 * target_ms, 8 * gap_ms),
         maximum_gap_ms=gap_ms,
         public=bool(fields.get("public", False)),
     )
@@ -99,11 +100,11 @@
     )
 
 
-def _check_unused(fields: dict[str, Any]) -> None:
-    """Raise an error where a field that the product doesn't use can't be read.
+def _check_unused_fields(fields: dict[str, Any]) -> None:
+    """Raise an error if a field that this program doesn't use is invalid.
 
-    Its operator learns of the mistake at once, and not from what the field harms once
-    something uses it.
+    The operator learns of the mistake at once, instead of from a fault after a later
+    version starts to use the field.
     """
     for route in fields["routes"]:
         _integer(route.get("priority", 0))
@@ -118,7 +119,7 @@
 
 
 def _integer(value: Any) -> int:
-    """Return a whole number; true, text and fractions are none."""
+    """Return an integer; booleans, strings and floats are refused."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueError(f"{value!r} is not a whole number")
+        raise ValueError(f"{value!r} is not an integer")
     return value
--- a/src/jujubeslip/platform/_endpoint_answers.py
+++ b/src/jujubeslip/platform/_endpoint_answers.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints to the system's own calls."""
+"""Decodes the answers of endpoints to the system's own requests."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from jujubeslip.routes import EngineReport, PrefilledPrompt, RunningAnswer
 
 
-def _cut_run(item: Any) -> Any:
-    """Leave out what is behind the parts of a run that are read, or may be added."""
+def _truncate_run(item: Any) -> Any:
+    """Keep the three parts of a run that are read; later versions may append more."""
     return tuple(item[:3]) if isinstance(item, list) else item
 
 
-# Request id, tokens in memory, events made. The id is the client's own, so that it is
-# bounded by nothing: a long one must not make the engine's report unusable for all.
-_WireRun = Annotated[tuple[str, Whole, Whole], BeforeValidator(_cut_run)]
+# Request id, tokens in memory, events generated. The client chooses the id, so its
+# length is not bounded: a long id must not invalidate the engine's whole report.
+_WireRun = Annotated[tuple[str, Whole, Whole], BeforeValidator(_truncate_run)]
 
 
 class _WireReport(StrictModel):
     stage: Literal["prefill", "decode"]
     busy: bool
-    """Whether it is carrying out an order."""
+    """Whether it is executing an order."""
     seq: Whole
     """Orders accepted since its start."""
     queued: Whole
@@ -47,15 +47,15 @@
 
 
 def read_prefilled(body: bytes) -> Result[PrefilledPrompt, str]:
-    """Return what an endpoint says of a prompt that it has read, or what is wrong."""
+    """Return the prompt that an endpoint has prefilled, or what is wrong."""
     return read_json(_WirePrefilled, body).map(
-        lambda told: PrefilledPrompt(told.kv_handle, told.tokens)
+        lambda answer: PrefilledPrompt(answer.kv_handle, answer.tokens)
     )
 
 
 def read_reservation(body: bytes) -> Result[str, str]:
-    """Return the id of what was reserved, or what is wrong with the answer."""
-    return read_json(_WireReservation, body).map(lambda told: told.hold)
+    """Return the id of the reservation, or what is wrong with the answer."""
+    return read_json(_WireReservation, body).map(lambda answer: answer.hold)
 
 
 def read_report(body: bytes) -> Result[EngineReport, str]:
@@ -63,17 +63,17 @@
     return read_json(_WireReport, body).map(_report)
 
 
-def _report(told: _WireReport) -> EngineReport:
+def _report(report: _WireReport) -> EngineReport:
     return EngineReport(
-        capacity_tokens=told.kv_capacity,
-        used_tokens=told.kv_used,
-        waiting=told.queued,
+        capacity_tokens=report.kv_capacity,
+        used_tokens=report.kv_used,
+        waiting=report.queued,
         running=tuple(
             RunningAnswer(tokens, events, request_id)
-            for request_id, tokens, events, *_ in told.runs
+            for request_id, tokens, events, *_ in report.runs
         ),
-        orders=told.seq,
-        busy=told.busy,
-        reads_prompts=told.stage == PREFILL_STAGE,
-        started_at_ms=told.born or 0,
+        orders=report.seq,
+        busy=report.busy,
+        reads_prompts=report.stage == PREFILL_STAGE,
+        started_at_ms=report.born or 0,
     )
--- a/src/jujubeslip/platform/_endpoint_calls.py
+++ b/src/jujubeslip/platform/_endpoint_calls.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints: the headers that they carry, and the heads of their answers."""
+"""Encodes requests to endpoints, and decodes the heads of their answers."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 STAGE_BY_ROLE = {EndpointRole.PREFILL: PREFILL_STAGE, EndpointRole.DECODE: "decode"}
 MISDIRECTED = 421
 UNAVAILABLE = 503
-# An endpoint that takes nothing still gets a request now and then, which shows when it
-# takes some again, in requests a second.
-LEAST_LIMIT = 0.05
+# Lowest limit of an endpoint, in requests per second. One that accepts nothing still
+# gets an occasional request, which shows when it accepts requests again.
+MINIMUM_LIMIT_PER_SECOND = 0.05
 _SECONDS = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 _DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
 
 
 def endpoint_headers(request: ForwardedRequest, call: EndpointCall) -> Headers:
-    """Return the client's headers with those of this call."""
+    """Return the client's headers with those of this call added."""
     dropped = {names.LAST_EVENT_ID.lower()} if call.resume_after else set()
     headers = [item for item in request.headers if item[0].lower() not in dropped]
     if request.authorization:
@@ -42,7 +42,7 @@
     if call.reads_prompt_only:
         headers.append((names.STAGE, PREFILL_STAGE))
     if call.prompt_at:
-        headers.append((names.PROMPT_AT, call.prompt_at))
+        headers.append((names.PREFILLED_AT, call.prompt_at))
     if call.reservation:
         headers.append((names.RESERVATION, call.reservation))
     if call.resume_after:
@@ -51,11 +51,13 @@
 
 
 def read_head(status: int, headers: Iterable[tuple[str, str]]) -> EndpointHead:
-    """Return what the head of an endpoint's answer says."""
-    held = list(headers)
-    value_by_name = {name.lower(): value for name, value in held}
-    named = value_by_name.get(names.CONNECTION.lower(), "")
-    dropped = names.HOP_BY_HOP | {name.strip().lower() for name in named.split(",")}
+    """Decode the status and headers of an endpoint's answer."""
+    received = list(headers)
+    value_by_name = {name.lower(): value for name, value in received}
+    connection_headers = value_by_name.get(names.CONNECTION.lower(), "")
+    dropped = names.HOP_BY_HOP | {
+        name.strip().lower() for name in connection_headers.split(",")
+    }
     return EndpointHead(
         status=status,
         request_id=value_by_name.get(names.REQUEST_ID.lower(), ""),
@@ -65,7 +67,7 @@
         proves_origin=names.ORIGIN_MARK.lower() in value_by_name
         and names.CONTENT_ENCODING.lower() not in value_by_name,
         idle_seconds=_idle_seconds(value_by_name.get(names.KEEP_ALIVE.lower(), "")),
-        headers=tuple(item for item in held if item[0].lower() not in dropped),
+        headers=tuple(item for item in received if item[0].lower() not in dropped),
         limit_per_second=_limit(value_by_name.get(names.ENDPOINT_LIMIT.lower(), "")),
         backoff_seconds=_backoff(
             status, value_by_name.get(names.RETRY_AFTER.lower(), "")
@@ -75,7 +77,7 @@
 
 
 def reserve(endpoint_id: str, tokens: int, ttl_ms: int) -> EndpointQuestion:
-    """Return the question for a slot and this much memory of an endpoint."""
+    """Return the request that reserves a slot and this much memory."""
     body = json.dumps({"tokens": tokens, "ttl_ms": ttl_ms}).encode()
     headers = [("Content-Type", "application/json")]
     return EndpointQuestion(
@@ -84,12 +86,12 @@
 
 
 def ask_report(endpoint_id: str) -> EndpointQuestion:
-    """Return the question for an engine's state."""
+    """Return the request for an engine's report."""
     return EndpointQuestion("GET", "/report", [(names.EXPECTED_ENDPOINT, endpoint_id)])
 
 
 def order_role(order: RoleOrder) -> EndpointQuestion:
-    """Return the order that gives an engine another role."""
+    """Return the request that orders an engine to change its role."""
     body = {
         "op": "stage",
         "stage": STAGE_BY_ROLE[order.role],
@@ -105,25 +107,25 @@
 
 
 def release(endpoint_id: str, reservation: str) -> EndpointQuestion:
-    """Return the call that gives back what was reserved."""
+    """Return the request that releases a reservation."""
     headers = [(names.EXPECTED_ENDPOINT, endpoint_id)]
     return EndpointQuestion("DELETE", f"/hold-drop/{reservation}", headers)
 
 
 def _limit(text: str) -> float | None:
-    """Return an endpoint's limit, None where it names none that can be read."""
+    """Return the endpoint's limit, or None if the header is absent or invalid."""
     if not _DECIMAL.fullmatch(text.strip()):
         return None
-    return max(LEAST_LIMIT, float(text))
+    return max(MINIMUM_LIMIT_PER_SECOND, float(text))
 
 
 def _backoff(status: int, text: str) -> float:
-    """Return the seconds that a refusal asks for, 0 where it names none."""
+    """Return the backoff in seconds that a refusal asks for, or 0 if it has none."""
     if status != UNAVAILABLE or not _SECONDS.fullmatch(text.strip()):
         return 0.0
     return float(text)
 
 
 def _idle_seconds(keep_alive: str) -> float | None:
-    found = _KEEP_ALIVE_TIMEOUT.search(keep_alive)
-    return float(found.group(1)) if found else None
+    match = _KEEP_ALIVE_TIMEOUT.search(keep_alive)
+    return float(match.group(1)) if match else None
--- a/src/jujubeslip/platform/_headers.py
+++ b/src/jujubeslip/platform/_headers.py
@@ -1,39 +1,39 @@
-"""The platform's header names, and which headers belong to one connection only."""
+"""The platform's header names, and which headers are not forwarded."""
 
 from __future__ import annotations
 
 REQUEST_ID = "Request-Id"
-# Milliseconds that the sender will wait, counted from when it sends.
+# Milliseconds that the sender waits, counted from the time it sends.
 DEADLINE = "Deadline-Ms"
 LAST_EVENT_ID = "Last-Event-Id"
-# The start of an endpoint that alone may answer; others answer 421.
+# The endpoint id that the request is for; any other endpoint answers 421.
 EXPECTED_ENDPOINT = "Expect-Instance"
-# The start of the endpoint that answers.
+# The id of the endpoint that answers.
 ENDPOINT_ID = "Instance-Id"
 STAGE = "Stage"
-# Where a prompt's memory is fetched: "IP:port/handle".
-PROMPT_AT = "Kv-From"
-# Marks an answer of an endpoint; nothing else bears it.
+# Where the KV cache of a prefilled prompt is fetched: "IP:port/handle".
+PREFILLED_AT = "Kv-From"
+# Proof of origin: only answers of endpoints have this header.
 ORIGIN_MARK = "Server-Stamp"
-# An endpoint says that it refused before it ran the request.
+# Set by an endpoint that refused the request before it ran.
 NOT_RUN = "Not-Run"
 # The slot and memory that were reserved for the request.
 RESERVATION = "Kv-Hold"
-# The client's key, for this system alone.
+# The client's key, which is for this system only.
 AUTHORIZATION = "Authorization"
-# The client account that holds the key, for endpoints.
+# The client account that the key belongs to, sent to endpoints.
 ACCOUNT = "Tenant"
-# Requests a second that an endpoint in need takes from all hosts together.
+# Requests per second that an overloaded endpoint accepts from all hosts together.
 ENDPOINT_LIMIT = "Server-Limit"
-# Seconds for which an endpoint that refuses a request wants none from this host.
+# Seconds for which an endpoint that refuses a request wants no more from this host.
 RETRY_AFTER = "Retry-After"
-# An endpoint says that it is shutting down.
+# Set by an endpoint that is shutting down.
 ENDPOINT_LEAVING = "Server-Leaving"
 CONTENT_ENCODING = "Content-Encoding"
 KEEP_ALIVE = "Keep-Alive"
 CONNECTION = "Connection"
 
-# Names of headers in lower case that end at the next hop.
+# Hop-by-hop headers, in lower case; they are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -49,8 +49,8 @@
         "upgrade",
     }
 )
-# Headers that only this system may set: a client that sets one could take another's
-# memory at an endpoint, hold capacity there, or pass for another client account.
+# Headers that only this system may set: a client that sets one could use another's KV
+# cache at an endpoint, hold capacity there, or impersonate another client account.
 SET_BY_SYSTEM = frozenset(
     {
         "deadline-ms",
--- a/src/jujubeslip/platform/_plugin.py
+++ b/src/jujubeslip/platform/_plugin.py
@@ -1,4 +1,4 @@
-"""The platform's interface, as the rest of the program sees it."""
+"""The platform's protocol as a plug-in of the interface registry."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class PlatformInterface:
-    """Translates between the platform's calls and the product's types."""
+    """Translates between the platform's protocol and the types of this program."""
 
     def control_app(self, gateway: ControlGateway) -> WsgiApp:
         """See Interface."""
--- a/src/jujubeslip/platform/_requests.py
+++ b/src/jujubeslip/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests, and the refusals that they get."""
+"""Decodes clients' requests, and encodes refusals."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from jujubeslip.platform._headers import AUTHORIZATION, HOP_BY_HOP, SET_BY_SYSTEM
 from jujubeslip.routes import ForwardedRequest, PromptPart, PromptShape
 
-# WSGI's keys of headers that don't begin with HTTP_.
+# WSGI keys of headers that don't begin with HTTP_.
 NAME_BY_KEY = {"CONTENT_TYPE": "Content-Type"}
-HEADER_KEY = "HTTP_"
+HEADER_KEY_PREFIX = "HTTP_"
 
 
 def read_request(environ: dict[str, Any]) -> ForwardedRequest:
-    """Return a client's request with the headers that are passed on."""
+    """Return a client's request with the headers that are forwarded."""
     dropped = HOP_BY_HOP | SET_BY_SYSTEM | _named_by_connection(environ)
     authorization = environ.get("HTTP_AUTHORIZATION", "")
     headers = tuple(
@@ -41,7 +41,7 @@
 
 
 def encode_refusal(refusal: RequestRefusedError, request_id: str) -> EncodedRefusal:
-    """Return a refusal; clients take Retry-After with fractions of a second."""
+    """Encode a refusal; clients accept Retry-After with fractions of a second."""
     headers = [("Content-Type", "application/json")]
     if refusal.retry_after is not None:
         headers.append(("Retry-After", f"{refusal.retry_after:.2f}"))
@@ -58,8 +58,8 @@
 def _headers(environ: dict[str, Any]) -> list[tuple[str, str]]:
     headers = []
     for key, value in environ.items():
-        if key.startswith(HEADER_KEY):
-            name = key.removeprefix(HEADER_KEY).replace("_", "-").title()
+        if key.startswith(HEADER_KEY_PREFIX):
+            name = key.removeprefix(HEADER_KEY_PREFIX).replace("_", "-").title()
             headers.append((name, value))
         elif key in NAME_BY_KEY and value:
             headers.append((NAME_BY_KEY[key], value))
@@ -67,9 +67,9 @@
 
 
 def _named_by_connection(environ: dict[str, Any]) -> set[str]:
-    """Return the headers that the client says to be for this connection only."""
-    named = environ.get("HTTP_CONNECTION", "").split(",")
-    return {name.strip().lower() for name in named}
+    """Return the header names in Connection, which are for this hop only."""
+    names = environ.get("HTTP_CONNECTION", "").split(",")
+    return {name.strip().lower() for name in names}
 
 
 def _deadline(text: str) -> Deadline | None:
@@ -77,10 +77,10 @@
 
 
 def _prompt(environ: dict[str, Any]) -> PromptShape | None:
-    """Return the lengths that the client gives, None without or with unusable ones."""
+    """Return the lengths that the client sends, or None if absent or invalid."""
     try:
-        given = environ.get("HTTP_TOKEN_COUNT", "").split(",")
-        prompt_tokens, output_tokens = (int(count) for count in given)
+        counts = environ.get("HTTP_TOKEN_COUNT", "").split(",")
+        prompt_tokens, output_tokens = (int(count) for count in counts)
         expected = environ.get("HTTP_LENGTH_HINT", "")
         return PromptShape(
             prompt_tokens,
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -1,6 +1,6 @@
-"""Announcements of endpoints that another program wrote, or that were damaged.
+"""Invalid announcements, from other programs or damaged in transit.
 
-Whatever one writer sends, the other endpoints must go on being known and used.
+Whatever one sender announces, the other endpoints must stay known and in use.
 """
 
 from __future__ import annotations
@@ -76,18 +76,20 @@
     },
     OPTIONAL,
 )
-# Those that don't reach into a field.
+# Breaks of a top-level field, not of a value inside one.
 WHOLE_FIELDS = [broken for broken in BREAKS if len(broken.path) == 1]
 BAD_IDS = ("", "a b", "a\r\nX: y", "a/b", "\xff", "x" * 1000)
 
 
-def numbers(least: int, most: int) -> st.SearchStrategy[int]:
-    """Return whole numbers in these bounds, often at one of them."""
-    return st.sampled_from([least, most, most - 1]) | st.integers(least, most)
+def numbers(minimum: int, maximum: int) -> st.SearchStrategy[int]:
+    """Return integers in these bounds, often at one of them."""
+    return st.sampled_from([minimum, maximum, maximum - 1]) | st.integers(
+        minimum, maximum
+    )
 
 
 class Host:
-    """What a control host answers to endpoints, and what it then knows."""
+    """A control host: its responses to endpoints, and its registry."""
 
     def __init__(self) -> None:
         self.book = EndpointBook()
@@ -97,7 +99,7 @@
         self.status = 0
 
     def put(self, endpoint_id: str, body: bytes, method: str = "PUT") -> str:
-        """Send an announcement; return the body of the answer."""
+        """Send an announcement; return the body of the response."""
         environ = {
             "REQUEST_METHOD": method,
             "PATH_INFO": f"/instances/{endpoint_id}",
@@ -111,12 +113,12 @@
         return b"".join(self._app(environ, start_response)).decode()
 
     def announce(self, endpoint_id: str, **fields: Any) -> None:
-        """Send a sound announcement."""
+        """Send a valid announcement."""
         self.put(endpoint_id, json.dumps({**ENGINE, **fields}).encode())
         assert self.status == 200
 
-    def told(self) -> dict[str, Endpoint]:
-        """Return what the host tells others, passed over a connection."""
+    def reported(self) -> dict[str, Endpoint]:
+        """Return the endpoints that the host reports, encoded and decoded again."""
         for endpoint in self.book.changes_since(0)[1]:
             assert received(to_record(endpoint)).endpoint_id == endpoint.endpoint_id
         return {item.endpoint_id: item for item in self.book.endpoints()}
@@ -134,101 +136,106 @@
 
 
 class TestBrokenField:
-    """One writer sends a sequence of seventy bits, or half of a character as a name.
+    """Guards against an invalid field that is acknowledged and kept.
 
-    The control host acknowledges it and keeps it. No answer to the hosts that watch can
-    be encoded any more, so none of them hears of any endpoint: those that come are not
-    used, and those that leave are sent requests until they exit.
+    With a sequence number of seventy bits, or half a surrogate pair in a name, no
+    answer to the watching hosts can be encoded any more. None of them hears of any
+    endpoint: new ones are not used, and leaving ones get requests until they exit.
     """
 
     @pytest.mark.parametrize("broken", BREAKS, ids=str)
     def test_names_no_endpoint_and_harms_none(self, host: Host, broken: Break) -> None:
-        before = host.told()
+        before = host.reported()
         answer = host.put("foreign", broken.apply(ENGINE))
         assert 400 <= host.status < 500
         assert f"'{broken.field}" in json.loads(answer)["error"]
-        assert host.told() == before
+        assert host.reported() == before
 
     @pytest.mark.parametrize("broken", BREAKS, ids=str)
     def test_of_a_known_start_leaves_what_was_known(
         self, host: Host, broken: Break
     ) -> None:
-        before = host.told()
+        before = host.reported()
         host.put("engine", broken.apply({**ENGINE, "seq": 1000}))
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
     @given(several=st.lists(st.sampled_from(WHOLE_FIELDS), min_size=2, max_size=6))
     @settings(deadline=None, max_examples=60)
     def test_among_others_is_refused_all_the_same(
         self, host: Host, several: list[Break]
     ) -> None:
-        before = host.told()
+        before = host.reported()
         body = dict(ENGINE)
         for broken in several:
             body[broken.field] = broken.value
         kept = {key: value for key, value in body.items() if value is not MISSING}
         host.put("foreign", json.dumps(kept).encode())
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
 
 class TestUnreadableBody:
     @pytest.mark.parametrize("body", UNREADABLE, ids=lambda body: ascii(body[:12]))
     def test_is_refused(self, host: Host, body: bytes) -> None:
-        before = host.told()
+        before = host.reported()
         assert json.loads(host.put("foreign", body))["error"]
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
     @given(body=st.binary(max_size=200))
     @settings(deadline=None, max_examples=100)
     def test_of_any_bytes_is_refused(self, host: Host, body: bytes) -> None:
-        before = host.told()
+        before = host.reported()
         host.put("foreign", body)
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
     def test_of_a_megabyte_is_refused_without_reading_it(self, host: Host) -> None:
-        before = host.told()
+        before = host.reported()
         body = json.dumps({**ENGINE, "padding": "x" * 1_000_000}).encode()
         answer = host.put("foreign", body)
         assert host.status == 413
         assert "65536" in json.loads(answer)["error"]
-        assert host.told() == before
+        assert host.reported() == before
 
 
 class TestId:
-    """An id with a line break would put a header of its own into each request."""
+    """Guards against an id with a line break, which would add a header to requests."""
 
     @pytest.mark.parametrize("endpoint_id", BAD_IDS, ids=lambda name: ascii(name[:9]))
-    def test_that_is_no_name_is_refused(self, host: Host, endpoint_id: str) -> None:
-        before = host.told()
+    def test_that_is_invalid_is_refused(self, host: Host, endpoint_id: str) -> None:
+        before = host.reported()
         answer = host.put(endpoint_id, json.dumps(ENGINE).encode())
         assert host.status == 400
         assert "id" in json.loads(answer)["error"]
         host.put(endpoint_id, b"", method="DELETE")
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
-    @pytest.mark.parametrize("told", ["engine", "", 1, True, None, [], {}], ids=repr)
-    def test_that_is_not_the_path_s_is_refused(self, host: Host, told: Any) -> None:
-        before = host.told()
-        answer = host.put("foreign", json.dumps({**ENGINE, "id": told}).encode())
+    @pytest.mark.parametrize(
+        "other_id", ["engine", "", 1, True, None, [], {}], ids=repr
+    )
+    def test_that_differs_from_the_path_is_refused(
+        self, host: Host, other_id: Any
+    ) -> None:
+        before = host.reported()
+        answer = host.put("foreign", json.dumps({**ENGINE, "id": other_id}).encode())
         assert host.status == 400
         assert "'id'" in json.loads(answer)["error"]
-        assert host.told() == before
+        assert host.reported() == before
 
-    def test_that_is_the_path_s_is_taken(self) -> None:
+    def test_that_equals_the_path_is_accepted(self) -> None:
         host = Host()
         host.announce("e-1", id="e-1")
-        assert list(host.told()) == ["e-1"]
+        assert list(host.reported()) == ["e-1"]
 
 
-class TestWhatIsAccepted:
-    """A number is just small enough for the host that takes the announcement.
+class TestAcceptedAnnouncement:
+    """Guards against numbers that only the receiving control host accepts.
 
-    It is acknowledged; the hosts that are told of it refuse it, and never use it.
+    It would acknowledge the announcement, and the hosts that it reports the endpoint
+    to would refuse it and never use the endpoint.
     """
 
     @given(
@@ -244,24 +251,32 @@
         host = Host()
         host.announce("e", service=service, slots=slots, seq=seq, coldLeftMs=cold_ms)
         [kept] = host.book.endpoints()
-        [told] = usable_endpoints("host", [received(to_record(kept))])
-        assert (told.service_name, told.slots, told.sequence) == (service, slots, seq)
-
-    def test_is_no_longer_than_a_day_of_a_slow_start(self, host: Host) -> None:
-        before = host.told()
+        [usable] = usable_endpoints("host", [received(to_record(kept))])
+        assert (usable.service_name, usable.slots, usable.sequence) == (
+            service,
+            slots,
+            seq,
+        )
+
+    def test_has_a_slow_start_of_a_day_at_most(self, host: Host) -> None:
+        before = host.reported()
         body = json.dumps({**ENGINE, "coldLeftMs": 24 * 3600 * 1000 + 1}).encode()
         assert "'coldLeftMs'" in host.put("foreign", body)
         assert host.status == 400
-        assert host.told() == before
+        assert host.reported() == before
 
 
-class TestSoundAnnouncement:
-    def test_of_an_engine_is_taken(self) -> None:
+class TestValidAnnouncement:
+    def test_of_an_engine_is_accepted(self) -> None:
         host = Host()
         host.announce("e-1", state="draining")
-        told = host.told()["e-1"]
-        assert told.leaving
-        assert (told.role, told.sequence, told.slots) == (EndpointRole.DECODE, 4, 64)
+        endpoint = host.reported()["e-1"]
+        assert endpoint.leaving
+        assert (endpoint.role, endpoint.sequence, endpoint.slots) == (
+            EndpointRole.DECODE,
+            4,
+            64,
+        )
 
     @pytest.mark.parametrize("absent", [{"born"}, {"models"}, {"born", "models"}])
     def test_may_lack_what_is_optional(self, absent: set[str]) -> None:
@@ -270,29 +285,29 @@
         host.put("e-1", json.dumps(body).encode())
         assert host.status == 200
 
-    def test_without_a_stage_is_a_plain_service_s(self) -> None:
+    def test_without_a_stage_is_of_a_plain_service(self) -> None:
         host = Host()
         host.put("e-1", json.dumps(PLAIN).encode())
-        assert host.told()["e-1"].role is EndpointRole.PLAIN
+        assert host.reported()["e-1"].role is EndpointRole.PLAIN
 
     @given(name=st.text(st.characters(codec="utf-8"), max_size=8), value=json_values)
     @settings(deadline=None, max_examples=60)
-    def test_may_have_fields_that_are_new(self, name: str, value: Any) -> None:
+    def test_may_have_unknown_fields(self, name: str, value: Any) -> None:
         host = Host()
         host.put("e-1", json.dumps({f"new{name}": value, **ENGINE}).encode())
         assert host.status == 200
-        assert host.told()["e-1"].service_name == "model"
+        assert host.reported()["e-1"].service_name == "model"
 
-    def test_behind_a_broken_one_is_taken(self) -> None:
+    def test_after_an_invalid_one_is_accepted(self) -> None:
         host = Host()
         host.announce("e-1", seq=4)
         host.put("e-1", json.dumps({**ENGINE, "seq": 5, "slots": "8"}).encode())
         host.announce("e-1", seq=6, slots=8)
-        assert host.told()["e-1"].slots == 8
+        assert host.reported()["e-1"].slots == 8
 
 
 class TestLogLine:
-    def test_tells_the_endpoint_and_the_field_and_is_short(
+    def test_names_the_endpoint_and_the_field_and_is_short(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
         host = Host()
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -1,4 +1,4 @@
-"""The operator's configurations: which are refused, which is in force, which stays."""
+"""The operator's configurations: validation, and which version is in force."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 def changed(**route_fields: Any) -> dict[str, Any]:
-    """Return the valid configuration with another first route."""
+    """Return the valid configuration with a changed first route."""
     result = copy.deepcopy(VALID)
     result["routes"][0].update(route_fields)
     return result
 
 
 def with_engine(**engine_fields: Any) -> dict[str, Any]:
-    """Return the valid configuration with a service of engines, changed."""
+    """Return the valid configuration with a changed engine service added."""
     service: dict[str, Any] = copy.deepcopy(ENGINE)
     service["engine"].update(engine_fields)
     return {**VALID, "services": [PLAIN, service]}
 
 
 def with_limit(name: str, value: Any) -> dict[str, Any]:
-    """Return the valid configuration with another limit of what clients may send."""
+    """Return the valid configuration with a changed limit on clients' requests."""
     return {**VALID, "limits": {**VALID["limits"], name: value}}
 
 
@@ -128,14 +128,14 @@
         fields = json.loads(json.dumps(INVALID_ACCOUNTS[name]))
         assert "k1" not in read_routes(json.dumps(fields)).failure()
 
-    def test_longest_prefix_decides(self) -> None:
+    def test_longest_prefix_matches(self) -> None:
         table = read_routes(json.dumps(VALID)).unwrap()
         found = [table.find_route("boards.example", path) for path in ("/a/b/c", "/a/")]
         assert [item.name for item in found if item] == ["b", "a"]
         assert table.find_route("boards.example", "/b/") is None
         assert table.find_route("other.example", "/a/b/c") is None
 
-    def test_unknown_fields_are_passed_over(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         fields = {**changed(newField=1), "another": {}}
         assert read_routes(json.dumps(fields)).unwrap().version == 7
 
@@ -145,7 +145,7 @@
         assert isinstance(refused, Failure)
         assert refused.failure()
 
-    def test_one_that_was_cut_short_is_refused(self) -> None:
+    def test_truncated_one_is_refused(self) -> None:
         content = json.dumps(VALID)
         assert isinstance(read_routes(content[: len(content) // 2]), Failure)
 
@@ -158,12 +158,12 @@
 
 
 class TestAcceptedConfiguration:
-    """Operators number their changes, race each other, and send them again.
+    """Operators number their changes, send them concurrently, and retry them.
 
-    The highest number that was acknowledged is in force, on every host, for good.
+    The highest acknowledged version stays in force on every host.
     """
 
-    def test_host_without_configuration_promises_that_nothing_ran(
+    def test_host_without_configuration_refuses_requests(
         self, system: PlatformSystem
     ) -> None:
         wait_until(lambda: "serves" in system.entries[0].output(), "entry host starts")
@@ -184,7 +184,7 @@
             assert system.put(older, control) == 200
             assert system.read(control) == (200, configuration(20, ROUTES, [PLAIN]))
 
-    def test_invalid_one_leaves_nothing_behind(self, system: PlatformSystem) -> None:
+    def test_invalid_one_changes_nothing(self, system: PlatformSystem) -> None:
         before = system.read()
         for fields in INVALID.values():
             assert system.put(fields, 1) == 400
@@ -211,10 +211,10 @@
         wait_until(lambda: system.read()[0] == 200, "configuration read")
         assert system.read()[1]["version"] == 40
 
-    def test_host_that_is_not_sure_answers_no_read(
+    def test_host_without_a_majority_refuses_reads(
         self, system: PlatformSystem
     ) -> None:
-        """Cut off from the majority, it can't know of newer versions."""
+        """A host partitioned from the majority can't know of newer versions."""
         for host in system.controls[1:]:
             host.kill()
         wait_until(lambda: system.read()[0] == 503, "no read without a majority")
--- a/tests/platform/test_deployment.py
+++ b/tests/platform/test_deployment.py
@@ -1,4 +1,4 @@
-"""The deploy file, its templates and the settings that they make."""
+"""The deploy file, its templates, and the settings that they produce."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
 from tests.fakes.processes import ROOT
 
 DEPLOY = ROOT / "deploy"
-# What the platform tells a process; the shapes are those of its pages, the values not.
-TOLD: dict[str, Any] = {
+# Parameters that the platform passes to a process. Their structure is that of its
+# documentation, their values are not.
+PARAMETERS: dict[str, Any] = {
     "nodeName": "core-north-1",
     "ip": "10.9.0.1",
     "zone": "north",
@@ -41,11 +42,11 @@
 }
 
 
-def filled(name: str, told: dict[str, Any] = TOLD) -> str:
-    """Return a template with its placeholders filled as the platform does."""
+def filled(name: str, parameters: dict[str, Any] = PARAMETERS) -> str:
+    """Return a template with its placeholders filled in as the platform does it."""
 
     def look_up(path: str) -> Any:
-        found: Any = told
+        found: Any = parameters
         for part in path.split("."):
             found = found[int(part)] if part.isdigit() else found[part]
         return found
@@ -78,16 +79,16 @@
         assert settings.seed_addresses == ("10.9.0.1:7001", "10.9.1.1:7001")
         assert (settings.stop_limit_ms, settings.retry_window_ms) == (8000, 10_000)
 
-    @pytest.mark.parametrize("founds", [True, False])
+    @pytest.mark.parametrize("may_found", [True, False])
     def test_control_hosts_settings_are_read(
-        self, tmp_path: Path, founds: bool
+        self, tmp_path: Path, may_found: bool
     ) -> None:
         path = tmp_path / "control.toml"
-        path.write_text(filled("control.toml", {**TOLD, "bootstrap": founds}))
+        path.write_text(filled("control.toml", {**PARAMETERS, "bootstrap": may_found}))
         read = load_control_settings(path)
         assert isinstance(read, Success), read
         settings = read.unwrap()
-        assert settings.may_found is founds
+        assert settings.may_found is may_found
         assert settings.tolerated_losses == 2
         assert settings.peer_address in settings.seed_addresses
 
@@ -98,7 +99,9 @@
         path = tmp_path / name
         load = load_forward_settings if "entry" in name else load_control_settings
         quota = {"quotaWindowS": 6, "quotaOverage": 0.2, "quotaSlack": 5000}
-        path.write_text(filled(name, {**TOLD, "bounds": {**TOLD["bounds"], **quota}}))
+        path.write_text(
+            filled(name, {**PARAMETERS, "bounds": {**PARAMETERS["bounds"], **quota}})
+        )
         with_limits: Any = load(path)
         path.write_text(filled(name))
         without: Any = load(path)
@@ -119,13 +122,13 @@
 
 
 class TestDeployFile:
-    def test_names_templates_that_are_there(self) -> None:
+    def test_names_existing_templates(self) -> None:
         system = tomllib.loads((DEPLOY / "system.toml").read_text())
         assert set(system["roles"]) == {"entry", "control"}
         for role in system["roles"].values():
             assert (ROOT / role["template"]).is_file()
 
-    def test_libraries_are_those_that_the_tests_run_with(self) -> None:
+    def test_libraries_are_pinned_as_in_the_test_environment(self) -> None:
         locked = set((ROOT / "requirements.lock").read_text().splitlines())
         deployed = (DEPLOY / "requirements.lock").read_text().splitlines()
         assert deployed and set(deployed) <= locked
--- a/tests/platform/test_early_removals.py
+++ b/tests/platform/test_early_removals.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave before any control host has heard of them, with processes."""
+"""Endpoints that leave before any control host knows them, with real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.fakes.processes import wait_until
 
 
-def answered(host: Host) -> set[str]:
+def reached_controls(host: Host) -> set[str]:
     """Return the addresses of the control hosts that have answered this one."""
     lines = [json.loads(line) for line in host.output().splitlines()]
     message = "control host answers"
@@ -24,18 +24,22 @@
 
 
 class TestControlHostThatIsLostAfterARemoval:
-    """Guards against an acknowledged removal that one control host alone has kept."""
+    """Guards against an acknowledged removal that only one control host has stored."""
 
-    def test_late_announcement_brings_nothing_back(self, tmp_path: Path) -> None:
+    def test_late_announcement_does_not_restore_the_endpoint(
+        self, tmp_path: Path
+    ) -> None:
         with PlatformSystem(tmp_path, controls=3, entries=1) as system:
             routes = [route("safe", "/safe/", "plain")]
             system.put_until_accepted(configuration(1, routes, [PLAIN]))
             other = system.add(PlatformWorker("other", "plain"), control=1)
             system.wait_served("/safe/x")
-            # In touch: the other control hosts follow the one that is told.
+            # The other control hosts already follow the one that gets the removal.
             for follower in system.controls[1:]:
                 wait_until(
-                    lambda follower=follower: system.seeds[0] in answered(follower),  # type: ignore[misc]
+                    lambda follower=follower: (
+                        system.seeds[0] in reached_controls(follower)
+                    ),  # type: ignore[misc]
                     "the first control host is followed",
                 )
             leaving = PlatformWorker("leaving", "plain")
--- a/tests/platform/test_endpoint_answers.py
+++ b/tests/platform/test_endpoint_answers.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints to the system's own questions, broken field by field."""
+"""Answers of endpoints to the system's own requests, invalid field by field."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 }
 PREFILLED = {"kvHandle": "3fa09c41b7d5", "tokens": 1460, "version": 1}
 RESERVED = {"hold": "r-1"}
-# A client may choose any text.
+# Any string is valid, since clients choose the ids.
 NO_RUN_ID = tuple(value for value in NO_TEXT if not isinstance(value, str))
 NO_RUNS = (*NO_LIST, [["9c41"]], [["9c41", 1500]], [{"9c41": 1}])
 
@@ -76,24 +76,24 @@
 ]
 READERS = [read for read, _, _ in CASES]
 BROKEN = [
-    pytest.param(read, sound, item, id=f"{read.__name__}-{item}")
-    for read, sound, items in CASES
+    pytest.param(read, valid, item, id=f"{read.__name__}-{item}")
+    for read, valid, items in CASES
     for item in items
 ]
 
 
 class TestBrokenAnswer:
-    """An engine reports its memory in text, or a run of minus one token.
+    """Guards against an engine that reports memory as text, or a run of -1 tokens.
 
-    Read as a number, it would draw each request of its service, and an answer that is
-    no report would end the task that asks, for that engine and for those behind it.
+    Accepted as a number, it would attract every request of its service. An answer that
+    is not a report would end the polling task for this engine and those after it.
     """
 
-    @pytest.mark.parametrize(("read", "sound", "broken"), BROKEN)
+    @pytest.mark.parametrize(("read", "valid", "broken"), BROKEN)
     def test_is_refused_and_names_its_field(
-        self, read: Reader, sound: dict[str, Any], broken: Break
+        self, read: Reader, valid: dict[str, Any], broken: Break
     ) -> None:
-        found = read(broken.apply(sound))
+        found = read(broken.apply(valid))
         assert isinstance(found, Failure)
         assert f"'{broken.field}" in found.failure()
         assert len(found.failure()) < 1000
@@ -110,7 +110,7 @@
         assert isinstance(read(body), Failure)
 
 
-class TestSoundAnswer:
+class TestValidAnswer:
     def test_that_reports_a_state_is_read(self) -> None:
         assert read_report(json.dumps(REPORT).encode()) == Success(
             EngineReport(
@@ -124,14 +124,14 @@
             )
         )
 
-    def test_that_reserves_or_reads_a_prompt_is_read(self) -> None:
+    def test_that_reserves_or_prefills_is_read(self) -> None:
         assert read_reservation(json.dumps(RESERVED).encode()) == Success("r-1")
         prefilled = read_prefilled(json.dumps(PREFILLED).encode())
         assert prefilled == Success(PrefilledPrompt("3fa09c41b7d5", 1460))
 
     @given(name=st.text(st.characters(codec="utf-8"), max_size=8), value=json_values)
     @settings(deadline=None, max_examples=60)
-    def test_may_have_what_is_new(self, name: str, value: Any) -> None:
+    def test_may_have_unknown_fields(self, name: str, value: Any) -> None:
         longer = {f"new{name}": value, **REPORT, "runs": [["9c41", 1500, 3, 5, value]]}
         found = read_report(json.dumps(longer).encode())
         assert isinstance(found, Success)
--- a/tests/platform/test_endpoint_heads.py
+++ b/tests/platform/test_endpoint_heads.py
@@ -1,18 +1,18 @@
-"""What the head of an endpoint's answer says."""
+"""Decoding the head of an endpoint's answer."""
 
 from __future__ import annotations
 
 import pytest
 
-from jujubeslip.platform._endpoint_calls import LEAST_LIMIT, read_head
+from jujubeslip.platform._endpoint_calls import MINIMUM_LIMIT_PER_SECOND, read_head
 
 
 class TestLimit:
-    """Guards against a limit that is misread, or that costs the answer it is in."""
+    """Guards against a limit that is misread, or that invalidates its answer."""
 
     @pytest.mark.parametrize(
         ("text", "limit"),
-        [("2.6", 2.6), ("12", 12.0), (" 3.0 ", 3.0), ("0", LEAST_LIMIT)],
+        [("2.6", 2.6), ("12", 12.0), (" 3.0 ", 3.0), ("0", MINIMUM_LIMIT_PER_SECOND)],
     )
     def test_is_read(self, text: str, limit: float) -> None:
         assert read_head(200, [("Server-Limit", text)]).limit_per_second == limit
--- a/tests/platform/test_foreign_writers.py
+++ b/tests/platform/test_foreign_writers.py
@@ -1,4 +1,4 @@
-"""The whole system beside a program that announces what can't be used."""
+"""The whole system while another program sends invalid announcements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 
-# A few of each kind: each field in each way is tested without processes.
+# A few fields of each kind; the tests without processes cover every field.
 BREAKS = breaks(
     {
         ("service",): NO_TEXT,
@@ -31,12 +31,12 @@
     return system._call(0, "PUT", f"/instances/{endpoint_id}", body, 3.0)[0]
 
 
-class TestEntriesOfAnotherWriter:
-    """Another program sends announcements that can't be used, one after the other.
+class TestInvalidAnnouncementsOfAnotherProgram:
+    """Guards against invalid announcements that hide all other endpoints.
 
-    One sequence of seventy bits is enough: the answers to all hosts that watch can't be
-    encoded any more. A worker that starts afterwards is never sent a request, and one
-    that says that it leaves goes on being sent some.
+    One sequence number of seventy bits is enough: the answers to all watching hosts
+    can't be encoded any more. A worker that starts afterwards never gets a request, and
+    one that announces that it leaves still gets some.
     """
 
     def test_leave_the_others_in_use(self, tmp_path: Path) -> None:
@@ -56,7 +56,7 @@
                 wait_until(lambda: self._reaches(system, later), "later is used")
                 assert foreign.runs == []
                 assert statuses == {400}
-                # With another status: configurations before there was a leader.
+                # Configurations sent before the election have another status.
                 refused = [
                     item["endpoint_id"]
                     for item in system.logged("call not accepted")
@@ -72,8 +72,8 @@
 class TestServiceThatIsNotConfigured:
     """A worker announces itself before the configuration that names its service.
 
-    Dropped, it would lose a heartbeat or more; taken for another service's, it would be
-    sent requests that it may not run.
+    If the announcement were dropped, the worker would lose a heartbeat or more. If it
+    counted for another service, it would get requests that it must not run.
     """
 
     def test_is_kept_and_used_once_it_is_named(self, tmp_path: Path) -> None:
--- a/tests/platform/test_known_leader.py
+++ b/tests/platform/test_known_leader.py
@@ -1,4 +1,4 @@
-"""Configurations that reach control hosts just after a leader was lost."""
+"""Configurations that reach control hosts just after the leader is lost."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from tests.fakes.takeover import leader_of
 
 CONTROLS = 3
-# An answer of a control host has to be on its way by then; a silent leader takes all of
-# that.
+# A control host has to send its answer within this time; waiting for a silent leader
+# uses up all of it.
 ANSWER_SECONDS = 0.85
-# An operator's call needs a few milliseconds of the leader and one sync of its disk.
+# An operator's request takes the leader a few milliseconds and one disk sync.
 KNOWN_LEADER_SECONDS = ANSWER_SECONDS / 2
 
 
 class TestLeaderThatIsSuspended:
-    """Guards against a configuration that waits for a leader that is gone."""
+    """Guards against a configuration that waits for an unresponsive leader."""
 
     @pytest.mark.parametrize("asked_before", [True, False])
     def test_next_one_is_asked_first(self, tmp_path: Path, asked_before: bool) -> None:
--- a/tests/platform/test_recorded_removals.py
+++ b/tests/platform/test_recorded_removals.py
@@ -1,4 +1,4 @@
-"""Removals in each way that endpoints tell them, before all hosts are killed."""
+"""Each way in which an endpoint announces its removal, before all hosts are killed."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_005_000
-# A later start gets requests within this time of its announcement.
+# A later start gets requests within this time after its announcement.
 USED_SECONDS = 2.0
 
 Leave: TypeAlias = Callable[[PlatformSystem, PlatformWorker], int]
@@ -60,15 +60,15 @@
     return system.beat(worker, "draining")
 
 
-def hear_of(system: PlatformSystem, worker: PlatformWorker) -> dict[str, Any]:
-    """Have an endpoint known; return an announcement that is still on its way."""
+def make_known(system: PlatformSystem, worker: PlatformWorker) -> dict[str, Any]:
+    """Announce an endpoint to the system; return an announcement still in transit."""
     system.add(worker)
     system.withdraw(worker)
     return worker.beat()
 
 
 def count_runs(system: PlatformSystem, worker: PlatformWorker) -> int:
-    """Ask for some seconds; return how often the endpoint was asked."""
+    """Send requests for some seconds; return how many the endpoint got."""
     worker.runs.clear()
     until = time.monotonic() + ASKED_SECONDS
     while time.monotonic() < until:
@@ -95,22 +95,22 @@
     ],
 )
 class TestRemovalBeforeAllHostsAreKilled:
-    """Guards against requests to a start that has left, from any way to say so."""
+    """Guards against requests to a start that has left, however it announced that."""
 
     def test_holds_for_a_late_announcement(
         self, system: PlatformSystem, leave: Leave, start: int | None
     ) -> None:
         leaving = started(start=start)
-        earlier = hear_of(system, leaving)
+        earlier = make_known(system, leaving)
         assert leave(system, leaving) == 200
         restart([*system.controls, *system.entries])
         check_gets_nothing(system, leaving, earlier)
 
-    def test_says_nothing_of_a_later_start(
+    def test_does_not_apply_to_a_later_start(
         self, system: PlatformSystem, leave: Leave, start: int | None
     ) -> None:
         leaving = started(start=start)
-        hear_of(system, leaving)
+        make_known(system, leaving)
         assert leave(system, leaving) == 200
         restart([*system.controls, *system.entries])
         later = leaving.killed_and_back(SECOND)
@@ -120,11 +120,11 @@
 
 
 class TestRemovalOfALaterStart:
-    """Guards against a start that signs off with a host that knows the one before."""
+    """Guards against a lost removal at a host that only knows an earlier start."""
 
     def test_holds_for_its_late_announcement(self, system: PlatformSystem) -> None:
         first = started()
-        hear_of(system, first)
+        make_known(system, first)
         later = first.killed_and_back(SECOND)
         earlier = later.beat()
         assert system.leave(later, tells_start=True) == 200
@@ -133,14 +133,14 @@
 
 
 class TestRemovalWithoutAMajority:
-    """Guards against requests to an endpoint that leaves in a zone that is cut off."""
+    """Guards against requests to an endpoint that leaves in a partitioned zone."""
 
     @pytest.mark.parametrize("is_heard_of", [True, False])
     def test_holds_without_an_acknowledgement(
         self, system: PlatformSystem, is_heard_of: bool
     ) -> None:
         leaving = started()
-        earlier = hear_of(system, leaving) if is_heard_of else leaving.beat()
+        earlier = make_known(system, leaving) if is_heard_of else leaving.beat()
         for host in system.controls[1:]:
             host.kill()
         assert system.leave(leaving) == 503
@@ -151,7 +151,7 @@
         self, system: PlatformSystem
     ) -> None:
         leaving = started()
-        earlier = hear_of(system, leaving)
+        earlier = make_known(system, leaving)
         for host in system.controls[1:]:
             host.kill()
         assert system.leave(leaving) == 503
@@ -163,11 +163,11 @@
 
 
 class TestHostThatLostItsDiskAfterARemoval:
-    """Guards against a removal that only the host that acknowledged it has kept."""
+    """Guards against a removal that only the acknowledging host has stored."""
 
     def test_learns_it_from_the_log(self, system: PlatformSystem) -> None:
         leaving = started()
-        earlier = hear_of(system, leaving)
+        earlier = make_known(system, leaving)
         assert system.leave(leaving, control=0) == 200
         lost = system.controls[0]
         kill_all(system)
--- a/tests/platform/test_removals_after_restarts.py
+++ b/tests/platform/test_removals_after_restarts.py
@@ -1,4 +1,4 @@
-"""Endpoints that left before all control hosts were killed, with real processes."""
+"""Removals before all control hosts are killed, with real processes."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 
-# Hosts count as in touch so long after they are back.
+# Time after a restart within which hosts reach each other again.
 CONTACT_SECONDS = 3.0
-# A forwarding host hears within this time what a control host was told: it asks one
-# that was away again after 1.2 s at most, and waits 0.7 s for news.
+# A forwarding host receives the updates of a control host within this time: it retries
+# an unreachable one after 1.2 s at most, and waits 0.7 s for updates.
 ASKED_SECONDS = 3.0
 PAUSE_SECONDS = 0.03
 
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("is_heard_of", [True, False])
 class TestAcknowledgedRemoval:
-    """Guards against requests to an endpoint whose removal was acknowledged before."""
+    """Guards against requests to an endpoint after its acknowledged removal."""
 
     def test_outlives_all_control_hosts(
         self, tmp_path: Path, is_heard_of: bool
@@ -58,7 +58,7 @@
 def removed(
     system: PlatformSystem, is_heard_of: bool
 ) -> tuple[PlatformWorker, dict[str, object]]:
-    """Remove an endpoint; return it with an announcement that is still on its way."""
+    """Remove an endpoint; return it and an announcement still in transit."""
     routes = [route("safe", "/safe/", "plain")]
     system.put_until_accepted(configuration(1, routes, [PLAIN]))
     system.add(PlatformWorker("other", "plain"))
--- a/tests/platform/test_starts.py
+++ b/tests/platform/test_starts.py
@@ -1,4 +1,4 @@
-"""The start that an endpoint tells of itself, as it is read."""
+"""Decoding the start that announcements, reports and removals name."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "kvCapacity": 9,
     "runs": [],
 }
-NO_WHOLE_NUMBERS = [1.5, 1e3, "1700000000123", None, True, -1, 2**63, [], {}]
+NO_INTEGERS = [1.5, 1e3, "1700000000123", None, True, -1, 2**63, [], {}]
 
 
 def body(fields: dict[str, Any], **more: Any) -> bytes:
@@ -48,22 +48,22 @@
     def test_that_is_missing_is_none(self) -> None:
         assert read_announcement("e", body(ANNOUNCEMENT)).unwrap().started_at_ms == 0
 
-    @pytest.mark.parametrize("told", NO_WHOLE_NUMBERS)
-    def test_that_is_no_whole_number_is_refused(self, told: Any) -> None:
-        """Taken for none, it would be an announcement of before all others."""
+    @pytest.mark.parametrize("born", NO_INTEGERS)
+    def test_that_is_no_integer_is_refused(self, born: Any) -> None:
+        """Decoded as 0, the announcement would count as older than all others."""
         assert isinstance(
-            read_announcement("e", body(ANNOUNCEMENT, born=told)), Failure
+            read_announcement("e", body(ANNOUNCEMENT, born=born)), Failure
         )
 
 
 class TestStartOfAReport:
-    @pytest.mark.parametrize(("told", "read"), [({"born": 7}, 7), ({}, 0)])
-    def test_is_read(self, told: dict[str, int], read: int) -> None:
-        assert read_report(body(REPORT, **told)).unwrap().started_at_ms == read
+    @pytest.mark.parametrize(("fields", "read"), [({"born": 7}, 7), ({}, 0)])
+    def test_is_read(self, fields: dict[str, int], read: int) -> None:
+        assert read_report(body(REPORT, **fields)).unwrap().started_at_ms == read
 
-    @pytest.mark.parametrize("told", NO_WHOLE_NUMBERS)
-    def test_that_is_no_whole_number_makes_it_unusable(self, told: Any) -> None:
-        assert isinstance(read_report(body(REPORT, born=told)), Failure)
+    @pytest.mark.parametrize("born", NO_INTEGERS)
+    def test_that_is_no_integer_invalidates_the_report(self, born: Any) -> None:
+        assert isinstance(read_report(body(REPORT, born=born)), Failure)
 
 
 class TestRemoval:
@@ -74,5 +74,5 @@
         assert read_removal(content) == Success(read)
 
     @pytest.mark.parametrize("content", [b"{", b"[]", b'{"born": "7"}', b"\xff"])
-    def test_that_cannot_be_read_is_refused(self, content: bytes) -> None:
+    def test_that_is_invalid_is_refused(self, content: bytes) -> None:
         assert isinstance(read_removal(content), Failure)
--- a/tests/platform/test_takeover.py
+++ b/tests/platform/test_takeover.py
@@ -1,4 +1,4 @@
-"""Configurations while one leader follows another."""
+"""Configurations during a change of leader."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 CONTROLS = 3
 ROUTES = [route("plain", "/plain/", "plain")]
-# An answer of a control host has to be on its way by then.
+# A control host has to send its answer within this time.
 ANSWER_SECONDS = 0.85
-# An operator's call needs a few milliseconds of the leader and one sync of its disk.
+# An operator's request takes the leader a few milliseconds and one disk sync.
 KNOWN_LEADER_SECONDS = ANSWER_SECONDS / 2
-# An acknowledged configuration has to be in force at all hosts after this time.
+# An acknowledged configuration has to be in force on all hosts within this time.
 APPLY_SECONDS = 2.0
-# For how long a leader can't be reached: less than its followers wait for it.
+# How long a leader is unreachable: less than the election timeout of its followers.
 SHORT_CUT_SECONDS = 0.25
 
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[PlatformSystem]:
-    """Return a system in which each control host has asked the leader."""
+    """Return a system in which each control host has reached the leader."""
     with PlatformSystem(tmp_path, controls=CONTROLS) as running:
         running.put_until_accepted(version(1))
         for number in range(CONTROLS):
@@ -53,10 +53,10 @@
 
 
 class TestChangeSentBeforeTheNextOneLeads:
-    """Guards against a change that is refused although the next leader is there.
+    """Guards against a change that is refused although there is a new leader.
 
-    Followers campaign 0.4 to 0.56 s after the last word of the leader, so that the next
-    one leads long before an answer is due.
+    Followers campaign 0.4 to 0.56 s after the last message of the leader, so the next
+    one is elected long before an answer is due.
     """
 
     @pytest.mark.parametrize("sent_after", [0.3, 0.4])
@@ -75,7 +75,7 @@
 
 
 class TestSecondTakeover:
-    """Guards against a change that goes to the leader before the last one."""
+    """Guards against a change that is sent to the leader of an earlier term."""
 
     def test_next_one_is_asked_first(self, system: PlatformSystem) -> None:
         for round_number in range(3):
@@ -91,10 +91,10 @@
             assert status == 200 and seconds < KNOWN_LEADER_SECONDS
 
 
-class TestLeaderThatWasOutOfReachForAMoment:
-    """Guards against a call that doesn't ask the leader again once it answers."""
+class TestBrieflyUnreachableLeader:
+    """Guards against a request that doesn't retry a leader that is reachable again."""
 
-    def test_is_asked_again(self, tmp_path: Path) -> None:
+    def test_is_retried(self, tmp_path: Path) -> None:
         with PlatformSystem(tmp_path, controls=CONTROLS, has_proxies=True) as system:
             system.put_until_accepted(version(1))
             leader = leader_of(system)
@@ -118,8 +118,8 @@
                 assert seconds < ANSWER_SECONDS
 
 
-class TestConfigurationOfALeaderThatIsLost:
-    """Guards against an acknowledged change that hosts don't obey in time."""
+class TestConfigurationOfALostLeader:
+    """Guards against an acknowledged change that hosts don't apply in time."""
 
     def test_is_in_force_at_entry_hosts(self, system: PlatformSystem) -> None:
         for number in range(20, 23):
@@ -152,7 +152,7 @@
 
 
 def version_in_force(system: PlatformSystem) -> int:
-    """Return the version that the entry host obeys, by its own lines."""
+    """Return the version in force at the entry host, from its log."""
     lines = [
         line
         for line in system.entries[0].output().splitlines()
