--- a/src/jujubeslip/declaration/__init__.py
+++ b/src/jujubeslip/declaration/__init__.py
@@ -1,4 +1,4 @@
-"""The shared declaration: services, rules, clients and placements, in one TOML."""
+"""The shared declaration: services, rules, clients and placements, as TOML."""
 
 from jujubeslip.declaration import _checks as _checks
 from jujubeslip.declaration._models import (
--- a/src/jujubeslip/declaration/_checks.py
+++ b/src/jujubeslip/declaration/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a declaration beyond what its data classes hold."""
+"""Checks of a declaration beyond the validation of its data classes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @register_check(Declaration)
 def check_names_are_unique(subject: object) -> Iterator[CheckMessage]:
-    """Report names that two entries of one kind share."""
+    """Report names that several entries of a kind share."""
     assert isinstance(subject, Declaration)
     for kind in ("service", "rule", "client"):
         names = Counter(item.name for item in getattr(subject, kind))
@@ -36,7 +36,7 @@
                 "declaration.E002",
                 CheckLevel.ERROR,
                 f"client {client.name}",
-                "A key of this client account stands twice.",
+                "A key of this client account is used more than once.",
                 "Give each client account keys of its own.",
             )
 
--- a/src/jujubeslip/declaration/_models.py
+++ b/src/jujubeslip/declaration/_models.py
@@ -47,7 +47,7 @@
 
 
 class Spread(enum.Enum):
-    """How far apart the endpoints of a pool, or of one request's choice, may be."""
+    """Where the endpoints of a pool, or the candidates for a request, may be."""
 
     ZONE = "zone"
     REGION = "region"
@@ -64,7 +64,7 @@
     model: str = ""
     """Model that its engines hold; required for kind `model`."""
     adapter: str = ""
-    """Adapter to use when a request names none."""
+    """Adapter for requests that name none."""
     maximum_duration_ms: Milliseconds = 120_000
     """Longest time from a request to the end of its answer."""
     maximum_prompt_tokens: Tokens = 100_000
@@ -72,7 +72,7 @@
     maximum_output_tokens: Tokens = 8_192
     """Largest `max_tokens` that a request may ask for."""
     retry_budget_share: Annotated[float, Field(ge=0.0, le=1.0)] = 0.1
-    """Further attempts, as a share of the service's requests."""
+    """Retries, as a share of the service's requests."""
     path: str = "/"
     """Path of a plain service."""
     pooling: Spread = Spread.REGION
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Condition:
-    """When a rule holds: every key that is given must fit the request."""
+    """When a rule matches: every key that is given must match the request."""
 
     service: str | None = None
     """Service that the request names."""
@@ -90,78 +90,78 @@
     adapter: str | None = None
     """Adapter that the request is for."""
     client: str | None = None
-    """Client account that asks."""
+    """Client account that sends the request."""
     priority: PriorityClass | None = None
     """Priority class that the request asks for."""
     prompt_tokens_min: int | None = None
-    """Prompts of this length or longer."""
+    """Shortest prompt that matches, in tokens."""
     prompt_tokens_max: int | None = None
-    """Prompts of this length or shorter."""
+    """Longest prompt that matches, in tokens."""
     repeatable: bool | None = None
     """Whether the request may be run more than once."""
     queue_wait_ms_min: int | None = None
-    """Forecast wait of the service's queue, this or longer."""
+    """Smallest forecast wait in the service's queue."""
     load_min: float | None = None
-    """Share of the service's decode slots in use, this or more."""
+    """Smallest share of the service's decode slots in use."""
     availability_zone: str | None = None
-    """Availability zone of the entry host that was asked."""
+    """Availability zone of the entry host that received the request."""
 
     @cached_property
     def wanted_by_key(self) -> dict[str, object]:
-        """Return the keys that are given, with what each asks for."""
+        """Return the keys that are given, with the value that each requires."""
         values = {item.name: getattr(self, item.name) for item in fields(self)}
         return {key: value for key, value in values.items() if value is not None}
 
 
 @dataclass(frozen=True, config=STRICT)
 class Action:
-    """What a rule does with a request that it matches; times in milliseconds."""
+    """What a rule does with a matching request; times in milliseconds."""
 
     priority: PriorityClass = PriorityClass.STANDARD
     """Priority class that the request is served in."""
     first_token_ms: Milliseconds = 30_000
-    """Target for the first token; refused at once if out of reach."""
+    """Target for the first token; refused at once if it can't be met."""
     between_tokens_ms: Milliseconds = 1_000
     """Target between tokens."""
     wait_ms: Milliseconds = 30_000
     """Longest wait for an endpoint."""
     refuse: str = ""
-    """Reason to refuse with; the other keys then have no use."""
+    """Reason to refuse with; the other keys then have no effect."""
     pool: str = ""
-    """Service whose endpoints serve it in place of its own; not in force yet."""
+    """Service whose endpoints serve it in place of its own; has no effect yet."""
     spread: Spread = Spread.REGION
     """Whether endpoints of the whole region may serve it, or its zone's."""
 
 
 @dataclass(frozen=True, config=STRICT)
 class Rule:
-    """When this holds, then do that; the first rule that matches decides."""
+    """A condition with its action; the first rule that matches applies."""
 
     name: Name
-    """Name that answers, logs and metrics give."""
+    """Name that is reported in answers, logs and metrics."""
     when: Condition = field(default_factory=Condition)
     """Condition; a rule without one matches every request."""
     then: Action = field(default_factory=Action)
-    """What to do."""
+    """Action for matching requests."""
 
 
 @dataclass(frozen=True, config=STRICT)
 class Client:
-    """A client account; keys are kept as SHA-256 hashes in hexadecimal."""
+    """A client account; its keys are given as SHA-256 hashes in hexadecimal."""
 
     name: Name
     """Name of the client account."""
     key_sha256: tuple[KeyHash, ...]
     """SHA-256 of each of its keys, in hexadecimal."""
     requests_per_second: Annotated[float, Field(gt=0)] | None = None
-    """Limit of requests over all entry hosts."""
+    """Limit of requests, over all entry hosts."""
     tokens_per_second: Annotated[float, Field(gt=0)] | None = None
-    """Limit of prompt and asked-for tokens over all entry hosts."""
+    """Limit of prompt tokens and requested output tokens, over all entry hosts."""
 
 
 @dataclass(frozen=True, config=STRICT)
 class Placement:
-    """How many engines of each role a service wants in each availability zone."""
+    """How many engines of each role a service should have in each availability zone."""
 
     service: str
     """Service that the engines serve."""
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class Declaration:
-    """Everything that operators declare; in force everywhere at one revision."""
+    """Everything that operators declare; all hosts apply the same revision."""
 
     service: tuple[Service, ...] = ()
     """The services."""
@@ -184,9 +184,9 @@
     client: tuple[Client, ...] = ()
     """The client accounts."""
     placement: tuple[Placement, ...] = ()
-    """Where engines are wanted; checked, but no engine is ordered yet."""
+    """Wanted placements of engines; validated, but without effect yet."""
     weight_loads_at_once: Annotated[int, Field(ge=1)] = 1
-    """Engines that load weights from the store at a time; not in force yet."""
+    """Engines that load weights from the store at a time; has no effect yet."""
 
     @cached_property
     def service_by_name(self) -> dict[str, Service]:
@@ -202,5 +202,5 @@
 def parse_declaration(
     text: str, source: str = "declaration"
 ) -> Result[Declaration, tuple[SettingsProblem, ...]]:
-    """Read a declaration from TOML text, or say everything that is wrong."""
+    """Read a declaration from TOML text, or return all its problems."""
     return read_toml_as(Declaration, Path(source), text)
--- a/src/jujubeslip/gateway/__init__.py
+++ b/src/jujubeslip/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""What control hosts offer to whoever translates for operators and endpoints."""
+"""The operations of a control host that protocol interfaces call."""
 
 from jujubeslip.gateway._models import ControlGateway
 
--- a/src/jujubeslip/gateway/_models.py
+++ b/src/jujubeslip/gateway/_models.py
@@ -1,4 +1,4 @@
-"""The calls that a control host takes, without how it serves them."""
+"""The protocol class of a control host's operations, without an implementation."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class ControlGateway(Protocol):
-    """Serves operators and endpoints on any control host, whichever leads."""
+    """Serves operators and endpoints on any control host, not only on the leader."""
 
     def put_configuration(self, version: int, content: str) -> int:
         """Commit a numbered configuration; return the version in force then.
 
-        Raises PeerUnavailableError when no majority has confirmed it in time: it may
-        be in force or not, and the same call may be made again anywhere.
+        Raises PeerUnavailableError if no majority has confirmed it in time: it may be
+        in force or not, and the same call may be retried on any control host.
         """
 
     def newest_configuration(self) -> Configuration:
-        """Return what is in force, confirmed by the leader.
+        """Return the configuration in force, as confirmed by the leader.
 
-        Raises PeerUnavailableError when no leader is sure of it.
+        Raises PeerUnavailableError if no leader can confirm it.
         """
 
     def announce(self, endpoint: Endpoint) -> None:
-        """Take an endpoint's announcement; return once it may be acknowledged."""
+        """Apply an endpoint's announcement; return once it may be acknowledged."""
 
     def note_left(self, endpoint_id: str, started_at_ms: int = 0) -> None:
-        """Note that an endpoint has left; return once that may be acknowledged.
+        """Record the removal of an endpoint; return once that may be acknowledged.
 
-        `started_at_ms` is the start that said so, 0 if it didn't say which.
+        `started_at_ms` is the start that announced its removal, or 0 if unknown.
         """
--- a/src/jujubeslip/http_server/_server.py
+++ b/src/jujubeslip/http_server/_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: waitress, with bounds on slow clients and stops without cuts."""
+"""The HTTP server: waitress, with a receive timeout and a graceful stop."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_INTERVAL = 1.0
+SCAN_INTERVAL = 1.0
 MAXIMUM_HEADER_BYTES = 32_768
 FLUSH_SECONDS = 10.0
-FLUSH_LOOK_INTERVAL = 0.02
-# No call is served and no byte is unsent.
+FLUSH_POLL_INTERVAL = 0.02
+# No request is being served and no byte is unsent.
 FLUSHED = (0, 0)
 MAXIMUM_BACKLOG = 1024
 
 
 class AnswerAbandonedError(ClientDisconnected):
-    """Raised by an answer's iterator: the connection ends without the answer's end.
+    """Raised by an answer's iterator: the connection closes before the answer's end.
 
-    The client must see that the answer is not whole.
+    The client must be able to detect that the answer is incomplete.
     """
 
 
 class ClosingTask(WSGITask):
-    """Says with its answer that the connection closes, once the server is to stop."""
+    """Adds `Connection: close` to its answer once the server is stopping."""
 
     def build_response_header(self) -> bytes:
-        """Return the head of the answer."""
+        """Return the status line and headers of the answer."""
         if getattr(self.channel.server, "announces_close", False):
             self.set_close_on_finish()
         header: bytes = super().build_response_header()
@@ -45,10 +45,10 @@
 
 
 class ClosingChannel(HTTPChannel):
-    """A connection that is closed after an answer that said so, at a stop.
+    """A connection that, during a stop, closes after an answer that announces it.
 
-    A client that sends its next request on a connection which closes at that moment
-    can't know whether it was read.
+    If a connection closes while a client sends its next request on it, the client can't
+    know whether the request was read.
     """
 
     task_class = ClosingTask
@@ -59,17 +59,17 @@
     """Bounds of a server."""
 
     address: str
-    """IP:port to listen at."""
+    """IP:port to listen on."""
     threads: int
-    """Calls that are served at a time; each thread is started when it is needed."""
+    """Requests served at a time; each thread is started when it is needed."""
     maximum_connections: int = 1000
-    """Open connections at most; further ones wait."""
+    """Largest number of open connections; further ones wait."""
     maximum_body_bytes: int = 16 * 1024 * 1024
     """Longest body of a request; a longer one is refused with 413."""
     receive_seconds: float = 10.0
-    """A request that is not whole after this time is cut off."""
+    """The connection closes if a request is incomplete after this time."""
     channel_class: type[HTTPChannel] = ClosingChannel
-    """What serves one connection."""
+    """Class that serves one connection."""
 
 
 class HttpServer:
@@ -88,35 +88,36 @@
             max_request_body_size=options.maximum_body_bytes,
             max_request_header_size=MAXIMUM_HEADER_BYTES,
             asyncore_use_poll=True,
-            # One request ahead is read, so that a client's close is seen while its
-            # request waits or streams; without it the engine would hold memory for
-            # a client that is gone until the next token is written.
+            # Reads one request ahead, so that a client's disconnect is detected while its
+            # request waits or streams. Otherwise the engine would hold memory for a
+            # disconnected client until the next token is written.
             channel_request_lookahead=1,
             send_bytes=1,
             ident=None,
             clear_untrusted_proxy_headers=True,
         )
         self._server.channel_class = options.channel_class
-        self._seen_at_by_parser: dict[int, float] = {}
+        self._first_seen_by_parser: dict[int, float] = {}
 
     def start(self, process: Process) -> None:
-        """Serve in a task, and look after slow senders in another."""
+        """Serve in one task, and close slow connections in another."""
         process.start_task(self._server.run)
-        process.repeat(LOOK_INTERVAL, self._close_slow_senders)
+        process.repeat(SCAN_INTERVAL, self._close_slow_senders)
 
     def announce_close(self) -> None:
-        """Close each connection after its next answer, which says so."""
+        """Close each connection after its next answer, which announces it."""
         self._server.announces_close = True
 
     def stop_listening(self) -> None:
-        """Close the listening socket in the server's own task; connections go on."""
+        """Close the listening socket in the server's task; connections stay open."""
         self._server.trigger.pull_trigger(self._close_listener)
 
     def _close_listener(self) -> None:
-        """Accept who has connected already, then close.
+        """Accept the clients that have connected already, then close.
 
-        Closing resets the connections that wait to be accepted, and their clients
-        can't know whether their requests ran. Accepted, they are told "not run".
+        Closing resets the connections that are not accepted yet, and their clients
+        can't know whether their requests ran. Once accepted, they get a refusal that
+        says "not run".
         """
         for _ in range(MAXIMUM_BACKLOG):
             before = len(self._server.active_channels)
@@ -126,46 +127,46 @@
         wasyncore.dispatcher.close(self._server)
 
     def wait_until_flushed(self, limit_seconds: float = float("inf")) -> None:
-        """Wait until every answer has left for its client.
+        """Wait until every answer is sent to its client.
 
-        A request counts as ended before the server has written the end of its answer,
-        so the threads that serve calls are waited for too: a process that exits
-        earlier cuts the last answers off. A client that takes nothing for
-        FLUSH_SECONDS is not waited for any longer, nor any client after the limit: a
-        process whose stop takes too long is killed.
+        A request counts as finished before the server has written the end of its
+        answer, so this waits for the serving threads too: a process that exits earlier
+        truncates the last answers. The wait ends if nothing is finished or sent for
+        FLUSH_SECONDS, and at the limit, since a process whose stop takes too long is
+        killed.
         """
         end = Deadline.after(limit_seconds)
         limit = end.earlier_of(Deadline.after(FLUSH_SECONDS))
-        left = self._unfinished()
-        while left != FLUSHED and not limit.expired:
-            time.sleep(FLUSH_LOOK_INTERVAL)
-            now = self._unfinished()
-            if now < left:
+        unfinished = self._unfinished()
+        while unfinished != FLUSHED and not limit.expired:
+            time.sleep(FLUSH_POLL_INTERVAL)
+            latest = self._unfinished()
+            if latest < unfinished:
                 limit = end.earlier_of(Deadline.after(FLUSH_SECONDS))
-            left = now
+            unfinished = latest
 
     def _unfinished(self) -> tuple[int, int]:
-        """Return how many calls are not served to their end, and the unsent bytes."""
+        """Return the number of unfinished requests and of unsent bytes."""
         channels = list(self._server.active_channels.values())
         unsent = sum(channel.total_outbufs_len for channel in channels)
         return self._threads.open_count, unsent
 
     def _close_slow_senders(self) -> None:
-        """Close connections whose request is not whole after the receive timeout.
+        """Close connections whose request is incomplete after the receive timeout.
 
-        A client that sends a byte a second would otherwise hold its connection for
-        hours; a thousand of them would leave none for others. Waitress only closes
-        connections on which nothing moves at all.
+        Otherwise a client that sends one byte per second would hold its connection
+        for hours, and a thousand of them would leave none for others. Waitress itself
+        only closes connections without any traffic.
         """
         now = steady_seconds()
-        seen: dict[int, float] = {}
+        first_seen_by_parser: dict[int, float] = {}
         for channel in list(self._server.active_channels.values()):
             parser = channel.request
             if parser is None or parser.completed:
                 continue
-            first = self._seen_at_by_parser.get(id(parser), now)
-            seen[id(parser)] = first
-            if now - first > self._receive_seconds:
+            first_seen = self._first_seen_by_parser.get(id(parser), now)
+            first_seen_by_parser[id(parser)] = first_seen
+            if now - first_seen > self._receive_seconds:
                 channel.will_close = True
-        self._seen_at_by_parser = seen
+        self._first_seen_by_parser = first_seen_by_parser
         self._server.pull_trigger()
--- a/src/jujubeslip/http_server/_threads.py
+++ b/src/jujubeslip/http_server/_threads.py
@@ -1,4 +1,4 @@
-"""The threads that serve calls: as many as calls were ever open at once."""
+"""The threads that serve requests: as many as requests were ever open at once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServedCall(Protocol):
-    """What the server hands over: a connection with a request to be answered."""
+    """What the server submits: a connection with a request to be answered."""
 
     def service(self) -> None:
         """Answer the request."""
@@ -21,11 +21,11 @@
 
 
 class CallThreads:
-    """Serves each call in a thread, and starts a thread only when none is idle.
+    """Serves each request in a thread, and starts a thread only when none is idle.
 
     The server's own dispatcher starts all its threads with the process. A host needs
-    a hundred at its worst moment and a handful at most others, and each one costs
-    memory and a place among those that the machine can run.
+    a hundred of them at peak load and a few otherwise, and each one costs memory and
+    counts towards the machine's limit of threads.
     """
 
     def __init__(self, maximum: int) -> None:
@@ -35,32 +35,32 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many calls are served, or wait for a thread."""
+        """Return how many requests are being served, or wait for a thread."""
         with self._lock:
             return self._open_count
 
     def add_task(self, task: ServedCall) -> None:
-        """Serve a call as soon as a thread is free."""
-        self._note_open(1)
+        """Serve a request as soon as a thread is free."""
+        self._change_open_count(1)
         self._executor.submit(task.service).add_done_callback(self._end)
 
     def shutdown(self, cancel_pending: bool = True, timeout: float = 5.0) -> bool:
-        """Serve nothing more; what is being served goes on.
+        """Start no more requests; the running ones continue.
 
-        The server passes a timeout; nothing is waited for here, since a process ends
-        without waiting for its threads.
+        The timeout that the server passes is not used, since a process ends without
+        waiting for its threads.
         """
         self._executor.shutdown(wait=False, cancel_futures=cancel_pending)
         return True
 
     def _end(self, served: Future[None]) -> None:
-        self._note_open(-1)
+        self._change_open_count(-1)
         if served.cancelled():
             return
         error = served.exception()
         if error is not None:
             logger.error("call failed outside its answer", exc_info=error)
 
-    def _note_open(self, change: int) -> None:
+    def _change_open_count(self, change: int) -> None:
         with self._lock:
             self._open_count += change
--- a/src/jujubeslip/routes/__init__.py
+++ b/src/jujubeslip/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes, the requests that they match, and the services that they name."""
+"""Routes, the requests that they match, and the services that they refer to."""
 
 from jujubeslip.routes._checks import find_problem
 from jujubeslip.routes._models import (
--- a/src/jujubeslip/routes/_checks.py
+++ b/src/jujubeslip/routes/_checks.py
@@ -1,4 +1,4 @@
-"""What makes a route table unusable."""
+"""Validation of route tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def find_problem(table: RouteTable) -> str:
-    """Return the first thing that is wrong with the table, empty if nothing is."""
+    """Return a description of the table's first problem, or "" if it is valid."""
     return next(_problems(table), "")
 
 
--- a/src/jujubeslip/routes/_models.py
+++ b/src/jujubeslip/routes/_models.py
@@ -1,4 +1,4 @@
-"""Routes, and the requests that are forwarded by them."""
+"""Routes, forwarded requests, and the state of engines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether the requests of a route may be repeated."""
 
     SAFE = "safe"
     """May run more than once."""
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Which requests go where, and what is promised to their clients."""
+    """Which requests go to which services, with their timeouts and targets."""
 
     name: str
     host: str
@@ -39,19 +39,19 @@
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
     timeout_ms: int
-    """A client is answered by then at the latest."""
+    """Latest time by which a client gets an answer."""
     target_ms: int
-    """An answer, or the first event of one, is in time until then."""
+    """Target time for the answer, or for its first event."""
     maximum_attempts: int
-    """Endpoints that may run one request."""
+    """Largest number of endpoints that may run one request."""
     resumable: bool = False
-    """Whether a stream may go on at another endpoint."""
+    """Whether a stream may resume at another endpoint."""
     patience_ms: int = 0
-    """How long a client waits for an event, the first one too, before it leaves."""
+    """How long a client waits for the first or the next event before it leaves."""
     maximum_gap_ms: int = 0
-    """Longest pause between two events of a stream that is still in time."""
+    """Target for the pause between two events of a stream."""
     public: bool = False
-    """Whether requests need no client account's key."""
+    """Whether requests need no key of a client account."""
 
     @property
     def repeatable(self) -> bool:
@@ -63,19 +63,19 @@
 
 @dataclass(frozen=True)
 class EngineService:
-    """What the engines of a service can do."""
+    """Limits of the engines of a service."""
 
     slots: int
-    """Requests that an engine works on at a time."""
+    """Requests that an engine runs at a time."""
     event_tokens: int = 1
     """Tokens that one event of an answer holds at most."""
     reservation_ms: int = 0
-    """How long a slot and memory may be reserved at most; 0 if not at all."""
+    """Longest reservation of a slot and memory; 0 if engines take no reservations."""
 
 
 @dataclass(frozen=True)
 class ForwardService:
-    """A service that routes name."""
+    """A service that routes refer to."""
 
     name: str
     engine: EngineService | None = None
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """A configuration: its version, its routes, the services that they name."""
+    """A configuration: its version, routes, services and client accounts."""
 
     version: int
     routes: tuple[Route, ...]
@@ -94,7 +94,7 @@
 
     @cached_property
     def routes_by_host(self) -> dict[str, tuple[Route, ...]]:
-        """Return the routes of each host as ordered rules, longest prefix first."""
+        """Return the routes of each host, the longest path prefix first."""
         routes_by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             routes_by_host.setdefault(route.host, []).append(route)
@@ -104,7 +104,7 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the first route that matches: the longest prefix of this host."""
+        """Return the route of this host with the longest matching prefix, if any."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A part of a prompt that other requests may have in common."""
 
     part_id: str
     tokens: int
@@ -127,12 +127,12 @@
     maximum_output_tokens: int
     parts: tuple[PromptPart, ...] = ()
     expected_output_tokens: int = 0
-    """What the client expects, 0 where it doesn't say."""
+    """The length that the client expects, or 0 if it gives none."""
 
 
 @dataclass(frozen=True)
 class ForwardedRequest:
-    """A client's request, which is passed on as it came."""
+    """A client's request, which is forwarded unchanged."""
 
     request_id: str
     method: str
@@ -140,20 +140,20 @@
     """Path and query as they were sent."""
     host: str
     headers: tuple[tuple[str, str], ...]
-    """Those that concern more than the client's connection."""
+    """The end-to-end headers."""
     body: bytes
     client_deadline: Deadline | None
-    """When the client gives up, if it said so."""
+    """When the client gives up, if it sent a deadline."""
     last_event_id: str = ""
-    """The event after which a resumed stream goes on, empty from its start."""
+    """The event after which a stream resumes; empty from the start of the stream."""
     prompt: PromptShape | None = None
     arrived: Deadline = field(default_factory=lambda: Deadline.after(0))
     authorization: str = field(default="", repr=False)
-    """The header as the client sent it; passed on only where there are no accounts."""
+    """The header as the client sent it; only forwarded if there are no accounts."""
     api_key: str = field(default="", repr=False)
-    """The key in it, empty where it holds no single one."""
+    """The key in that header; empty unless it has exactly one."""
     account_name: str = ""
-    """The client account that holds the key, which the endpoint is told."""
+    """The client account that the key belongs to, which is sent to the endpoint."""
 
     @property
     def path(self) -> str:
@@ -163,38 +163,38 @@
 
 @dataclass(frozen=True)
 class RunningAnswer:
-    """An answer that an engine is making."""
+    """An answer that an engine is generating."""
 
     memory_tokens: int
-    """What its prompt and the answer so far take of the engine's memory."""
+    """Engine memory that its prompt and the answer so far use."""
     events: int
-    """Events made so far."""
+    """Events generated so far."""
     request_id: str = ""
 
 
 @dataclass(frozen=True)
 class EngineReport:
-    """An engine's state, some hundred milliseconds ago."""
+    """An engine's state, typically some hundred milliseconds old."""
 
     capacity_tokens: int
     used_tokens: int
-    """What running answers and reservations take."""
+    """Memory that running answers and reservations use."""
     waiting: int
-    """Requests that it has taken and not begun."""
+    """Requests that it has accepted and not started."""
     running: tuple[RunningAnswer, ...]
     orders: int = 0
     """Orders that the engine has accepted since its start."""
     busy: bool = False
-    """Whether it is carrying one out."""
+    """Whether it is executing one."""
     reads_prompts: bool = False
-    """Whether it reads prompts for others now, and answers nobody."""
+    """Whether it only prefills now, and generates no answers."""
     started_at_ms: int = 0
-    """The start of the engine that reports, 0 if it doesn't say."""
+    """When the reporting start of the engine began, or 0 if unknown."""
 
 
 @dataclass(frozen=True)
 class PrefilledPrompt:
-    """A prompt that an engine has read and keeps for another one."""
+    """A prompt that an engine has prefilled and holds for a decode engine."""
 
     handle: str
     tokens: int
--- a/tests/declaration/test_declaration.py
+++ b/tests/declaration/test_declaration.py
@@ -1,4 +1,4 @@
-"""A declaration that can't be used is refused with the entry and the remedy."""
+"""Parsing and checks of declarations: problems name the entry and the remedy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def found_in(text: str) -> dict[str, str]:
-    """Return what the checks find, place by id."""
+    """Return the place of each message of the checks, by check id."""
     messages = run_checks(parse_declaration(text).unwrap())
     return {message.check_id: message.place for message in messages}
 
@@ -24,7 +24,7 @@
         assert found["declaration.E001"] == "rule one"
 
     def test_two_accounts_with_one_key(self) -> None:
-        """One account's requests would count against another's limit."""
+        """Requests of one account would count against the limit of the other."""
         accounts = "".join(
             f'[[client]]\nname = "{name}"\nkey_sha256 = ["{HASH}"]\n' for name in "ab"
         )
@@ -39,7 +39,7 @@
         ],
     )
     def test_a_service_that_is_not_declared(self, entry: str) -> None:
-        """The service was renamed and a rule kept the old name: it never matches."""
+        """A rule that keeps the old name of a renamed service never matches."""
         assert "declaration.E003" in found_in(entry)
 
     def test_a_model_service_without_a_model(self) -> None:
@@ -72,13 +72,13 @@
             ('[[service]]\nname = "a name"\nmodel = "m"', "service[0].name"),
         ],
     )  # fmt: skip
-    def test_refuses_values_that_can_not_be_meant(self, text: str, key: str) -> None:
+    def test_refuses_invalid_values(self, text: str, key: str) -> None:
         problems = parse_declaration(text).failure()
         assert key in {problem.key for problem in problems}
 
 
 class TestExamples:
     @pytest.mark.parametrize("deployment", ["northvane", "glanmor"])
-    def test_have_no_finding(self, deployment: str) -> None:
+    def test_pass_all_checks(self, deployment: str) -> None:
         text = (ROOT / "examples" / deployment / "declaration.toml").read_text()
         assert list(run_checks(parse_declaration(text).unwrap())) == []
--- a/tests/http_server/test_threads.py
+++ b/tests/http_server/test_threads.py
@@ -1,4 +1,4 @@
-"""How many threads serve calls, and what is known of those that are open."""
+"""How many threads serve requests, and how open requests are counted."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 MAXIMUM = 8
 
 
-class Call:
-    """A call that is served until the test lets it go."""
+class BlockingCall:
+    """A request that is served until the test releases it."""
 
     def __init__(self) -> None:
         self.begun = threading.Event()
-        self.go_on = threading.Event()
+        self.released = threading.Event()
 
     def service(self) -> None:
         self.begun.set()
-        self.go_on.wait()
+        self.released.wait()
 
     def cancel(self) -> None:
         raise AssertionError("no call is cancelled here")
 
 
-class FailingCall(Call):
+class FailingCall(BlockingCall):
     def service(self) -> None:
         raise RuntimeError("outside of the answer")
 
@@ -37,29 +37,29 @@
 
 
 class TestThreadsOfAnIdleHost:
-    """Two hundred hosts of one system hold most threads that a machine can run.
+    """Guards against hosts that hold threads for their peak load while idle.
 
-    Each host started all threads that its worst moment may need, 112, with its process:
-    a system of 200 hosts held 27,600 threads, and nothing else could be started beside
-    it. At most moments a host serves a handful of calls.
+    If each host starts the 112 threads of its peak load with its process, a system of
+    200 hosts on one machine holds 27,600 threads, and nothing else can start there.
+    Most of the time a host serves a few requests.
     """
 
-    def test_are_started_by_calls_alone(self) -> None:
+    def test_are_only_started_by_requests(self) -> None:
         before = http_threads()
         threads = CallThreads(MAXIMUM)
         assert http_threads() == before
         for _ in range(3 * MAXIMUM):
-            call = Call()
-            call.go_on.set()
+            call = BlockingCall()
+            call.released.set()
             threads.add_task(call)
             wait_until(lambda: threads.open_count == 0, "the call has ended")
-        # A thread that has just ended a call may not be idle yet when the next comes.
+        # A thread that has just served a request may not be idle when the next arrives.
         assert len(http_threads() - before) <= 2
 
-    def test_are_as_many_as_calls_are_open(self) -> None:
+    def test_are_as_many_as_open_requests(self) -> None:
         before = http_threads()
         threads = CallThreads(MAXIMUM)
-        calls = [Call() for _ in range(MAXIMUM + 1)]
+        calls = [BlockingCall() for _ in range(MAXIMUM + 1)]
         for call in calls:
             threads.add_task(call)
         for call in calls[:MAXIMUM]:
@@ -68,7 +68,7 @@
         assert threads.open_count == MAXIMUM + 1
         assert len(http_threads() - before) == MAXIMUM
         for call in calls:
-            call.go_on.set()
+            call.released.set()
         wait_until(lambda: threads.open_count == 0, "all calls have ended")
         assert calls[MAXIMUM].begun.is_set()
 
