--- a/src/jujubeslip/http_server/_server.py
+++ b/src/jujubeslip/http_server/_server.py
@@ -88,7 +88,7 @@
             max_request_body_size=options.maximum_body_bytes,
             max_request_header_size=MAXIMUM_HEADER_BYTES,
             asyncore_use_poll=True,
-            # Reads one request ahead, so that a client's disconnect is detected while its
+            # Reads one request ahead to detect that a client disconnects while its
             # request waits or streams. Otherwise the engine would hold memory for a
             # disconnected client until the next token is written.
             channel_request_lookahead=1,
--- a/src/jujubeslip/kernel/__init__.py
+++ b/src/jujubeslip/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""What every part of a process uses: errors, deadlines, plug-ins, tasks, settings."""
+"""Shared foundations: errors, deadlines, plug-ins, tasks, settings, strict models."""
 
 from jujubeslip.kernel._checks import (
     CheckLevel,
--- a/src/jujubeslip/kernel/_checks.py
+++ b/src/jujubeslip/kernel/_checks.py
@@ -1,4 +1,4 @@
-"""Checks that run at start and by `jujubeslip check`, each message with id and hint."""
+"""Checks that run at startup and in `jujubeslip check`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CheckLevel(enum.Enum):
-    """How grave a check's message is; an ERROR stops the start."""
+    """Severity of a check's message; an ERROR prevents startup."""
 
     WARNING = "warning"
     ERROR = "error"
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class CheckMessage:
-    """What a check found: a stable id, where, what is wrong, and what to do."""
+    """One finding of a check: its stable id, place, problem and remedy."""
 
     check_id: str
     level: CheckLevel
@@ -33,14 +33,14 @@
 def register_check(subject_type: type) -> Callable[[Check], Check]:
     """Return a decorator that runs the check on each subject of this type."""
 
-    def enter(check: Check) -> Check:
+    def decorator(check: Check) -> Check:
         _checks_by_subject.setdefault(subject_type, []).append(check)
         return check
 
-    return enter
+    return decorator
 
 
 def run_checks(subject: object) -> Iterator[CheckMessage]:
-    """Yield what all checks of the subject's type find."""
+    """Yield the messages of all checks that are registered for the subject's type."""
     for check in _checks_by_subject.get(type(subject), []):
         yield from check(subject)
--- a/src/jujubeslip/kernel/_clock.py
+++ b/src/jujubeslip/kernel/_clock.py
@@ -1,4 +1,4 @@
-"""The clock that deadlines and leases of this process are measured by."""
+"""The clock for deadlines and leases of this process."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def steady_seconds() -> float:
-    """Return the seconds since the machine started, with the time it was suspended.
+    """Return the seconds since the machine booted, including time in suspension.
 
-    The usual monotonic clock stands still while a machine is suspended. A leader that
-    wakes would find its lease as fresh as before, and answer a read with what another
-    leader has replaced meanwhile; this clock has gone on, and the lease has ended.
+    The usual monotonic clock stops while a machine is suspended. With it, a leader that
+    resumes would consider its lease valid and answer reads with data that another
+    leader has replaced since. This clock continues, so the lease has expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/jujubeslip/kernel/_deadlines.py
+++ b/src/jujubeslip/kernel/_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines as instants of this process's monotonic clock."""
+"""Deadlines on this process's monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 @dataclass(frozen=True, order=True)
 class Deadline:
-    """An instant of this process's monotonic clock, in seconds.
+    """A point in time on this process's monotonic clock, in seconds.
 
-    Clocks of two hosts are never compared: a message carries what remains, and the
-    receiver makes its own Deadline from that.
+    Clocks of different hosts are never compared: a message carries the remaining time,
+    and the receiver creates its own Deadline from that.
     """
 
     instant: float
 
     @classmethod
     def after(cls, seconds: float) -> Deadline:
-        """Return the deadline that lies this many seconds ahead."""
+        """Return the deadline this many seconds from now."""
         return cls(steady_seconds() + seconds)
 
     @classmethod
     def from_remaining_ms(cls, remaining_ms: int) -> Deadline:
-        """Return the receiver's deadline for what a message says is left."""
+        """Return the receiver's deadline for the remaining time in a message."""
         return cls.after(remaining_ms / MILLISECONDS_PER_SECOND)
 
     @property
     def expired(self) -> bool:
-        """Say whether the instant has passed."""
+        """Return whether the deadline has passed."""
         return steady_seconds() >= self.instant
 
     def remaining(self) -> float:
-        """Return the seconds left, never below zero."""
+        """Return the remaining seconds, never below zero."""
         return max(0.0, self.instant - steady_seconds())
 
     def overdue(self) -> float:
-        """Return the seconds since the instant, never below zero."""
+        """Return the seconds since the deadline, never below zero."""
         return max(0.0, steady_seconds() - self.instant)
 
     def remaining_ms(self) -> int:
-        """Return the whole milliseconds left, never below zero."""
+        """Return the remaining milliseconds, rounded down, never below zero."""
         return int(self.remaining() * MILLISECONDS_PER_SECOND)
 
     def earlier_of(self, other: Deadline) -> Deadline:
-        """Return whichever of the two comes first."""
+        """Return the earlier of the two deadlines."""
         return min(self, other)
--- a/src/jujubeslip/kernel/_errors.py
+++ b/src/jujubeslip/kernel/_errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; each has a stable id, a message and a remedy."""
+"""Errors with a stable id, a message and a remedy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JujubeslipError(Exception):
-    """The base of every error that an operator or a client can meet."""
+    """Base class of all errors that operators or clients can get."""
 
     error_id = "internal"
     default_remedy = "Report it with the request id and the log lines around it."
@@ -25,14 +25,14 @@
 
 
 class ConfigurationInvalidError(JujubeslipError):
-    """A settings file or a declaration that can't be used."""
+    """A settings file or a declaration is invalid."""
 
     error_id = "configuration_invalid"
     default_remedy = "Correct the named key, then run `jujubeslip check` on the file."
 
 
 class StartFailedError(JujubeslipError):
-    """A process that the operating system did not let start."""
+    """The operating system prevented a process from starting."""
 
     error_id = "start_failed"
     default_remedy = (
@@ -42,18 +42,18 @@
 
 
 class PeerUnavailableError(JujubeslipError):
-    """A host that could not be reached, also over a fresh connection."""
+    """A host could not be reached, not even over a new connection."""
 
     error_id = "peer_unavailable"
     default_remedy = "Check that the host runs and that its peer port can be reached."
 
 
 class RequestRefusedError(JujubeslipError):
-    """A client's request that ends without an answer, said at once.
+    """A client's request is refused at once, without an answer.
 
-    `ran` is NO only while no byte of the request has left for an endpoint, or the
-    endpoint itself said that it refused before it ran. `retry_after` is in seconds;
-    None means that asking again will not help.
+    `ran` is NO only if no byte of the request has been sent to an endpoint, or the
+    endpoint itself reported that it refused before running it. `retry_after` is in
+    seconds; None means that a retry will not help.
     """
 
     error_id = "refused"
--- a/src/jujubeslip/kernel/_lifecycle.py
+++ b/src/jujubeslip/kernel/_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one process: its tasks, its stop, and its exit status."""
+"""The lifecycle of a process: its tasks, signals, graceful stop and exit status."""
 
 from __future__ import annotations
 
@@ -17,46 +17,45 @@
 logger = logging.getLogger(__name__)
 
 MAXIMUM_TASKS = 1024
-# Exit status of a process that asks to be started again: a temporary failure, as
-# sysexits.h numbers it.
+# Exit status of a process that needs a restart: EX_TEMPFAIL of sysexits.h.
 RESTART_STATUS = 75
-# How soon a signal is acted on, in seconds.
-SIGNAL_LOOK_INTERVAL = 0.1
-# A look that comes later than this shows that the process was held up, in seconds.
-HELD_UP_SECONDS = 0.25
+# Interval at which the main thread checks for signals, in seconds.
+SIGNAL_CHECK_INTERVAL = 0.1
+# Delay of such a check from which the process is logged as held up, in seconds.
+HELD_UP_DELAY_SECONDS = 0.25
 
 
 def new_incarnation() -> int:
-    """Return a number that is larger at each start of the same host, in microseconds.
+    """Return a number that increases with each start of a host, in microseconds.
 
-    It only tells starts of one host apart and orders them; no deadline uses it.
+    It only distinguishes and orders the starts of one host; no deadline uses it.
     """
     return time.time_ns() // 1000
 
 
 @dataclass(frozen=True)
-class _Look:
-    """When the main thread looked, and the processor time used so far, in seconds."""
+class _SignalCheck:
+    """When the main thread checked for signals, and the processor time used by then."""
 
     at: float
     processor_at: float
 
     @classmethod
-    def now(cls) -> _Look:
+    def now(cls) -> _SignalCheck:
         return cls(steady_seconds(), time.process_time())
 
 
 class Process:
-    """Tasks of one process on one executor, and the event that stops them.
+    """The tasks of a process on one executor, and the events that stop them.
 
-    A thread of the executor is a daemon only in effect: `run` ends the process when
-    the stop is complete, so that a peer that never answers can't hold the exit.
+    The threads of the executor are daemons only in effect: `run` exits the process when
+    the stop is complete, so that a peer that never answers can't delay the exit.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.stopping = threading.Event()
-        # Set by an operator who ends a stop before what is in flight has finished.
+        # Set when an operator ends a stop before the requests in flight have finished.
         self.abandoning = threading.Event()
         self.stopped = threading.Event()
         self._signalled = False
@@ -68,31 +67,32 @@
         self._lock = threading.Lock()
 
     def start_task(self, task: Callable[..., None], *arguments: object) -> Future[None]:
-        """Start a task; an error that leaves it is logged, never lost.
+        """Start a task; an exception that it raises is logged.
 
-        Beyond MAXIMUM_TASKS a task waits until another one ends. That shows as peers
-        that time out though this process runs, so it is logged, once each time.
+        Beyond MAXIMUM_TASKS, a task waits until another one ends. Its only symptom
+        would be timeouts of peers although this process runs, so each such period is
+        logged once.
         """
-        self._note_open(1)
+        self._change_open_tasks(1)
         future = self._executor.submit(task, *arguments)
         future.add_done_callback(self._end_task)
         return future
 
     def _end_task(self, future: Future[None]) -> None:
-        self._note_open(-1)
+        self._change_open_tasks(-1)
         _log_failure(future)
 
-    def _note_open(self, change: int) -> None:
+    def _change_open_tasks(self, change: int) -> None:
         with self._lock:
             self._open_tasks += change
             was_full, self._is_full = self._is_full, self._open_tasks > MAXIMUM_TASKS
-            begins = self._is_full and not was_full
-        if begins:
+            became_full = self._is_full and not was_full
+        if became_full:
             extra = {"process_name": self.name, "maximum_tasks": MAXIMUM_TASKS}
             logger.error("new tasks wait: all are in use", extra=extra)
 
     def repeat(self, interval: float, step: Callable[[], object]) -> None:
-        """Run the step each interval seconds in a task of its own until the stop."""
+        """Run the step every `interval` seconds in a separate task until the stop."""
         self.start_task(self._repeat, interval, step)
 
     def _repeat(self, interval: float, step: Callable[[], object]) -> None:
@@ -107,33 +107,33 @@
         self.stopping.set()
 
     def reload_with(self, reload: Callable[[], None]) -> None:
-        """Call this when SIGHUP says that the settings have changed."""
+        """Set the function to call on SIGHUP, when the settings have changed."""
         self._on_reload = reload
 
     def catch_signals(self) -> None:
-        """Let SIGTERM and SIGINT begin the graceful stop from now on.
+        """Make SIGTERM and SIGINT begin the graceful stop.
 
-        SIGHUP only asks for the settings to be read again, where a process does that.
+        SIGHUP only makes the process read its settings again, if it supports that.
 
-        Called before anything serves: a signal that came between the first request
-        and `run` would end the process at once, and cut that request off.
+        Must be called before anything is served: a signal between the first request
+        and `run` would end the process at once and interrupt that request.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._note_signal)
-        signal.signal(signal.SIGHUP, self._note_reload)
+            signal.signal(number, self._record_signal)
+        signal.signal(signal.SIGHUP, self._record_reload_signal)
         if reload_was_asked():
-            # Before this, while settings may have been read already.
+            # SIGHUP came before this call; the settings may have been read already.
             self._reload_wanted = True
 
-    def _note_signal(self, *_: object) -> None:
-        """Note the signal without a lock.
+    def _record_signal(self, *_: object) -> None:
+        """Record the signal without taking a lock.
 
-        Setting the event here takes its lock. If the signal came while the main
-        thread held that, in `run`, the process would wait for itself for good.
+        Setting the event here would take its lock. If the main thread held that lock in
+        `run` when the signal came, the process would deadlock.
         """
         self._signalled = True
 
-    def _note_reload(self, *_: object) -> None:
+    def _record_reload_signal(self, *_: object) -> None:
         self._reload_wanted = True
 
     def _reload(self) -> None:
@@ -145,40 +145,40 @@
             logger.exception("reload failed; the settings before it stay in force")
 
     def end_to_start_anew(self, reason: str) -> None:
-        """End the process at once, for its supervisor to start it again.
+        """Exit the process at once, so that its supervisor starts it again.
 
-        Does not return. Only for a process that serves nothing which could be lost.
+        Does not return. Only for a process that serves nothing that could be lost.
         """
         extra = {"process_name": self.name, "reason": reason}
-        logger.critical("ending to start anew", extra=extra)
+        logger.critical("exiting for a restart", extra=extra)
         logging.shutdown()
         os._exit(RESTART_STATUS)
 
-    def _note_look(self, before: _Look) -> _Look:
-        """Write how late this look is: a late one explains answers that were late."""
-        look = _Look.now()
-        late = look.at - before.at - SIGNAL_LOOK_INTERVAL
-        if late > HELD_UP_SECONDS:
+    def _log_delay(self, before: _SignalCheck) -> _SignalCheck:
+        """Log a late check for signals, since its cause also delays answers."""
+        check = _SignalCheck.now()
+        late = check.at - before.at - SIGNAL_CHECK_INTERVAL
+        if late > HELD_UP_DELAY_SECONDS:
             extra = {
                 "process_name": self.name,
                 "late_ms": int(late * 1000),
-                "processor_ms": int((look.processor_at - before.processor_at) * 1000),
+                "processor_ms": int((check.processor_at - before.processor_at) * 1000),
             }
             logger.info("process held up", extra=extra)
-        return look
+        return check
 
     def run(self, drain: Callable[[], None]) -> None:
         """Wait for SIGTERM or SIGINT, run `drain`, and exit with status 0.
 
-        `drain` returns once no request is in flight. Later signals change nothing.
+        `drain` returns once no request is in flight. Further signals have no effect.
         """
         self.catch_signals()
-        look = _Look.now()
-        while not (self._signalled or self.stopping.wait(SIGNAL_LOOK_INTERVAL)):
-            look = self._note_look(look)
+        check = _SignalCheck.now()
+        while not (self._signalled or self.stopping.wait(SIGNAL_CHECK_INTERVAL)):
+            check = self._log_delay(check)
             if self._reload_wanted:
                 self._reload()
-                look = _Look.now()
+                check = _SignalCheck.now()
         self.request_stop()
         logger.info("stopping", extra={"process_name": self.name})
         drain()
--- a/src/jujubeslip/kernel/_registry.py
+++ b/src/jujubeslip/kernel/_registry.py
@@ -1,4 +1,4 @@
-"""Registries that plug-ins enter by themselves when their package is imported."""
+"""Registries of plug-ins, which register themselves when their package is imported."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
         self.by_name: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that enters a plug-in under this name."""
+        """Return a decorator that registers a plug-in under this name."""
 
-        def enter(plugin: T) -> T:
+        def decorator(plugin: T) -> T:
             if name in self.by_name:
                 raise ConfigurationInvalidError(
                     f"{self.kind} {name!r} is registered twice."
@@ -41,10 +41,10 @@
             self.by_name[name] = plugin
             return plugin
 
-        return enter
+        return decorator
 
     def get(self, name: str) -> T:
-        """Return the plug-in of this name, or raise with the names there are."""
+        """Return the plug-in of this name; the error lists the registered names."""
         if name not in self.by_name:
             known = ", ".join(sorted(self.by_name))
             raise ConfigurationInvalidError(
@@ -54,6 +54,6 @@
 
 
 def load_plugins() -> None:
-    """Import each plug-in package, so that its parts register themselves."""
+    """Import each plug-in package, so that its plug-ins register themselves."""
     for package in PLUGIN_PACKAGES:
         importlib.import_module(package)
--- a/src/jujubeslip/kernel/_settings.py
+++ b/src/jujubeslip/kernel/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: one TOML file, validated whole before anything opens."""
+"""Settings of a process: one TOML file, validated completely before startup."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 MAXIMUM_PORT = 65535
 
 
-def _checked_address(text: str) -> str:
-    """Return an address whose numbers are in range, which a pattern can't say."""
-    number, _, port = text.rpartition(":")
+def _validate_address(text: str) -> str:
+    """Return the address; check its port and octets, which the pattern does not."""
+    ip, _, port = text.rpartition(":")
     if not 0 < int(port) <= MAXIMUM_PORT:
-        raise ValueError(f"the port is not 1 to {MAXIMUM_PORT}")
-    ipaddress.IPv4Address(number)
+        raise ValueError(f"the port is not between 1 and {MAXIMUM_PORT}")
+    ipaddress.IPv4Address(ip)
     return text
 
 
 Address = Annotated[
     str,
     Field(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$", description="IP:port"),
-    AfterValidator(_checked_address),
+    AfterValidator(_validate_address),
 ]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 
 
 @dataclass(frozen=True)
 class SettingsProblem:
-    """One thing wrong in a file: which file, which key, what, and the remedy."""
+    """A problem of a settings file: file, key, message and remedy."""
 
     file: str
     key: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, config=STRICT)
 class PeerAddress:
-    """Where another process of the system listens for peers."""
+    """The peer address of another process of the system."""
 
     host_id: Name
     """The other process's host_id."""
@@ -66,15 +66,15 @@
     """Where logs, metrics and spans go."""
 
     log_format: Annotated[str, Field(pattern="^(json|text)$")] = "json"
-    """`json` or `text`, one line a record."""
+    """`json` or `text`, one line per record."""
     log_stream: Annotated[str, Field(pattern="^(stdout|stderr)$")] = "stderr"
     """Where log lines go: `stdout` or `stderr`."""
     log_level: Annotated[str, Field(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
-    """Least level that is written: DEBUG, INFO, WARNING or ERROR."""
+    """Lowest level that is written: DEBUG, INFO, WARNING or ERROR."""
     metrics_address: Address | None = None
-    """Where the metrics are served as text; not served without."""
+    """Where the metrics are served as text; without it they are not served."""
     otlp_endpoint: str = ""
-    """Base URL of an OTLP/HTTP collector; nothing is recorded without."""
+    """Base URL of an OTLP/HTTP collector; without it nothing is recorded."""
     export_interval_ms: Annotated[int, Field(ge=100)] = 10_000
     """How often metrics and spans are exported."""
 
@@ -98,23 +98,23 @@
     endpoint_secret: Annotated[str, Field(min_length=8)]
     """Secret that endpoints announce themselves with."""
     peer_listen_address: Address | None = None
-    """Where it listens for them, if that differs, as behind address translation."""
+    """Where it listens for them, if that differs, for example behind NAT."""
     entry_peers: tuple[PeerAddress, ...] = ()
-    """Some other entry hosts; the rest is learned from them."""
+    """Some other entry hosts; the remaining ones are learned from them."""
     control_peers: tuple[PeerAddress, ...] = ()
     """All control hosts."""
     http_threads: Annotated[int, Field(ge=8, le=1000)] = 160
-    """HTTP calls that are served at a time, a thread each."""
+    """HTTP requests served at a time, each in a thread."""
     reserved_threads: Annotated[int, Field(ge=1)] = 16
-    """Those of them kept for announcements and readiness."""
+    """How many of `http_threads` are reserved for announcements and readiness."""
     maximum_connections: Annotated[int, Field(ge=16)] = 3000
-    """Open HTTP connections at most; further ones wait."""
+    """Largest number of open HTTP connections; further ones wait."""
     maximum_body_bytes: Annotated[int, Field(ge=1024)] = 4_194_304
     """Longest body of a request; a longer one is refused with 413."""
     receive_timeout_ms: Annotated[int, Field(ge=100)] = 10_000
-    """A request that is not whole after this time is cut off."""
+    """The connection closes if a request is incomplete after this time."""
     policy: Name = "home"
-    """`home`, or a baseline to compare with."""
+    """`home`, or a baseline for comparisons."""
     telemetry: TelemetrySettings = field(default_factory=TelemetrySettings)
     """The table [telemetry], see below."""
 
@@ -130,55 +130,56 @@
     region: Name
     """Region that its availability zone is in."""
     peer_address: Address
-    """Where all other processes of the system reach it."""
+    """Where the other processes of the system reach it."""
     peer_secret: Annotated[str, Field(min_length=8)]
     """Secret of all processes of the system, and of operators."""
     data_folder: Path
-    """Folder on the disk that survives; used by this process only."""
+    """Folder on a persistent disk; used by this process only."""
     peer_listen_address: Address | None = None
-    """Where it listens for other processes, if that is not where they reach it."""
+    """Where it listens for them, if that differs from `peer_address`."""
     replicas: tuple[PeerAddress, ...] = ()
-    """All control hosts, this one among them, where they are known beforehand."""
+    """All control hosts, including this one, if they are known in advance."""
     seeds: tuple[Address, ...] = ()
-    """Some control hosts, where they are not; the others are learned from them."""
+    """Some control hosts, if not all are known; the others are learned from them."""
     seed_port: Annotated[int, Field(ge=0, le=MAXIMUM_PORT)] = 0
-    """Their peer port, if it is not the one in `seeds`."""
+    """Peer port of the control hosts, if it differs from the one in `seeds`."""
     may_found: bool = True
-    """Whether this host may found a cluster; false once one has been founded."""
+    """Whether this host may bootstrap a cluster; false once one is bootstrapped."""
     admits_any_host: bool = False
     """Whether a host that no operator has added may join."""
     tolerated_losses: Annotated[int, Field(ge=0)] = 1
-    """Control hosts that may be lost at once; a dead one is only removed while
-    enough remain for that."""
+    """Control hosts that may be lost at once; an unresponsive one is only removed
+    while enough remain for that."""
     http_address: Address | None = None
-    """Where operators and endpoints reach it over HTTP, if `interface` has that."""
+    """Where operators and endpoints reach it, if `interface` uses HTTP."""
     interface: Name = "native"
-    """What is spoken at http_address."""
+    """Protocol at `http_address`."""
     order_lease_ms: Annotated[int, Field(ge=0)] = 3000
-    """How long the orders of one leader to engines exclude those of the next."""
+    """How long orders of one leader to engines exclude orders of the next leader."""
     changes_roles: bool = True
-    """Whether engines are ordered to change role when one role runs short."""
+    """Whether engines are ordered to change their role when a role lacks capacity."""
     grants_engines: bool = True
-    """Whether the leader grants requests their engines, for all hosts."""
+    """Whether the leader grants engines to the requests of all hosts."""
     memory_margin: Annotated[float, Field(ge=-1, le=1)] = 0.05
     """Share of an engine's memory that the leader leaves free."""
     memory_caution: Annotated[float, Field(ge=0, le=5)] = 1.5
-    """How many standard deviations above its mean the memory's forecast has to fit."""
+    """Safety margin: standard deviations above its mean at which the forecast of
+    memory use must still fit."""
     passed_ms: Annotated[int, Field(ge=0)] = 300
-    """How long a request that waits for memory may be passed by smaller ones."""
+    """How long smaller requests may bypass a request that waits for memory."""
     reader_wait_ms: Annotated[int, Field(ge=0)] = 300
-    """How long one waits for a prefill engine before a decode engine reads its
-    prompt, which stops its other answers meanwhile."""
+    """How long a request waits for a prefill engine before a decode engine prefills
+    its prompt, which pauses the other answers of that engine."""
     limit_window_ms: Annotated[int, Field(ge=100)] = 8000
-    """Span in which an account's limit has to hold, over all hosts."""
+    """Time window in which an account's limit holds, over all hosts."""
     limit_overage: Annotated[float, Field(ge=0)] = 0.1
-    """Share of the limit that may run beyond it in such a span."""
+    """Share of the limit by which it may be exceeded in such a window."""
     limit_slack: Annotated[float, Field(ge=0)] = 0.0
-    """Amount that may run beyond that, in the limit's unit."""
+    """Further amount by which it may be exceeded, in the limit's unit."""
     election_timeout_ms: Annotated[int, Field(ge=50)] = 1000
-    """A follower that hears nothing this long campaigns."""
+    """Silence of the leader after which a follower starts an election."""
     heartbeat_ms: Annotated[int, Field(ge=10)] = 200
-    """How often a leader renews its lease with each follower."""
+    """Interval at which a leader renews its lease with each follower."""
     snapshot_every: Annotated[int, Field(ge=10)] = 1000
     """Log entries between two snapshots."""
     telemetry: TelemetrySettings = field(default_factory=TelemetrySettings)
@@ -191,7 +192,7 @@
 
 
 def seed_addresses(seeds: tuple[str, ...], port: int) -> tuple[str, ...]:
-    """Return the peer addresses of hosts that are given at another port of theirs."""
+    """Return the seeds' addresses with this port, or unchanged if the port is 0."""
     if not port:
         return seeds
     return tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in seeds)
@@ -208,47 +209,48 @@
     http_address: Address
     """Where clients reach it."""
     ready_address: Address
-    """Where a balancer asks whether it takes requests."""
+    """Where load balancers check whether it accepts requests."""
     peer_secret: Annotated[str, Field(min_length=8)]
     """Secret of all processes of the system, and of operators."""
     seeds: tuple[Address, ...]
     """Some control hosts; the others are learned from them."""
     interface: Name
-    """What clients and endpoints speak."""
+    """Protocol of clients and endpoints."""
     seed_port: Annotated[int, Field(ge=0, le=MAXIMUM_PORT)] = 0
-    """Peer port of the control hosts, if it is not the one in `seeds`."""
+    """Peer port of the control hosts, if it differs from the one in `seeds`."""
     http_threads: Annotated[int, Field(ge=8, le=1000)] = 112
-    """Requests that are served at a time, a thread each."""
+    """Requests served at a time, each in a thread."""
     reserved_threads: Annotated[int, Field(ge=1)] = 16
-    """Those of them that only refuse when all others are in use."""
+    """How many of `http_threads` only refuse requests when all others are in use."""
     maximum_connections: Annotated[int, Field(ge=16)] = 2000
-    """Open HTTP connections at most; further ones wait."""
+    """Largest number of open HTTP connections; further ones wait."""
     stop_limit_ms: Annotated[int, Field(ge=100)] = 8000
     """How long a stop may take before the process is killed."""
     retry_ratio: Annotated[float, Field(ge=0)] = 0.2
-    """Further sends per request of a service, over all hosts."""
+    """Retries per request of a service, over all hosts."""
     retry_window_ms: Annotated[int, Field(ge=100)] = 10_000
-    """Span over which further sends are counted."""
+    """Time window in which retries are counted."""
     retry_allowance: Annotated[float, Field(ge=0)] = 50.0
-    """Further sends in the window beyond the ratio, over all hosts."""
+    """Retries allowed in the window in addition to the ratio, over all hosts."""
     limit_window_ms: Annotated[int, Field(ge=100)] = 8000
-    """Span in which an account's limit has to hold, over all hosts."""
+    """Time window in which an account's limit holds, over all hosts."""
     limit_overage: Annotated[float, Field(ge=0)] = 0.1
-    """Share of the limit that may run beyond it in such a span."""
+    """Share of the limit by which it may be exceeded in such a window."""
     limit_slack: Annotated[float, Field(ge=0)] = 0.0
-    """Amount that may run beyond that, in the limit's unit."""
+    """Further amount by which it may be exceeded, in the limit's unit."""
     endpoint_silence_ms: Annotated[int, Field(ge=100)] = 10_000
-    """An endpoint that was not heard for this long is only used when no other is."""
+    """Silence after which an endpoint is only used if there is no other one."""
     policy: Name = "least-cost"
-    """`least-cost`, or a baseline to compare with."""
+    """`least-cost`, or a baseline for comparisons."""
     asks_leader: bool = True
-    """Whether the control host that leads is asked for grants at engines."""
+    """Whether the leading control host is asked for grants of engines."""
     reads_prompts_apart: bool = True
-    """Whether prefill engines read prompts, or decode engines do it themselves."""
+    """Whether prefill engines prefill prompts; otherwise decode engines do it."""
     memory_margin: Annotated[float, Field(ge=-1, le=1)] = 0.05
-    """Share of an engine's memory that the forecast leaves free, see docs/design."""
+    """Share of an engine's memory that the forecast leaves free; see docs/design."""
     memory_caution: Annotated[float, Field(ge=0, le=5)] = 1.5
-    """How many standard deviations above its mean the forecast has to fit."""
+    """Safety margin: standard deviations above its mean at which the forecast of
+    memory use must still fit."""
     telemetry: TelemetrySettings = field(default_factory=TelemetrySettings)
     """The table [telemetry], see below."""
 
@@ -261,28 +263,28 @@
 def load_forward_settings(
     path: Path,
 ) -> Result[ForwardSettings, tuple[SettingsProblem, ...]]:
-    """Read the settings of a forwarding host, or say everything that is wrong."""
+    """Read the settings of a forwarding host, or return all problems."""
     return read_toml_as(ForwardSettings, path)
 
 
 def load_entry_settings(
     path: Path,
 ) -> Result[EntrySettings, tuple[SettingsProblem, ...]]:
-    """Read the settings of an entry host, or say everything that is wrong."""
+    """Read the settings of an entry host, or return all problems."""
     return read_toml_as(EntrySettings, path)
 
 
 def load_control_settings(
     path: Path,
 ) -> Result[ControlSettings, tuple[SettingsProblem, ...]]:
-    """Read the settings of a control host, or say everything that is wrong."""
+    """Read the settings of a control host, or return all problems."""
     return read_toml_as(ControlSettings, path)
 
 
 def read_toml_as(
     kind: type[T], path: Path, text: str | None = None
 ) -> Result[T, tuple[SettingsProblem, ...]]:
-    """Read a TOML file, or the given text in its place, as a validated data class."""
+    """Read a TOML file, or the given text instead, into a validated data class."""
     try:
         content = path.read_text() if text is None else text
         values = tomllib.loads(content)
@@ -310,9 +312,9 @@
     if item["type"] == "missing":
         remedy = "Add the key; docs/reference/settings.md describes it."
         return _problem(path, key, "This key is required.", remedy)
-    remedy = f"The value is {item['input']!r}; change it so that it fits."
+    remedy = f"The value is {item['input']!r}; change it to a valid one."
     if "secret" in key:
-        remedy = "Change the value so that it fits."
+        remedy = "Change the value to a valid one."
     return _problem(path, key, f"{item['msg']}.", remedy)
 
 
@@ -320,25 +322,25 @@
     kind: type, path: Path, location: tuple[str | int, ...]
 ) -> SettingsProblem:
     known = known_keys(kind, location[:-1])
-    near = difflib.get_close_matches(str(location[-1]), known, n=1, cutoff=0.0)
-    remedy = f"Did you mean {near[0]!r}?" if near else "Remove the key."
+    closest = difflib.get_close_matches(str(location[-1]), known, n=1, cutoff=0.0)
+    remedy = f"Did you mean {closest[0]!r}?" if closest else "Remove the key."
     return _problem(path, _key_path(location), "There is no such key.", remedy)
 
 
 def known_keys(kind: Any, location: tuple[str | int, ...]) -> list[str]:
-    """Return the keys that may stand in the table at this place of the file."""
-    table = _strip(kind)
+    """Return the valid keys of the table at this location in the file."""
+    table = _data_class_in(kind)
     for part in location:
         if isinstance(part, int):
             continue
-        table = _strip(get_type_hints(table).get(part))
+        table = _data_class_in(get_type_hints(table).get(part))
     if not hasattr(table, "__dataclass_fields__"):
         return []
     return [item.name for item in dataclass_fields(table)]
 
 
-def _strip(kind: Any) -> Any:
-    """Return the data class inside `tuple[X, ...]`, `X | None` or an annotation."""
+def _data_class_in(kind: Any) -> Any:
+    """Return the data class in `tuple[X, ...]`, `X | None` or `Annotated`."""
     while not hasattr(kind, "__dataclass_fields__"):
         inner = [item for item in get_args(kind) if item not in (Ellipsis, type(None))]
         if not inner:
--- a/tests/kernel/test_lifecycle.py
+++ b/tests/kernel/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tasks of a process: none fails or waits unseen."""
+"""Tasks of a process: failures and waits are logged."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     def test_waiting_tasks_are_logged_once(
         self, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A home of 600 endpoints uses up its tasks.
+        """Guards against a process that runs out of tasks without a log line.
 
-        Endpoints are no longer asked and drop out one by one, connections are
-        accepted and never answered, and no line of the log says why.
+        A home of 600 endpoints can use up its tasks. Then it no longer polls endpoints,
+        which expire one by one, and accepts connections without ever answering.
         """
         monkeypatch.setattr(_lifecycle, "MAXIMUM_TASKS", 2)
         process = Process("test")
@@ -50,11 +50,9 @@
         assert messages(caplog) == ["new tasks wait: all are in use"]
 
 
-class TestRepeatedSteps:
-    def test_a_step_that_fails_is_run_again(
-        self, caplog: pytest.LogCaptureFixture
-    ) -> None:
-        """One bad message must not end a host's gossip for good."""
+class TestPeriodicTasks:
+    def test_failed_step_runs_again(self, caplog: pytest.LogCaptureFixture) -> None:
+        """One invalid message must not end a host's gossip permanently."""
         process = Process("test")
         ran = threading.Semaphore(0)
 
@@ -74,14 +72,14 @@
 
 
 class TestProcessThatIsHeldUp:
-    """Guards against late answers of a process whose lines don't say why."""
+    """Guards against late answers of a process whose log doesn't give the cause."""
 
-    @pytest.mark.parametrize(("late", "is_noted"), [(0.1, False), (0.4, True)])
-    def test_says_how_late_it_looked(
-        self, late: float, is_noted: bool, caplog: pytest.LogCaptureFixture
+    @pytest.mark.parametrize(("late", "is_logged"), [(0.1, False), (0.4, True)])
+    def test_logs_a_late_check_for_signals(
+        self, late: float, is_logged: bool, caplog: pytest.LogCaptureFixture
     ) -> None:
         caplog.set_level(logging.INFO)
-        before = _lifecycle._Look.now()
-        due = before.at - _lifecycle.SIGNAL_LOOK_INTERVAL
-        Process("test")._note_look(replace(before, at=due - late))
-        assert ("process held up" in messages(caplog)) is is_noted
+        before = _lifecycle._SignalCheck.now()
+        due = before.at - _lifecycle.SIGNAL_CHECK_INTERVAL
+        Process("test")._log_delay(replace(before, at=due - late))
+        assert ("process held up" in messages(caplog)) is is_logged
--- a/tests/kernel/test_settings.py
+++ b/tests/kernel/test_settings.py
@@ -1,4 +1,4 @@
-"""A settings file is read whole, and every error says what to do about it."""
+"""Reading settings files: every error is reported, with its remedy."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from tests.fakes.processes import ROOT
 
-GOOD = """
+VALID = """
 host_id = "entry-1"
 availability_zone = "regina-hall"
 region = "prairie-west"
@@ -31,31 +31,31 @@
 
 
 class TestEntrySettings:
-    """An operator restarts a host at night with a mistyped key.
+    """Guards against a mistyped key that is ignored, and errors that show one by one.
 
-    A process that ignored the key would run for weeks with the default in its place;
-    one that stops at the first error costs a restart for each.
+    A process that ignores the key runs with the default value, possibly for weeks. One
+    that reports only the first error needs a restart for each.
     """
 
     def test_are_read(self, tmp_path: Path) -> None:
         path = tmp_path / "entry.toml"
-        path.write_text(GOOD)
+        path.write_text(VALID)
         assert load_entry_settings(path).unwrap().host_id == "entry-1"
 
     def test_name_the_nearest_key_for_an_unknown_one(self, tmp_path: Path) -> None:
-        (problem,) = problems_of(tmp_path, f"http_thread = 20\n{GOOD}")
+        (problem,) = problems_of(tmp_path, f"http_thread = 20\n{VALID}")
         assert problem.key == "http_thread"
         assert problem.remedy == "Did you mean 'http_threads'?"
 
     def test_name_the_nearest_key_inside_a_list(self, tmp_path: Path) -> None:
         peer = '[[entry_peers]]\nhost_id = "entry-2"\nadress = "127.0.0.1:1"\n'
-        problems = problems_of(tmp_path, GOOD + peer)
+        problems = problems_of(tmp_path, VALID + peer)
         by_key = {problem.key: problem for problem in problems}
         assert "'address'" in by_key["entry_peers[0].adress"].remedy
         assert "entry_peers[0].address" in by_key
 
-    def test_tell_all_errors_at_once(self, tmp_path: Path) -> None:
-        text = GOOD.replace("127.0.0.1:8101", "localhost").replace(
+    def test_report_all_errors_at_once(self, tmp_path: Path) -> None:
+        text = VALID.replace("127.0.0.1:8101", "localhost").replace(
             'region = "prairie-west"\n', ""
         )
         keys = {problem.key for problem in problems_of(tmp_path, text)}
@@ -77,12 +77,12 @@
     def test_refuse_values_out_of_range(
         self, tmp_path: Path, line: str, key: str
     ) -> None:
-        (problem,) = problems_of(tmp_path, f"{GOOD}{line}\n")
+        (problem,) = problems_of(tmp_path, f"{VALID}{line}\n")
         assert problem.key == key
         assert problem.message and problem.remedy
 
     def test_never_show_a_secret(self, tmp_path: Path) -> None:
-        text = GOOD.replace("a-secret-of-tests", "short")
+        text = VALID.replace("a-secret-of-tests", "short")
         (problem,) = problems_of(tmp_path, text)
         assert problem.key == "peer_secret"
         assert "short" not in f"{problem.message} {problem.remedy}".replace(
@@ -90,16 +90,16 @@
         )
 
     @pytest.mark.parametrize("text", ["host_id = ", "a = 1\na = 2\n", "\x00"])
-    def test_say_so_when_the_file_is_no_toml(self, tmp_path: Path, text: str) -> None:
+    def test_report_a_file_that_is_not_toml(self, tmp_path: Path, text: str) -> None:
         (problem,) = problems_of(tmp_path, text)
         assert problem.remedy == "Correct the TOML syntax."
 
-    def test_say_so_when_the_file_is_missing(self, tmp_path: Path) -> None:
+    def test_report_a_missing_file(self, tmp_path: Path) -> None:
         (problem,) = load_entry_settings(tmp_path / "none.toml").failure()
         assert problem.file.endswith("none.toml")
         assert problem.remedy == "Give the path of the file."
 
-    def test_say_so_when_the_file_is_no_text(self, tmp_path: Path) -> None:
+    def test_report_a_file_that_is_not_text(self, tmp_path: Path) -> None:
         path = tmp_path / "entry.toml"
         path.write_bytes(b"\xff\xfe")
         (problem,) = load_entry_settings(path).failure()
@@ -108,7 +108,7 @@
 
 class TestExamples:
     @pytest.mark.parametrize("deployment", ["northvane", "glanmor"])
-    def test_can_be_used(self, deployment: str) -> None:
+    def test_are_valid(self, deployment: str) -> None:
         folder = ROOT / "examples" / deployment
         entries = sorted(folder.glob("entry-*.toml"))
         controls = sorted(folder.glob("control-*.toml"))
--- a/tests/kernel/test_strict.py
+++ b/tests/kernel/test_strict.py
@@ -1,4 +1,4 @@
-"""Bounds of what other programs send."""
+"""Validation of addresses and ids that other programs send."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
         assert accepts(address, f"{octet}.1.2.{octet}:80") == (octet <= 255)
 
     @pytest.mark.parametrize("port", [1, 9999, 10_000, 59_999, 60_000, 65_535])
-    def test_may_be_at_an_edge(self, port: int) -> None:
+    def test_accepts_ports_at_a_bound(self, port: int) -> None:
         assert accepts(address, f"255.0.10.200:{port}")
 
     @pytest.mark.parametrize("port", [0, 65_536, 65_540, 65_600, 66_000, 70_000])
-    def test_may_not_be_beyond_one(self, port: int) -> None:
+    def test_refuses_ports_beyond_a_bound(self, port: int) -> None:
         assert not accepts(address, f"255.0.10.200:{port}")
 
     @pytest.mark.parametrize(
@@ -48,5 +48,5 @@
 class TestId:
     @given(text=st.text(max_size=5))
     def test_is_visible_ascii_without_a_slash(self, text: str) -> None:
-        usable = all("!" <= mark <= "~" and mark != "/" for mark in text)
-        assert accepts(endpoint_id, text) == (bool(text) and usable)
+        valid = all("!" <= character <= "~" and character != "/" for character in text)
+        assert accepts(endpoint_id, text) == (bool(text) and valid)
