--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -139,7 +139,7 @@
     """Guards against an invalid field that is acknowledged and kept.
 
     With a sequence number of seventy bits, or half a surrogate pair in a name, no
-    answer to the watching hosts can be encoded any more. None of them hears of any
+    answer to the watching hosts can be encoded any more. None of them learns of any
     endpoint: new ones are not used, and leaving ones get requests until they exit.
     """
 
--- a/tests/platform/test_recorded_removals.py
+++ b/tests/platform/test_recorded_removals.py
@@ -20,10 +20,10 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 from tests.platform.test_removals_after_restarts import (
-    ASKED_SECONDS,
     CONTACT_SECONDS,
     PAUSE_SECONDS,
-    check_gets_nothing,
+    UPDATE_SECONDS,
+    check_gets_no_requests,
     restart,
 )
 
@@ -56,7 +56,7 @@
     return system.leave(worker, tells_start=True)
 
 
-def announce_that_it_leaves(system: PlatformSystem, worker: PlatformWorker) -> int:
+def announce_leaving(system: PlatformSystem, worker: PlatformWorker) -> int:
     return system.beat(worker, "draining")
 
 
@@ -70,7 +70,7 @@
 def count_runs(system: PlatformSystem, worker: PlatformWorker) -> int:
     """Send requests for some seconds; return how many the endpoint got."""
     worker.runs.clear()
-    until = time.monotonic() + ASKED_SECONDS
+    until = time.monotonic() + UPDATE_SECONDS
     while time.monotonic() < until:
         assert system.ask("/safe/x").status == 200
         time.sleep(PAUSE_SECONDS)
@@ -90,8 +90,8 @@
     [
         (sign_off, FIRST),
         (sign_off_by_start, FIRST),
-        (announce_that_it_leaves, FIRST),
-        (announce_that_it_leaves, None),
+        (announce_leaving, FIRST),
+        (announce_leaving, None),
     ],
 )
 class TestRemovalBeforeAllHostsAreKilled:
@@ -104,7 +104,7 @@
         earlier = make_known(system, leaving)
         assert leave(system, leaving) == 200
         restart([*system.controls, *system.entries])
-        check_gets_nothing(system, leaving, earlier)
+        check_gets_no_requests(system, leaving, earlier)
 
     def test_does_not_apply_to_a_later_start(
         self, system: PlatformSystem, leave: Leave, start: int | None
@@ -135,12 +135,12 @@
 class TestRemovalWithoutAMajority:
     """Guards against requests to an endpoint that leaves in a partitioned zone."""
 
-    @pytest.mark.parametrize("is_heard_of", [True, False])
+    @pytest.mark.parametrize("is_known", [True, False])
     def test_holds_without_an_acknowledgement(
-        self, system: PlatformSystem, is_heard_of: bool
+        self, system: PlatformSystem, is_known: bool
     ) -> None:
         leaving = started()
-        earlier = make_known(system, leaving) if is_heard_of else leaving.beat()
+        earlier = make_known(system, leaving) if is_known else leaving.beat()
         for host in system.controls[1:]:
             host.kill()
         assert system.leave(leaving) == 503
@@ -159,7 +159,7 @@
             host.start()
         wait_until(lambda: system.leave(leaving) == 200, "it is acknowledged")
         restart([*system.controls, *system.entries])
-        check_gets_nothing(system, leaving, earlier)
+        check_gets_no_requests(system, leaving, earlier)
 
 
 class TestHostThatLostItsDiskAfterARemoval:
--- a/tests/platform/test_removals_after_restarts.py
+++ b/tests/platform/test_removals_after_restarts.py
@@ -23,7 +23,7 @@
 CONTACT_SECONDS = 3.0
 # A forwarding host receives the updates of a control host within this time: it retries
 # an unreachable one after 1.2 s at most, and waits 0.7 s for updates.
-ASKED_SECONDS = 3.0
+UPDATE_SECONDS = 3.0
 PAUSE_SECONDS = 0.03
 
 
@@ -36,27 +36,25 @@
         host.start()
 
 
-@pytest.mark.parametrize("is_heard_of", [True, False])
+@pytest.mark.parametrize("is_known", [True, False])
 class TestAcknowledgedRemoval:
     """Guards against requests to an endpoint after its acknowledged removal."""
 
-    def test_outlives_all_control_hosts(
-        self, tmp_path: Path, is_heard_of: bool
-    ) -> None:
+    def test_outlives_all_control_hosts(self, tmp_path: Path, is_known: bool) -> None:
         with PlatformSystem(tmp_path, controls=3, entries=1) as system:
-            leaving, earlier = removed(system, is_heard_of)
+            leaving, earlier = removed(system, is_known)
             restart(system.controls)
-            check_gets_nothing(system, leaving, earlier)
+            check_gets_no_requests(system, leaving, earlier)
 
-    def test_outlives_all_hosts(self, tmp_path: Path, is_heard_of: bool) -> None:
+    def test_outlives_all_hosts(self, tmp_path: Path, is_known: bool) -> None:
         with PlatformSystem(tmp_path, controls=3, entries=1) as system:
-            leaving, earlier = removed(system, is_heard_of)
+            leaving, earlier = removed(system, is_known)
             restart([*system.controls, *system.entries])
-            check_gets_nothing(system, leaving, earlier)
+            check_gets_no_requests(system, leaving, earlier)
 
 
 def removed(
-    system: PlatformSystem, is_heard_of: bool
+    system: PlatformSystem, is_known: bool
 ) -> tuple[PlatformWorker, dict[str, object]]:
     """Remove an endpoint; return it and an announcement still in transit."""
     routes = [route("safe", "/safe/", "plain")]
@@ -64,7 +62,7 @@
     system.add(PlatformWorker("other", "plain"))
     system.wait_served("/safe/x")
     leaving = PlatformWorker("leaving", "plain")
-    if is_heard_of:
+    if is_known:
         system.add(leaving)
         system.withdraw(leaving)
     earlier = leaving.beat()
@@ -72,7 +70,7 @@
     return leaving, earlier
 
 
-def check_gets_nothing(
+def check_gets_no_requests(
     system: PlatformSystem, leaving: PlatformWorker, earlier: dict[str, object]
 ) -> None:
     """Let the announcement arrive, and assert that the endpoint is not used."""
@@ -80,7 +78,7 @@
     wait_until(lambda: system.tell("leaving", earlier, control=1) == 200, "it arrives")
     system.wait_served("/safe/x")
     leaving.runs.clear()
-    until = time.monotonic() + ASKED_SECONDS
+    until = time.monotonic() + UPDATE_SECONDS
     while time.monotonic() < until:
         assert system.ask("/safe/x").status == 200
         time.sleep(PAUSE_SECONDS)
