--- a/tests/platform/test_starts.py
+++ b/tests/platform/test_starts.py
@@ -33,7 +33,7 @@
     "kvCapacity": 9,
     "runs": [],
 }
-NO_INTEGERS = [1.5, 1e3, "1700000000123", None, True, -1, 2**63, [], {}]
+INVALID_INTEGERS = [1.5, 1e3, "1700000000123", None, True, -1, 2**63, [], {}]
 
 
 def body(fields: dict[str, Any], **more: Any) -> bytes:
@@ -48,7 +48,7 @@
     def test_that_is_missing_is_none(self) -> None:
         assert read_announcement("e", body(ANNOUNCEMENT)).unwrap().started_at_ms == 0
 
-    @pytest.mark.parametrize("born", NO_INTEGERS)
+    @pytest.mark.parametrize("born", INVALID_INTEGERS)
     def test_that_is_no_integer_is_refused(self, born: Any) -> None:
         """Decoded as 0, the announcement would count as older than all others."""
         assert isinstance(
@@ -61,7 +61,7 @@
     def test_is_read(self, fields: dict[str, int], read: int) -> None:
         assert read_report(body(REPORT, **fields)).unwrap().started_at_ms == read
 
-    @pytest.mark.parametrize("born", NO_INTEGERS)
+    @pytest.mark.parametrize("born", INVALID_INTEGERS)
     def test_that_is_no_integer_invalidates_the_report(self, born: Any) -> None:
         assert isinstance(read_report(body(REPORT, born=born)), Failure)
 
