--- a/bench/admission/calls.py
+++ b/bench/admission/calls.py
@@ -88,7 +88,7 @@
             time.sleep(max(0.0, began + pause - steady_seconds()))
 
     def _report_readers(self) -> None:
-        reads = EngineReport(1, 0, 0, (), reads_prompts=True)
+        reads = EngineReport(1, 0, 0, (), is_prefill_engine=True)
         for name in self._readers:
             self._timed(partial(self.pool.take_report, name, reads))
 
--- a/bench/admission/measure.py
+++ b/bench/admission/measure.py
@@ -98,7 +98,9 @@
     def report_readers(self) -> None:
         """Let the engines that read prompts say that they do."""
         for name in self._readers:
-            self.pool.take_report(name, EngineReport(1, 0, 0, (), reads_prompts=True))
+            self.pool.take_report(
+                name, EngineReport(1, 0, 0, (), is_prefill_engine=True)
+            )
 
     def _ask(self, number: int) -> None:
         tries = 0
--- a/bench/replay/_play.py
+++ b/bench/replay/_play.py
@@ -235,7 +235,7 @@
             if engine.lost_until <= now:
                 self._pool.take_report(engine.name, engine.report(now))
         capacity = self._pattern.workload.capacity_tokens
-        reads = EngineReport(capacity, 0, 0, (), reads_prompts=True)
+        reads = EngineReport(capacity, 0, 0, (), is_prefill_engine=True)
         for reader in self._reading.values():
             if reader.lost_until <= now:
                 self._pool.take_report(reader.name, reads)
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -88,7 +88,7 @@
             return False
         if self.report_age >= USABLE_SECONDS:
             return False
-        return not report.busy and not report.reads_prompts
+        return not report.busy and not report.is_prefill_engine
 
     @property
     def event_rate(self) -> float:
--- a/src/jujubeslip/admission/_engine_pool.py
+++ b/src/jujubeslip/admission/_engine_pool.py
@@ -71,7 +71,7 @@
     @property
     def entry(self) -> QueueEntry:
         return QueueEntry(
-            self.grant_request.target_by.instant, self.grant_request.request_id
+            self.grant_request.target_by.timestamp, self.grant_request.request_id
         )
 
     @property
@@ -242,7 +242,8 @@
         Small differences come from the network delay of the call and are ignored.
         """
         later = (
-            grant_request.target_by.instant - waiting.grant_request.target_by.instant
+            grant_request.target_by.timestamp
+            - waiting.grant_request.target_by.timestamp
         )
         if later < TARGET_TOLERANCE_SECONDS:
             return
@@ -268,7 +269,7 @@
         return waiting
 
     def _forecast(self, grant_request: GrantRequest, now: float) -> float:
-        entry = QueueEntry(grant_request.target_by.instant, grant_request.request_id)
+        entry = QueueEntry(grant_request.target_by.timestamp, grant_request.request_id)
         return (self._queue.count_ahead(entry, now) + 1) * self._interval
 
     def _grant_waiting(self) -> None:
--- a/src/jujubeslip/admission/_prefill_queue.py
+++ b/src/jujubeslip/admission/_prefill_queue.py
@@ -99,7 +99,7 @@
         self._last_contact_at = steady_seconds()
         self._has_reported = True
         self.reachability.note_report()
-        self._accepts_prompts = report.reads_prompts and not report.busy
+        self._accepts_prompts = report.is_prefill_engine and not report.busy
         self._remove_lost()
 
     def add(self, grant_request: GrantRequest) -> None:
--- a/src/jujubeslip/control/_disk_probe.py
+++ b/src/jujubeslip/control/_disk_probe.py
@@ -38,7 +38,7 @@
         """End the process if its disk had failed and accepts writes again."""
         if not self._replica.failure or not self._takes_writes():
             return
-        self._replica.process.end_to_start_anew("the disk accepts writes again")
+        self._replica.process.exit_for_restart("the disk accepts writes again")
 
     def _takes_writes(self) -> bool:
         path = self._replica.storage.folder / PROBE_NAME
--- a/src/jujubeslip/control/_outstanding_orders.py
+++ b/src/jujubeslip/control/_outstanding_orders.py
@@ -49,7 +49,7 @@
                 self._order_by_start[order.start_id] = _Order(
                     order.role,
                     order.until,
-                    Deadline(order.given.instant + lease_seconds),
+                    Deadline(order.given.timestamp + lease_seconds),
                 )
 
     def discard(self, endpoint: Endpoint) -> None:
--- a/src/jujubeslip/discovery/_control_followers.py
+++ b/src/jujubeslip/discovery/_control_followers.py
@@ -226,7 +226,7 @@
             self._owner.stopped.wait(self._retry_seconds)
             self._retry_seconds = min(self._retry_seconds * 2, MAXIMUM_RETRY_SECONDS)
             return
-        self._record_reply(started.instant)
+        self._record_reply(started.timestamp)
         self._owner.apply_reply(self._address, reply)
         is_same_start = reply.book_id == self._known.book_id
         self._sent_crash_version = crash_version if is_same_start else 0
--- a/src/jujubeslip/forwarding/_crash_detector.py
+++ b/src/jujubeslip/forwarding/_crash_detector.py
@@ -52,7 +52,7 @@
             and not is_harmless
             and attempts.answered_seconds < CRASH_WINDOW_SECONDS
         ):
-            sent_at = attempts.latest_sent_at.instant
+            sent_at = attempts.latest_sent_at.timestamp
             was_answered = attempts.answer_started is not None
             crash = Crash(endpoint.start_id, sent_at, steady_seconds(), was_answered)
             self._crash_registry.record_crash(context.fingerprint, crash)
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -219,13 +219,15 @@
     until the client's timeout: its client won't retry again, or has a part of the
     answer.
     """
-    end = Deadline(context.end_by.instant - MIN_RUN_SECONDS)
+    end = Deadline(context.end_by.timestamp - MIN_RUN_SECONDS)
     is_first_try = not context.is_client_retry and attempts.granted_ms is None
     if is_first_try and not attempts.may_have_run:
-        start = Deadline(context.target_by.instant - FIRST_EVENT_SECONDS)
+        start = Deadline(context.target_by.timestamp - FIRST_EVENT_SECONDS)
         return end.earlier_of(start)
     # The timeout of a client that has a part of the answer counts from that part.
     now = Deadline.after(0)
     waits_from = now if attempts.may_have_run else context.request.arrived
-    client_timeout = context.route.patience_ms / 1000 - CLIENT_TIMEOUT_MARGIN_SECONDS
-    return end.earlier_of(Deadline(waits_from.instant + client_timeout))
+    client_timeout = (
+        context.route.client_timeout_ms / 1000 - CLIENT_TIMEOUT_MARGIN_SECONDS
+    )
+    return end.earlier_of(Deadline(waits_from.timestamp + client_timeout))
--- a/src/jujubeslip/forwarding/_meters.py
+++ b/src/jujubeslip/forwarding/_meters.py
@@ -103,7 +103,7 @@
         kind = context.route.kind
         service = {"service": context.service_name}
         labels = {"kind": kind.value, **service, "outcome": outcome}
-        duration = steady_seconds() - context.request.arrived.instant
+        duration = steady_seconds() - context.request.arrived.timestamp
         self._requests.add(1, labels)
         self._duration.record(duration * 1000, {"kind": kind.value})
         self._sends.add(attempts.sends, service)
--- a/src/jujubeslip/forwarding/_models.py
+++ b/src/jujubeslip/forwarding/_models.py
@@ -74,8 +74,8 @@
     @property
     def is_client_retry(self) -> bool:
         """Return whether the client is retrying after a refusal."""
-        first_try_target = self.request.arrived.instant + self.route.target_ms / 1000
-        return self.target_by.instant < first_try_target
+        first_try_target = self.request.arrived.timestamp + self.route.target_ms / 1000
+        return self.target_by.timestamp < first_try_target
 
 
 @dataclass(frozen=True)
--- a/src/jujubeslip/forwarding/_process.py
+++ b/src/jujubeslip/forwarding/_process.py
@@ -243,7 +243,7 @@
         """Serve until SIGTERM, then finish open requests and exit with status 0."""
         process = self._process
         process.catch_signals()
-        process.reload_with(self._reload)
+        process.set_reload_handler(self._reload)
         self._followers.learn(self._settings.seed_addresses)
         process.repeat(CLEANUP_SECONDS, self._connection_pool.close_expired)
         process.repeat(FORGET_SECONDS, self._crash_registry.forget_old)
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -178,7 +178,7 @@
                 "outcome": outcome,
                 "ran": _ran(attempts, outcome),
                 "sends": attempts.steps,
-                "duration_ms": int((steady_seconds() - started.instant) * 1000),
+                "duration_ms": int((steady_seconds() - started.timestamp) * 1000),
                 "granted_ms": attempts.granted_ms,
                 "first_event_ms": attempts.first_event_ms,
                 "target_ms": context.route.target_ms,
@@ -198,7 +198,7 @@
     """Return the client timeout that the request named, None if it named none."""
     if request.client_deadline is None:
         return None
-    return int((request.client_deadline.instant - request.arrived.instant) * 1000)
+    return int((request.client_deadline.timestamp - request.arrived.timestamp) * 1000)
 
 
 def _ran(attempts: Attempts, outcome: str) -> str:
@@ -226,19 +226,19 @@
     timeout is left; the missing time has passed since its first try. A small difference
     means only that the client's own timeout is shorter than the route's.
     """
-    target = Deadline(request.arrived.instant + route.target_ms / 1000)
+    target = Deadline(request.arrived.timestamp + route.target_ms / 1000)
     if request.client_deadline is None:
         return target
-    remaining = request.client_deadline.instant - request.arrived.instant
+    remaining = request.client_deadline.timestamp - request.arrived.timestamp
     elapsed = route.timeout_ms / 1000 - remaining
     if elapsed <= CLIENT_RETRY_SHARE * route.timeout_ms / 1000:
         return target
-    return Deadline(target.instant - elapsed)
+    return Deadline(target.timestamp - elapsed)
 
 
 def _end_deadline(request: ForwardedRequest, route: Route) -> Deadline:
     """Return the earlier of the client's deadline and the end of the route timeout."""
-    limit = Deadline(request.arrived.instant + route.timeout_ms / 1000)
+    limit = Deadline(request.arrived.timestamp + route.timeout_ms / 1000)
     if request.client_deadline is None:
         return limit
     return limit.earlier_of(request.client_deadline)
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -278,7 +278,7 @@
             context.service_name
         ):
             return context.end_by
-        seconds = SILENCE_SHARE * route.patience_ms / 1000
+        seconds = SILENCE_SHARE * route.client_timeout_ms / 1000
         return context.end_by.earlier_of(Deadline.after(seconds))
 
     # The events
--- a/src/jujubeslip/forwarding/_waiting_queue.py
+++ b/src/jujubeslip/forwarding/_waiting_queue.py
@@ -42,7 +42,7 @@
                 self._busy_since = steady_seconds()
             self._last_ticket += 1
             ticket = self._last_ticket
-            self._targets_by_ticket[ticket] = context.target_by.instant
+            self._targets_by_ticket[ticket] = context.target_by.timestamp
         try:
             yield ticket
         finally:
@@ -53,7 +53,7 @@
     def forecast(self, context: ForwardContext) -> float:
         """Return the expected wait of a request that arrives now, in seconds."""
         now = steady_seconds()
-        own_urgency = urgency(context.target_by.instant, now)
+        own_urgency = urgency(context.target_by.timestamp, now)
         with self._changed:
             ahead = sum(
                 urgency(target, now) <= own_urgency
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -299,7 +299,7 @@
     def _refuse_if_late(
         self, waiter: Waiter, first_token_at: float, forecast: Forecast
     ) -> None:
-        late = first_token_at - waiter.first_token_by.instant
+        late = first_token_at - waiter.first_token_by.timestamp
         if late > 0:
             retry = forecast.retry_seconds(waiter, late)
             self._refuse(waiter, "the first token would be late", retry)
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -95,14 +95,14 @@
         arrives after the endpoint left does not make it usable again, since its status
         is "leaving" or missing.
         """
-        return not self.announcement.leaving and self.usable_until.instant > now
+        return not self.announcement.leaving and self.usable_until.timestamp > now
 
     def prefill_backlog(self, now: float) -> float:
         """Return the forecast seconds until the granted prefills end."""
         if not self.prefill_grants:
             return 0.0
         latest = max(
-            grant.prefill_ends.instant for grant in self.prefill_grants.values()
+            grant.prefill_ends.timestamp for grant in self.prefill_grants.values()
         )
         return max(0.0, latest - now)
 
@@ -111,7 +111,7 @@
         free = now
         grants = self.transfer_grants.values()
         for grant in sorted(grants, key=lambda item: item.prefill_ends):
-            free = max(free, grant.prefill_ends.instant) + grant.transfer_left(now)
+            free = max(free, grant.prefill_ends.timestamp) + grant.transfer_left(now)
         return free
 
     def free_slots_at(self, at_time: float, now: float) -> int:
@@ -170,9 +170,9 @@
         A grant that exceeded its forecast is expected to last longer by a fixed share
         of its planned duration, counted from `now` at each call.
         """
-        if self.releases.instant > now:
-            return self.releases.instant
-        planned = self.releases.instant - self.granted_at
+        if self.releases.timestamp > now:
+            return self.releases.timestamp
+        planned = self.releases.timestamp - self.granted_at
         return now + max(MINIMUM_OVERDUE_SECONDS, OVERDUE_SHARE * planned)
 
     @property
@@ -200,7 +200,7 @@
         """Return the sort key of the queue: priority, then deadline, then arrival."""
         return (
             self.request.priority,
-            self.first_token_by.instant,
+            self.first_token_by.timestamp,
             self.arrived_at,
         )
 
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -83,7 +83,7 @@
         if not avoid and not self._any_ejected(now):
             return usable
         wanted = [record for record in usable if record.endpoint_id not in avoid]
-        healthy = [record for record in wanted if record.ejected_until.instant <= now]
+        healthy = [record for record in wanted if record.ejected_until.timestamp <= now]
         # If all endpoints failed recently, they are used nevertheless.
         return healthy or wanted or usable
 
@@ -105,7 +105,7 @@
         """Clear the cached lists of usable endpoints; one joined, left or failed."""
         self._usable_by_role.clear()
         self._ejected_until = max(
-            (record.ejected_until.instant for record in self.record_by_id.values()),
+            (record.ejected_until.timestamp for record in self.record_by_id.values()),
             default=0.0,
         )
 
--- a/src/jujubeslip/kernel/_deadlines.py
+++ b/src/jujubeslip/kernel/_deadlines.py
@@ -17,7 +17,7 @@
     and the receiver creates its own Deadline from that.
     """
 
-    instant: float
+    timestamp: float
 
     @classmethod
     def after(cls, seconds: float) -> Deadline:
@@ -32,15 +32,15 @@
     @property
     def expired(self) -> bool:
         """Return whether the deadline has passed."""
-        return steady_seconds() >= self.instant
+        return steady_seconds() >= self.timestamp
 
     def remaining(self) -> float:
         """Return the remaining seconds, never below zero."""
-        return max(0.0, self.instant - steady_seconds())
+        return max(0.0, self.timestamp - steady_seconds())
 
     def overdue(self) -> float:
         """Return the seconds since the deadline, never below zero."""
-        return max(0.0, steady_seconds() - self.instant)
+        return max(0.0, steady_seconds() - self.timestamp)
 
     def remaining_ms(self) -> int:
         """Return the remaining milliseconds, rounded down, never below zero."""
--- a/src/jujubeslip/kernel/_lifecycle.py
+++ b/src/jujubeslip/kernel/_lifecycle.py
@@ -106,7 +106,7 @@
         """Begin the graceful stop; a second call changes nothing."""
         self.stopping.set()
 
-    def reload_with(self, reload: Callable[[], None]) -> None:
+    def set_reload_handler(self, reload: Callable[[], None]) -> None:
         """Set the function to call on SIGHUP, when the settings have changed."""
         self._on_reload = reload
 
@@ -144,7 +144,7 @@
         except Exception:
             logger.exception("reload failed; the settings before it stay in force")
 
-    def end_to_start_anew(self, reason: str) -> None:
+    def exit_for_restart(self, reason: str) -> None:
         """Exit the process at once, so that its supervisor starts it again.
 
         Does not return. Only for a process that serves nothing that could be lost.
--- a/src/jujubeslip/membership/_host_table.py
+++ b/src/jujubeslip/membership/_host_table.py
@@ -149,7 +149,7 @@
     def remove_expired(self) -> None:
         """Remove hosts long dead or unknown, and expired marks of unreachability."""
         for owner, dead_at in list(self._unknown_dead_at.items()):
-            if Deadline(dead_at.instant + RETENTION_SECONDS).expired:
+            if Deadline(dead_at.timestamp + RETENTION_SECONDS).expired:
                 del self._unknown_dead_at[owner]
         for host_id, record in list(self.record_by_id.items()):
             if record.dead and record.remove_at.expired:
--- a/src/jujubeslip/platform/_configurations.py
+++ b/src/jujubeslip/platform/_configurations.py
@@ -68,7 +68,7 @@
         target_ms=target_ms,
         maximum_attempts=_integer(fields.get("maxAttempts", 1)),
         resumable=bool(fields.get("resumable", False)),
-        patience_ms=max(MINIMUM_CLIENT_TIMEOUT_MS, 4 * target_ms, 8 * gap_ms),
+        client_timeout_ms=max(MINIMUM_CLIENT_TIMEOUT_MS, 4 * target_ms, 8 * gap_ms),
         maximum_gap_ms=gap_ms,
         public=bool(fields.get("public", False)),
     )
--- a/src/jujubeslip/platform/_endpoint_answers.py
+++ b/src/jujubeslip/platform/_endpoint_answers.py
@@ -74,6 +74,6 @@
         ),
         orders=report.seq,
         busy=report.busy,
-        reads_prompts=report.stage == PREFILL_STAGE,
+        is_prefill_engine=report.stage == PREFILL_STAGE,
         started_at_ms=report.born or 0,
     )
--- a/src/jujubeslip/routes/_models.py
+++ b/src/jujubeslip/routes/_models.py
@@ -46,7 +46,7 @@
     """Largest number of endpoints that may run one request."""
     resumable: bool = False
     """Whether a stream may resume at another endpoint."""
-    patience_ms: int = 0
+    client_timeout_ms: int = 0
     """How long a client waits for the first or the next event before it leaves."""
     maximum_gap_ms: int = 0
     """Target for the pause between two events of a stream."""
@@ -186,7 +186,7 @@
     """Orders that the engine has accepted since its start."""
     busy: bool = False
     """Whether it is executing one."""
-    reads_prompts: bool = False
+    is_prefill_engine: bool = False
     """Whether it only prefills now, and generates no answers."""
     started_at_ms: int = 0
     """When the reporting start of the engine began, or 0 if unknown."""
--- a/tests/admission/test_capacity_search.py
+++ b/tests/admission/test_capacity_search.py
@@ -21,7 +21,7 @@
 CAPACITY = 34_000
 EVENT_TOKENS, MAXIMUM_EVENTS = 13, 130
 OPTIONS = MemoryOptions(margin=0.05, safety_deviations=1.5)
-PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
+PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), is_prefill_engine=True)
 
 
 def grant_request(request_id: str, prompt_tokens: int = 3_200) -> GrantRequest:
--- a/tests/admission/test_engine_pool.py
+++ b/tests/admission/test_engine_pool.py
@@ -24,7 +24,7 @@
 
 CAPACITY = 100_000
 EVENT_TOKENS, MAXIMUM_EVENTS = 65, 130
-PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
+PREFILL_REPORT = EngineReport(CAPACITY, 0, 0, (), is_prefill_engine=True)
 
 
 def engine_report(*running: RunningAnswer, busy: bool = False) -> EngineReport:
--- a/tests/admission/test_engine_restarts.py
+++ b/tests/admission/test_engine_restarts.py
@@ -163,7 +163,7 @@
         pool.set_engines([stays], [back])
         pool.take_report("stays", engine_report(RunningAnswer(10, 1, "old")))
         pool.take_report(
-            back.start_id, EngineReport(CAPACITY, 0, 0, (), reads_prompts=True)
+            back.start_id, EngineReport(CAPACITY, 0, 0, (), is_prefill_engine=True)
         )
         decision = ask_now(pool, "a")
         assert (endpoint_of(decision), prefill_engine_of(decision)) == (
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -52,7 +52,7 @@
 
     def run(self) -> None:
         is_prefill_engine = self._engine.role == EndpointRole.PREFILL
-        report = EngineReport(100_000, 0, 0, (), reads_prompts=is_prefill_engine)
+        report = EngineReport(100_000, 0, 0, (), is_prefill_engine=is_prefill_engine)
         self._on_report(self._engine, report)
 
 
--- a/tests/admission/test_prefill_queue.py
+++ b/tests/admission/test_prefill_queue.py
@@ -87,4 +87,4 @@
 
 
 def _report() -> _prefill_queue.EngineReport:
-    return _prefill_queue.EngineReport(100_000, 0, 0, (), reads_prompts=True)
+    return _prefill_queue.EngineReport(100_000, 0, 0, (), is_prefill_engine=True)
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -177,7 +177,7 @@
             with pytest.raises(PeerUnavailableError):
                 own_cluster.client.claim_key(make_claim("key"), deadline)
             assert deadline.expired
-            assert not Deadline(deadline.instant + 1.0).expired
+            assert not Deadline(deadline.timestamp + 1.0).expired
 
 
 def current_revision(cluster: ControlCluster) -> int:
--- a/tests/forwarding/test_answer_targets.py
+++ b/tests/forwarding/test_answer_targets.py
@@ -31,7 +31,7 @@
 
 def target_ms(asked: ForwardContext) -> int:
     """Return the time from the arrival of the request until its answer is due."""
-    return round((asked.target_by.instant - ARRIVED) * 1000)
+    return round((asked.target_by.timestamp - ARRIVED) * 1000)
 
 
 class TestClientsWithTheirOwnTimeout:
--- a/tests/forwarding/test_grants.py
+++ b/tests/forwarding/test_grants.py
@@ -119,13 +119,15 @@
         arrived = Deadline.after(-1.2)
         context: Any = SimpleNamespace(
             request=SimpleNamespace(arrived=arrived),
-            route=SimpleNamespace(patience_ms=int(1000 * self.CLIENT_TIMEOUT_SECONDS)),
+            route=SimpleNamespace(
+                client_timeout_ms=int(1000 * self.CLIENT_TIMEOUT_SECONDS)
+            ),
             is_client_retry=is_client_retry,
             end_by=Deadline.after(12),
-            target_by=Deadline(arrived.instant + 0.9),
+            target_by=Deadline(arrived.timestamp + 0.9),
         )
         limit = _wait_limit(context, attempts)
-        return limit.instant - Deadline.after(0).instant
+        return limit.timestamp - Deadline.after(0).timestamp
 
     def test_of_a_first_attempt_ends_before_its_target(self) -> None:
         assert self.limit(Attempts()) < 0
--- a/tests/platform/test_endpoint_answers.py
+++ b/tests/platform/test_endpoint_answers.py
@@ -120,7 +120,7 @@
                 running=(RunningAnswer(1500, 3, "9c41"),),
                 orders=2,
                 busy=False,
-                reads_prompts=False,
+                is_prefill_engine=False,
             )
         )
 
