--- a/src/jujubeslip/kernel/__init__.py
+++ b/src/jujubeslip/kernel/__init__.py
@@ -33,7 +33,7 @@
     load_forward_settings,
     read_toml_as,
 )
-from jujubeslip.kernel._strict import (
+from jujubeslip.kernel._strict_models import (
     MAXIMUM_WHOLE,
     EndpointAddress,
     Id,
