--- a/tests/fakes/_announce.py
+++ b/tests/fakes/_announce.py
@@ -1,4 +1,4 @@
-"""Announcements of an endpoint to the entry hosts, and its life until the stop."""
+"""Announcements of an endpoint to the entry hosts, and its graceful stop."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
         self._lock = threading.Lock()
 
     def start(self) -> None:
-        """Announce from now on, in a thread of its own."""
+        """Start a thread that announces the endpoint."""
         if self._entries:
             threading.Thread(target=self._run, daemon=True).start()
 
     def announce_now(self) -> None:
-        """Announce once, at once; used for a change that must not wait."""
+        """Announce once without delay, for a change that must not wait."""
         with self._lock:
             for _ in self._entries:
                 if self._send(self._entries[self._current]):
@@ -69,7 +69,7 @@
     signals: list[int] = []
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda received, _: signals.append(received))
-    # Looked for: a wait without a bound can miss a signal.
+    # Polled, since a wait without a timeout can miss a signal.
     while not signals:
         time.sleep(IDLE_POLL_SECONDS)
     leave()
@@ -79,5 +79,5 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that grows with each start, in microseconds."""
+    """Return a number that increases with each start: microseconds of the clock."""
     return time.time_ns() // 1000
--- a/tests/fakes/_decode.py
+++ b/tests/fakes/_decode.py
@@ -1,4 +1,4 @@
-"""Decode of the stand-in engine: few slots, imports that wait, one token a step."""
+"""Decode of the stand-in engine: limited slots, queued imports, a token per step."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 from dataclasses import dataclass
 
 from tests.fakes._faults import Faults
-from tests.fakes._records import Call, HeldMemory, RefusalError, RunRecords, Words
+from tests.fakes._records import (
+    AnswerTokens,
+    Call,
+    HeldMemory,
+    RefusalError,
+    RunRecords,
+)
 
 TRANSFER_TIMEOUT_SECONDS = 30.0
 STREAM_POLL_SECONDS = 0.1
@@ -22,7 +28,7 @@
 
 @dataclass(frozen=True)
 class DecodeSpeed:
-    """How many requests fit and what a step costs, in milliseconds."""
+    """The number of slots, and the duration of a step in milliseconds."""
 
     slots: int
     ms_per_token: float
@@ -30,7 +36,7 @@
 
 
 class Slot:
-    """The place of one request in decode memory, or its wait for one."""
+    """A request that holds a slot of decode memory, or waits for one."""
 
     def __init__(self, call: Call, kv_id: str, lock: threading.Lock) -> None:
         self.call = call
@@ -51,7 +57,7 @@
 
     @property
     def running(self) -> bool:
-        """Say whether the next step makes a token for this slot."""
+        """Return whether the next step produces a token for this slot."""
         return self.phase == "decode" and self.position < self.limit
 
 
@@ -67,14 +73,14 @@
 
 @dataclass(frozen=True)
 class StreamItem:
-    """A token with its index, or the end of the answer when `token` is None."""
+    """A token with its index, or the end of the response if `token` is None."""
 
     index: int
     token: str | None = None
 
 
 class DecodePool:
-    """The slots of one engine, and the steps that make tokens for them."""
+    """The slots of one engine, and the steps that produce tokens for them."""
 
     def __init__(self, speed: DecodeSpeed, records: RunRecords, faults: Faults) -> None:
         self._speed = speed
@@ -164,8 +170,8 @@
     ) -> OpenStream:
         """Start or continue the decode of an imported cache from the offset.
 
-        A later attempt of the same request takes the slot over, so that a stream
-        whose connection broke is continued without another transfer.
+        A later attempt of the same request takes over the slot, so that an interrupted
+        stream continues without another transfer.
         """
         with self._lock:
             slots = [
@@ -191,19 +197,19 @@
     def tokens(
         self, stream: OpenStream, alive: Callable[[], bool]
     ) -> Iterator[StreamItem]:
-        """Yield the tokens of an open stream, then its end; free the slot at last.
+        """Yield the tokens of an open stream, then its end item, then free the slot.
 
-        The iterator ends without an end when the slot is cancelled, taken over by a
-        later stream, or its reader is no longer alive.
+        The iterator stops without an end item if the slot is cancelled or taken over by
+        a later stream, or if `alive` returns false.
         """
-        words = Words(stream.slot.prompt)
+        answer = AnswerTokens(stream.slot.prompt)
         index = stream.offset
         while index < stream.limit:
             position = self._wait_for_token(stream, index, alive)
             if position <= index:
                 return
             for made in range(index, position):
-                yield StreamItem(made, words.token(made))
+                yield StreamItem(made, answer.token(made))
             index = position
         yield StreamItem(stream.limit)
         self.release(stream)
@@ -211,7 +217,7 @@
     def _wait_for_token(
         self, stream: OpenStream, index: int, alive: Callable[[], bool]
     ) -> int:
-        """Return the position once it has passed the index, or the index if gone."""
+        """Return the position once it is beyond the index; the index if it closed."""
         slot = stream.slot
         with self._lock:
             while self._is_open(stream) and slot.position <= index and alive():
@@ -248,7 +254,7 @@
                 slot.progressed.notify_all()
 
     def release(self, stream: OpenStream) -> None:
-        """Free the slot unless a later stream has taken it over."""
+        """Free the slot unless a later stream took it over."""
         with self._lock:
             if stream.slot.stream == stream.number:
                 self._remove(stream.slot)
@@ -263,7 +269,7 @@
         self._grant_slots()
 
     def cancel(self, call: Call) -> bool:
-        """Free whatever waits, is imported or decodes for the attempt."""
+        """Free each slot and queued import of the attempt; false if none."""
         with self._lock:
             slots = self._find(lambda slot: slot.call.key == call.key)
             for slot in slots:
@@ -280,7 +286,7 @@
         self._remove(slot)
 
     def held(self) -> list[HeldMemory]:
-        """Return what waits for a slot or holds one."""
+        """Return the requests that wait for a slot or hold one."""
         now = time.monotonic()
         with self._lock:
             return [
@@ -296,7 +302,7 @@
             ]
 
     def load(self) -> dict:
-        """Return the number of waiting imports, of slots in use, and held tokens."""
+        """Return the number of queued imports, of used slots and of held tokens."""
         with self._lock:
             return {
                 "queued": len(self._waiting),
@@ -306,7 +312,7 @@
 
 
 def _abort(connection: http.client.HTTPConnection | None) -> None:
-    """Wake a thread that reads from the connection."""
+    """Shut the connection down, which wakes a thread that reads from it."""
     if connection is None or connection.sock is None:
         return
     try:
--- a/tests/fakes/_faults.py
+++ b/tests/fakes/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test orders from a stand-in: gates, refusals, wrong or late replies."""
+"""Faults that a test sets at a stand-in: gates, refusals, wrong or late replies."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Faults:
-    """The faults in force; a counted fault acts on that many calls, then is over.
+    """The active faults; a counted fault affects that many calls, then ends.
 
-    A gate holds every run that reaches its phase until the phase is resumed, so that
-    a test can act while a request is in a known phase. For decode, `after_tokens`
-    lets that many tokens of each stream pass first.
+    A gate blocks every run that reaches its phase until the phase is resumed, so that
+    a test can act while a request is in a known phase. For decode, the gate lets the
+    first `after_tokens` tokens of each stream pass.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         self._pause_index = 0
 
     def change(self, body: dict) -> None:
-        """Put the faults of an admin call in force."""
+        """Set the faults that an admin call names."""
         with self._changed:
             for name, value in body.items():
                 self._change(name, value)
@@ -62,7 +62,7 @@
             raise ValueError(name)
 
     def take(self, name: str) -> bool:
-        """Say whether the counted fault acts on this call, and count it down."""
+        """Return whether the counted fault affects this call, and decrement it."""
         with self._changed:
             if self._count_by_name[name] <= 0:
                 return False
@@ -70,11 +70,11 @@
             return True
 
     def value(self, name: str) -> float:
-        """Return the value of a fault with a size."""
+        """Return the value of a fault that has one."""
         return self._value_by_name[name]
 
     def wait_at_gate(self, phase: str, wanted: Callable[[], bool]) -> None:
-        """Wait while the phase is paused and the run is still wanted."""
+        """Wait while the phase is paused and `wanted` returns true."""
         with self._changed:
             self._waiting[phase] += 1
             while phase in self._paused and wanted():
@@ -82,11 +82,11 @@
             self._waiting[phase] -= 1
 
     def holds_decode_at(self, index: int) -> bool:
-        """Say whether the gate of decode holds the token at this index."""
+        """Return whether the decode gate blocks the token at this index."""
         return "decode" in self._paused and index >= self._pause_index
 
     def as_json(self) -> dict:
-        """Return the faults in force and how many runs wait at each gate."""
+        """Return the active faults and the number of runs that wait at each gate."""
         with self._changed:
             return {
                 "counts": dict(self._count_by_name),
--- a/tests/fakes/_http.py
+++ b/tests/fakes/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP side that the stand-ins share: JSON calls on a thread per connection."""
+"""The HTTP server of the stand-ins: JSON calls, with a thread per connection."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class StandInServer(ThreadingHTTPServer):
-    """An HTTP server that accepts bursts and ends with its process."""
+    """An HTTP server with a long accept queue, whose threads end with the process."""
 
     daemon_threads = True
     request_queue_size = 512
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Pass over a connection that its other end has broken off."""
+        """Ignore errors of a connection that its peer closed."""
         if not isinstance(sys.exc_info()[1], ConnectionError):
             super().handle_error(request, client_address)
 
@@ -62,11 +62,11 @@
         return None
 
     def read_body(self) -> bytes:
-        """Return the whole body of the call."""
+        """Return the complete body of the call."""
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
     def read_json(self) -> dict:
-        """Return the body as an object, or refuse the call with 400."""
+        """Return the JSON object in the body; refuse any other body with 400."""
         try:
             body = json.loads(self.read_body() or b"{}")
         except ValueError as error:
@@ -78,7 +78,7 @@
     def reply(
         self, status: int, body: dict, headers: dict[str, str] | None = None
     ) -> None:
-        """Answer with a JSON body."""
+        """Send a response with a JSON body."""
         content = json.dumps(body).encode()
         self.reply_bytes(status, content, "application/json", headers)
 
@@ -89,7 +89,7 @@
         content_type: str,
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Answer with a body in one write."""
+        """Send a response, headers and body in one write."""
         self.send_response(status)
         self.send_header("Content-Type", content_type)
         self.send_header("Content-Length", str(len(content)))
@@ -100,7 +100,7 @@
         self.flush_headers()
 
     def start_stream(self, content_type: str, length: int | None = None) -> None:
-        """Send the head of an answer that is written in pieces."""
+        """Send the headers of a response whose body is written in pieces."""
         self.send_response(200)
         self.send_header("Content-Type", content_type)
         if length is None:
@@ -115,7 +115,7 @@
         self.wfile.write(json.dumps(item).encode() + b"\n")
 
     def peer_is_open(self) -> bool:
-        """Say whether the caller still has its side of the connection open."""
+        """Return whether the caller has not closed the connection."""
         if not is_readable(self.connection, 0):
             return True
         try:
@@ -124,11 +124,11 @@
             return False
 
     def log_message(self, format: str, *args: object) -> None:
-        """Log nothing for each call."""
+        """Suppress the log line of each call."""
 
 
 def apply_reply_faults(faults: Faults, echo: dict) -> dict:
-    """Delay a reply, or give it another request's id, when a test ordered that."""
+    """Delay a reply, or replace its request id, if a test set such a fault."""
     if faults.take("late_replies"):
         time.sleep(faults.value("late_reply_ms") / 1000)
     if faults.take("crossed_replies"):
--- a/tests/fakes/_orders.py
+++ b/tests/fakes/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine: load a model, change the role, drain."""
+"""Orders to the stand-in engine: load a model, change the role or drain."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order as it arrived."""
+    """An order as it was received."""
 
     order_id: str
     fence: int
@@ -23,7 +23,7 @@
 
     @classmethod
     def from_body(cls, body: dict) -> Order:
-        """Read an order from a JSON body; refuse it with 400 when it is wrong."""
+        """Parse an order from a JSON body; refuse an invalid one with 400."""
         try:
             order = cls(
                 str(body["order_id"]),
@@ -39,8 +39,8 @@
         return order
 
 
-class OrderBook:
-    """Carries each order out once; `check_fence` refuses old fencing numbers."""
+class OrderRegistry:
+    """Runs each order once; `check_fence` refuses lower fencing numbers."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._accepted: list[Order] = []
 
     def accept(self, order: Order) -> str:
-        """Take an order and return its state; a repeated one is not run again."""
+        """Accept an order and return its state; a repeated one is not run again."""
         with self._lock:
             if order.order_id in self._state_by_id:
                 return self._state_by_id[order.order_id]
@@ -70,7 +70,7 @@
         return "running"
 
     def _run(self, order: Order) -> None:
-        """Carry the order out; a change of the engine waits until it is drained."""
+        """Run the order; a change of model or role waits until the engine is idle."""
         if order.kind != "drain":
             pause = threading.Event()
             while not self._idle():
--- a/tests/fakes/_prefill.py
+++ b/tests/fakes/_prefill.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class PrefillSpeed:
-    """What prefill costs and how much an engine keeps; `link_bytes_per_second`."""
+    """The speed of prefill and of the export link, and the limits of memory."""
 
     tokens_per_second: float
     kv_bytes_per_token: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A cache event and the instant from which it is published."""
+    """A cache event and the time at which it is published."""
 
     number: int
     kind: str
@@ -66,7 +66,7 @@
 
 
 class EventLog:
-    """Cache events, published late and with numbers missing."""
+    """Cache events, published with a delay and with some numbers lost."""
 
     def __init__(self, lag_ms: float, loss: float, seed: int) -> None:
         self._lag = lag_ms / 1000
@@ -76,7 +76,7 @@
         self._events: deque[CacheEvent] = deque(maxlen=MAXIMUM_EVENTS)
 
     def add(self, kind: str, prefix_hash: str, tokens: int) -> None:
-        """Add an event, or lose it with its number."""
+        """Add an event, or drop it at random; its number is used in both cases."""
         self._number += 1
         if self._random.random() < self._loss:
             return
@@ -102,7 +102,7 @@
 
 
 class PrefixCache:
-    """Blocks of prompts by the hash of the prefix that they end, least used first."""
+    """Blocks of prompts by the hash of the prefix they complete, in LRU order."""
 
     def __init__(self, limit_tokens: int, events: EventLog) -> None:
         self._limit_blocks = limit_tokens // BLOCK_TOKENS
@@ -119,7 +119,7 @@
         return cached
 
     def store(self, prompt: str) -> None:
-        """Keep the prompt's blocks; of one prompt the last block is evicted first."""
+        """Store the prompt's blocks; the last block of a prompt is evicted first."""
         for number, prefix_hash in reversed(list(block_hashes(prompt))):
             if prefix_hash not in self._number_by_hash:
                 self._publish("stored", number, prefix_hash)
@@ -135,7 +135,7 @@
 
 
 class Link:
-    """The rate that all concurrent exports of one engine share."""
+    """The bandwidth that all concurrent exports of one engine share."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self._rate = bytes_per_second
@@ -144,7 +144,7 @@
         self.chunk_bytes = max(1, int(bytes_per_second / CHUNKS_PER_SECOND))
 
     def send(self, size: int) -> None:
-        """Wait for this many bytes' turn on the link."""
+        """Wait as long as the link needs to send this many bytes after earlier ones."""
         with self._lock:
             now = time.monotonic()
             self._free_at = max(now, self._free_at) + size / self._rate
@@ -168,7 +168,7 @@
 
 
 class PrefillServer:
-    """Computes prefills one after another, by priority, then arrival."""
+    """Computes prefills one after another, by priority, then by arrival."""
 
     def __init__(
         self,
@@ -191,7 +191,7 @@
         threading.Thread(target=self._serve, daemon=True).start()
 
     def prefill(self, call: Call, prompt: str) -> HeldCache:
-        """Compute one prefill and return its held result, or refuse."""
+        """Compute one prefill and return its held result; raise a refusal otherwise."""
         job = PrefillJob(call, prompt, self._records.start("prefill", call))
         with self._changed:
             self._jobs[call.key] = job
@@ -260,7 +260,7 @@
     def _evict(self) -> None:
         """Evict exported results first, then the least recently used.
 
-        A result whose export is under way stays, and so does the newest one.
+        The newest result, and results that are being exported, are not evicted.
         """
         while self._held_tokens() > self._speed.held_tokens_limit:
             *older, _ = self._held_by_kv_id.values()
@@ -319,7 +319,7 @@
                 self._held_by_kv_id[held.kv_id] = replace(held, exported=True)
 
     def cancel(self, call: Call) -> bool:
-        """Free whatever is queued, computed or held for the attempt."""
+        """Free all memory and queued work of the attempt; false if there is none."""
         with self._changed:
             job = self._jobs.pop(call.key, None)
             if job is not None:
@@ -343,7 +343,7 @@
             job.finished.set()
 
     def held(self) -> list[HeldMemory]:
-        """Return what is queued, computed or waits for its export."""
+        """Return the prefills that are queued, computed or wait for an export."""
         now = time.monotonic()
         with self._changed:
             jobs = [
@@ -360,7 +360,7 @@
         return jobs + results
 
     def load(self) -> dict:
-        """Return the queue's length and the held tokens."""
+        """Return the numbers of queued and running prefills and of held tokens."""
         with self._changed:
             return {
                 "queued": len(self._queue),
--- a/tests/fakes/_records.py
+++ b/tests/fakes/_records.py
@@ -1,4 +1,4 @@
-"""Tokens of the stand-ins, and the record of what ran."""
+"""Tokens of the stand-in engines, and the record of their runs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RefusalError(Exception):
-    """A call that the stand-in refuses: an HTTP status and a reason."""
+    """The refusal of a call: an HTTP status and a reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """What every call for a request carries."""
+    """The fields that every call for a request carries."""
 
     request_id: str
     attempt: int
@@ -33,7 +33,7 @@
 
     @classmethod
     def from_body(cls, body: dict) -> Call:
-        """Read the call from a JSON body; refuse it with 400 when it is wrong."""
+        """Parse the call from a JSON body; refuse an invalid one with 400."""
         try:
             return cls(
                 str(body["request_id"]),
@@ -46,11 +46,11 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return what identifies the attempt."""
+        """Return the key that identifies the attempt."""
         return (self.request_id, self.attempt)
 
     def echo(self) -> dict:
-        """Return the part that every answer repeats."""
+        """Return the fields that every response repeats."""
         return {"request_id": self.request_id, "attempt": self.attempt}
 
 
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True)
 class Run:
-    """One run of one attempt; `computed_tokens` only counts in prefill runs.
+    """One run of one attempt; only prefill runs compute `computed_tokens`.
 
-    `first_index` and `last_index` bound the tokens that were written to the caller,
-    both -1 when there were none. `computed_tokens` of a decode run is what the
-    prefill that it decodes had cost.
+    `first_index` and `last_index` are those of the first and last token that were
+    written to the caller, or -1 without any. `computed_tokens` of a decode run is the
+    number of tokens that its prefill computed.
     """
 
     kind: str
@@ -88,7 +88,7 @@
 
 
 class RunRecords:
-    """The runs of one engine, bounded, for a test's independent check."""
+    """The runs of one engine, limited in number, which tests check independently."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -105,7 +105,7 @@
             return self._number
 
     def finish(self, number: int, outcome: str, **changes: object) -> None:
-        """Record the end of a run; a second call changes nothing."""
+        """Record the end of a run; a second call has no effect."""
         with self._lock:
             run = self._run_by_number.pop(number, None)
             if run is not None:
@@ -113,7 +113,7 @@
                 self._finished.append(replace(ended, **changes))  # type: ignore[arg-type]
 
     def as_json(self) -> dict:
-        """Return the runs and the totals in the shape of `/v1/records`."""
+        """Return the runs and the totals in the format of `/v1/records`."""
         with self._lock:
             runs = [*self._finished, *self._run_by_number.values()]
         prefills = [run for run in runs if run.kind == "prefill"]
@@ -129,8 +129,8 @@
         return {"runs": [asdict(run) for run in runs], "totals": totals}
 
 
-class Words:
-    """The answer to one prompt: token `i` depends on the prompt and `i` only."""
+class AnswerTokens:
+    """The response to one prompt: token `i` depends only on the prompt and `i`."""
 
     def __init__(self, prompt: str) -> None:
         self._hasher = hashlib.sha256(f"{prompt}|".encode())
@@ -143,13 +143,13 @@
 
 
 def answer_text(prompt: str, tokens: int) -> str:
-    """Return the whole answer that an engine gives to the prompt."""
-    words = Words(prompt)
-    return "".join(words.token(index) for index in range(tokens))
+    """Return the complete response of an engine to the prompt."""
+    answer = AnswerTokens(prompt)
+    return "".join(answer.token(index) for index in range(tokens))
 
 
 def block_hashes(prompt: str) -> Iterator[tuple[int, str]]:
-    """Yield for each whole block its number from 1 and the hash of the prefix."""
+    """Yield the number, from 1, and the prefix hash of each complete block."""
     tokens = prompt.split()
     hasher = hashlib.sha256()
     for number in range(1, len(tokens) // BLOCK_TOKENS + 1):
@@ -160,5 +160,5 @@
 
 
 def now_ms() -> int:
-    """Return the wall clock in milliseconds, to compare records of one machine."""
+    """Return the wall clock in milliseconds, comparable on one machine."""
     return time.time_ns() // 1_000_000
--- a/tests/fakes/_sockets.py
+++ b/tests/fakes/_sockets.py
@@ -1,4 +1,4 @@
-"""What the stand-ins ask of sockets."""
+"""Socket helpers of the stand-ins."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def is_readable(source: socket.socket, timeout: float) -> bool:
-    """Wait for bytes, an end or an error for so many seconds; say whether one came.
+    """Wait up to `timeout` seconds; return whether bytes, an end or an error came.
 
-    By poll, as select takes no descriptor beyond 1,023, of which large runs have more.
+    Uses poll, since large runs have descriptors above 1,023, which select rejects.
     """
     poll = select.poll()
     poll.register(source, select.POLLIN)
--- a/tests/fakes/broken_fields.py
+++ b/tests/fakes/broken_fields.py
@@ -1,4 +1,4 @@
-"""Ways in which another program's messages can be wrong, field by field."""
+"""Invalid values for the fields of messages that other programs send."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Missing(Enum):
-    """Stands for a field that is left out."""
+    """The marker of a field that is left out."""
 
     MISSING = "missing"
 
 
 MISSING = Missing.MISSING
-# JSON can name half of a character; no UTF-8 text holds it, and no host can tell it.
-HALF_CHARACTER = b'{"service": "\\ud800"}'
+# JSON can escape a lone surrogate, which cannot be encoded as UTF-8 or sent to a host.
+LONE_SURROGATE = b'{"service": "\\ud800"}'
 
 NO_NUMBER: tuple[Any, ...] = (
     "1",
@@ -68,7 +68,7 @@
     "10.0.0.1:80\n",
     "host.example:80",
 )
-# Bodies that hold no fields at all.
+# Bodies that are no JSON object with valid text.
 UNREADABLE: tuple[bytes, ...] = (
     b"",
     b"\xff\xfe\x00",
@@ -82,19 +82,19 @@
     b"[" * 10_000,
     b'{"a":' * 10_000,
     b"\x00" * 1000,
-    HALF_CHARACTER,
+    LONE_SURROGATE,
 )
 
 
 @dataclass(frozen=True)
 class Break:
-    """One field that is wrong in one way."""
+    """One field with one invalid value."""
 
     path: tuple[str | int, ...]
     value: Any
 
     def __str__(self) -> str:
-        """Return a short name for a test's id."""
+        """Return a short name for the id of a test."""
         return f"{'.'.join(map(str, self.path))}={ascii(self.value)[:24]}"
 
     @property
@@ -103,7 +103,7 @@
         return str(self.path[0])
 
     def apply(self, message: dict[str, Any]) -> bytes:
-        """Return the message with this field wrong."""
+        """Return the encoded message with this field replaced or left out."""
         broken = copy.deepcopy(message)
         holder: Any = broken
         for key in self.path[:-1]:
@@ -119,7 +119,7 @@
     values_by_path: dict[tuple[str | int, ...], tuple[Any, ...]],
     optional: frozenset[str] = frozenset(),
 ) -> list[Break]:
-    """Return each field in each way; none that is optional is left out."""
+    """Return each field with each value, and each required field left out."""
     found = [
         Break(path, value)
         for path, values in values_by_path.items()
@@ -134,12 +134,12 @@
 
 
 def received(message: Any) -> Any:
-    """Return a message between hosts as the other one reads it from a connection."""
+    """Return a peer message as the receiving host decodes it."""
     protocol = TBinaryProtocolAcceleratedFactory()
     return deserialize(type(message)(), serialize(message, protocol), protocol)
 
 
-# Values of fields that no version of the platform's pages names yet.
+# Values for fields that the platform's interface does not define yet.
 json_values = st.recursive(
     st.none()
     | st.booleans()
--- a/tests/fakes/client.py
+++ b/tests/fakes/client.py
@@ -1,4 +1,4 @@
-"""A client of the HTTP interface, for tests, the demo and nothing else."""
+"""A client of the HTTP interface, for tests and the demo only."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event of an answer's stream."""
+    """One event of a response stream."""
 
     name: str
     fields: dict[str, Any]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ClientAnswer:
-    """An answer as a client sees it; `whole` only with its end event."""
+    """A response as a client receives it; `whole` only with its end event."""
 
     status: int
     headers: dict[str, str]
@@ -36,12 +36,12 @@
 
     @property
     def ran(self) -> str:
-        """Return what a refusal says about the run, or an empty string."""
+        """Return the `ran` field of a refusal, or an empty string."""
         return str(self.error.get("ran", ""))
 
 
 class OpenCall:
-    """A call whose answer is read step by step; `close` is a client that goes."""
+    """A call whose response is read step by step; `close` disconnects the client."""
 
     def __init__(
         self,
@@ -64,19 +64,19 @@
         )
 
     def events(self) -> Iterator[StreamEvent]:
-        """Yield the stream's events as they come."""
+        """Yield the stream's events as they arrive."""
         response = self._connection.getresponse()
         yield from read_events(response)
 
     def answer(self) -> ClientAnswer:
-        """Read the answer to its end."""
+        """Read the response to its end."""
         try:
             return _read_answer(self._connection.getresponse())
         finally:
             self.close()
 
     def close(self) -> None:
-        """Close the connection, whatever has been read."""
+        """Close the connection, also in the middle of the response."""
         self._connection.close()
 
 
@@ -87,7 +87,7 @@
     headers: Mapping[str, str] | None = None,
     key: str = CLIENT_KEY,
 ) -> ClientAnswer:
-    """Send a request and read its whole answer."""
+    """Send a request and read the complete response."""
     return OpenCall(address, service, message, headers, key).answer()
 
 
@@ -112,7 +112,7 @@
     try:
         for event in read_events(response):
             if event.name == "token":
-                assert event.fields["index"] == len(tokens), "a token is out of order"
+                assert event.fields["index"] == len(tokens), "token index out of order"
                 tokens.append(event.fields["token"])
             elif event.name == "end":
                 end = event.fields
--- a/tests/fakes/clock.py
+++ b/tests/fakes/clock.py
@@ -1,14 +1,14 @@
-"""A steady clock that tests move."""
+"""A steady clock that tests set."""
 
 from __future__ import annotations
 
 
 class Clock:
-    """Stands still unless it is moved."""
+    """A steady clock that only changes when a test sets `now`."""
 
     def __init__(self) -> None:
         self.now = 1000.0
 
     def steady_seconds(self) -> float:
-        """Return the instant that the tests have set."""
+        """Return the time that the test has set."""
         return self.now
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -1,4 +1,4 @@
-"""A small system for tests: control and entry processes, engines, plain services."""
+"""A small system for tests: control hosts, entry hosts, engines, plain services."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """One stand-in engine; `options` are its command line, such as `slots`."""
+    """One stand-in engine; `options` are command-line options, such as `slots`."""
 
     endpoint_id: str
     service: str
@@ -67,13 +67,13 @@
 
 @dataclass(frozen=True)
 class ClusterSpec:
-    """What to start; host `entry-1` is in the first of `entry_zones`, and so on.
+    """The processes to start; host `entry-1` is in the first of `entry_zones`, etc.
 
-    `hops` puts a fault proxy on the way from one process to another: ("entry-1",
-    "control-2"), ("control-1", "control-2"), ("entry-1", "entry-2") for the address
-    in the settings, ("*", "entry-1") for all that other processes of the system call
-    it by, ("client", "entry-1"), or ("*", "engine-1") in front of an
-    endpoint, whose announced address is then the proxy's.
+    `hops` puts a fault proxy between one process and another: ("entry-1",
+    "control-2"), ("control-1", "control-2") or ("entry-1", "entry-2") for the address
+    in the settings, ("*", "entry-1") for the address by which all other processes of
+    the system call the host, ("client", "entry-1"), or ("*", "engine-1") in front of an
+    endpoint, which then announces the address of the proxy.
     """
 
     declaration: str
@@ -88,7 +88,7 @@
 
 
 class Cluster:
-    """Starts the processes of a ClusterSpec, and ends them and no others."""
+    """Starts and ends the processes of a ClusterSpec."""
 
     def __init__(self, spec: ClusterSpec, folder: Path) -> None:
         self.spec = spec
@@ -114,7 +114,7 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything, apply the declaration, wait until all hosts are ready."""
+        """Start all processes, apply the declaration and wait for all hosts."""
         for host_id in self.control_ids:
             self.start_control(host_id)
         for host_id in self.entry_ids:
@@ -131,7 +131,7 @@
             self.wait_endpoints_usable()
 
     def stop(self) -> None:
-        """End what this cluster started."""
+        """End the processes and proxies of this cluster."""
         processes = list(self.process_by_name.values())
         for process in processes:
             process.terminate()
@@ -142,7 +142,7 @@
             proxy.stop()
 
     def start_control(self, host_id: str) -> ManagedProcess:
-        """Start a control host, also after it was ended."""
+        """Start or restart a control host."""
         zone = self.spec.control_zones[self.control_ids.index(host_id)]
         data_folder = self.folder / host_id
         data_folder.mkdir(exist_ok=True)
@@ -159,7 +159,7 @@
         return self._start_host("control", host_id, settings, peers)
 
     def start_entry(self, host_id: str) -> ManagedProcess:
-        """Start an entry host, also after it was ended."""
+        """Start or restart an entry host."""
         settings = {
             "host_id": host_id,
             "availability_zone": self.spec.entry_zones[self.entry_ids.index(host_id)],
@@ -180,7 +180,7 @@
         return self._start_host("entry", host_id, settings, peers)
 
     def start_endpoint(self, spec: EngineSpec | PlainSpec) -> ManagedProcess:
-        """Start an engine or a plain service, also after it was ended."""
+        """Start or restart an engine or a plain service."""
         name = spec.endpoint_id
         address = self.endpoint_address_by_id.setdefault(name, free_address())
         options: dict[str, Setting] = {
@@ -215,7 +215,7 @@
             raise TimeoutError(f"{error}; its log: {process.output()}") from error
 
     def wait_endpoints_usable(self) -> None:
-        """Wait until the entry hosts know each other and all endpoints' homes do."""
+        """Wait until the entry hosts know each other and homes know their endpoints."""
         wait_until(
             lambda: (
                 all(map(self._knows_all_hosts, self.entry_ids))
@@ -226,7 +226,7 @@
         )
 
     def entry_status(self, host_id: str) -> EntryStatus:
-        """Return an entry host's account of itself."""
+        """Return the status that an entry host reports."""
         identity = PeerIdentity("test", 1, PEER_SECRET)
         address = self.peer_address_by_id[host_id]
         client = PeerClient(EntryPeer.Client, address, identity)
@@ -236,7 +236,7 @@
             client.close()
 
     def home_id(self, endpoint: EngineSpec | PlainSpec) -> str:
-        """Return the entry host that is the home of an endpoint while all live."""
+        """Return the home of an endpoint while all entry hosts are alive."""
         declaration = parse_declaration(self.spec.declaration).unwrap()
         pooling = declaration.service_by_name[endpoint.service].pooling
         if pooling is Spread.REGION:
@@ -268,7 +268,7 @@
         return usable >= wanted
 
     def apply(self, declaration: str, operator: str = "test") -> int:
-        """Apply a declaration through whichever control host leads; its revision."""
+        """Apply a declaration through the leading control host; return its revision."""
         change_id = uuid.uuid4().hex
 
         def attempt() -> int:
@@ -303,13 +303,13 @@
         return PeerClient(ControlPeer.Client, address, identity)
 
     def client_address(self, host_id: str) -> str:
-        """Return where clients reach an entry host."""
+        """Return the address at which clients reach an entry host."""
         return self._address_for("client", host_id, self.http_address_by_id[host_id])
 
     def endpoint_call(
         self, endpoint_id: str, method: str, path: str, body: dict | None = None
     ) -> dict:
-        """Call an endpoint directly, without its proxy; raise unless it answers 200."""
+        """Call an endpoint without its proxy; raise unless the status is 200."""
         address = self.endpoint_address_by_id[endpoint_id]
         status, answer = call_json(address, method, path, body)
         if status != 200:
@@ -317,11 +317,11 @@
         return answer
 
     def order_faults(self, endpoint_id: str, **faults: Setting) -> None:
-        """Put faults in force at a stand-in."""
+        """Set faults at a stand-in."""
         self.endpoint_call(endpoint_id, "POST", "/v1/admin/faults", dict(faults))
 
     def wait_at_gate(self, endpoint_id: str, phase: str, count: int = 1) -> None:
-        """Wait until as many runs wait at the gate of a phase."""
+        """Wait until `count` runs wait at the gate of a phase."""
         wait_until(
             lambda: (
                 self.endpoint_call(endpoint_id, "GET", "/v1/admin/faults")[
@@ -368,7 +368,7 @@
         return "*" if ("*", target) in self.spec.hops else source
 
     def _address_for(self, source: str, target: str, address: str) -> str:
-        """Return the target's address, or that of the proxy on the hop to it."""
+        """Return the target's address, or the address of the proxy on the hop."""
         hop = (source, target)
         if hop not in self.spec.hops:
             return address
@@ -377,7 +377,7 @@
         return self.proxy_by_hop[hop].address
 
     def _entries_of_zone(self, zone: str) -> list[str]:
-        """Return the entry hosts to announce to, those of the zone first."""
+        """Return the entry hosts to announce to, starting with those of the zone."""
         pairs = zip(self.entry_ids, self.spec.entry_zones, strict=True)
         ordered = sorted(pairs, key=lambda pair: pair[1] != zone)
         return [self.http_address_by_id[host] for host, _ in ordered]
@@ -401,7 +401,7 @@
 
 
 def hash_of_key(key: str = CLIENT_KEY) -> str:
-    """Return the hash under which a declaration keeps a client's key."""
+    """Return the hash of a client's key, as a declaration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
--- a/tests/fakes/collector.py
+++ b/tests/fakes/collector.py
@@ -1,4 +1,4 @@
-"""A stand-in for an OTLP/HTTP collector that keeps the spans and metrics it gets."""
+"""A stand-in for an OTLP/HTTP collector that stores the spans and metrics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class SeenSpan:
-    """A span as it arrived; identifiers in hexadecimal, times in nanoseconds."""
+    """A received span; identifiers in hexadecimal, times in nanoseconds."""
 
     name: str
     service: str
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True)
-class SeenMetric:
-    """One data point of a metric; a histogram gives its count and its sum."""
+class ReceivedMetric:
+    """One data point of a metric; a histogram has its count, and its sum as value."""
 
     name: str
     service: str
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._changed = threading.Condition()
         self._spans: list[SeenSpan] = []
-        self._metrics: list[SeenMetric] = []
+        self._metrics: list[ReceivedMetric] = []
         handler = type("BoundHandler", (_CollectorHandler,), {"collector": self})
         self._server = listen("127.0.0.1:0", handler)
         host, port = self._server.server_address[:2]
@@ -62,11 +62,11 @@
             return tuple(span for span in self._spans if span.name == name)
 
     def span_names(self) -> set[str]:
-        """Return the names of all spans seen."""
+        """Return the names of all spans received."""
         with self._changed:
             return {span.name for span in self._spans}
 
-    def metrics(self, name: str) -> tuple[SeenMetric, ...]:
+    def metrics(self, name: str) -> tuple[ReceivedMetric, ...]:
         """Return the data points of a metric, in order of arrival."""
         with self._changed:
             return tuple(metric for metric in self._metrics if metric.name == name)
@@ -74,7 +74,7 @@
     def wait_for_spans(
         self, name: str, count: int = 1, timeout: float = 20.0
     ) -> tuple[SeenSpan, ...]:
-        """Return the spans of a name once there are as many, else raise."""
+        """Wait for `count` spans of a name and return them; raise on a timeout."""
         end = time.monotonic() + timeout
         with self._changed:
             while sum(span.name == name for span in self._spans) < count:
@@ -84,7 +84,7 @@
         return self.spans(name)
 
     def add_traces(self, content: bytes) -> None:
-        """Keep the spans of one export."""
+        """Store the spans of one export."""
         message = trace_service_pb2.ExportTraceServiceRequest.FromString(content)
         found = [
             _read_span(span, _service_name(resource.resource))
@@ -97,7 +97,7 @@
             self._changed.notify_all()
 
     def add_metrics(self, content: bytes) -> None:
-        """Keep the data points of one export."""
+        """Store the data points of one export."""
         message = metrics_service_pb2.ExportMetricsServiceRequest.FromString(content)
         found = [
             _read_point(metric.name, _service_name(resource.resource), point)
@@ -148,13 +148,13 @@
     return list(getattr(metric, kind).data_points) if kind else []
 
 
-def _read_point(name: str, service: str, point) -> SeenMetric:  # type: ignore[no-untyped-def]
+def _read_point(name: str, service: str, point) -> ReceivedMetric:  # type: ignore[no-untyped-def]
     if hasattr(point, "bucket_counts"):
         value, count = point.sum, point.count
     else:
         kind = point.WhichOneof("value")
         value, count = (float(getattr(point, kind)) if kind else 0.0), 1
-    return SeenMetric(name, service, value, count, _attributes(point.attributes))
+    return ReceivedMetric(name, service, value, count, _attributes(point.attributes))
 
 
 def _attributes(pairs) -> dict[str, object]:  # type: ignore[no-untyped-def]
--- a/tests/fakes/endpoint_holds.py
+++ b/tests/fakes/endpoint_holds.py
@@ -1,4 +1,4 @@
-"""Endpoints that say something of themselves, and what hosts send them after that."""
+"""Loads and checks for endpoints that ask for backoff or report that they leave."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from tests.fakes.processes import wait_until
 
 ENTRIES = 4
-# What a host may still send an endpoint that has asked it for backoff: no more than so
-# many requests, those of the first moments not counted.
+# How many requests a host may send to an endpoint within a backoff that the endpoint
+# asked it for; those of the first SLACK_SECONDS are not counted.
 SLACK_SECONDS = 0.5
 MOST_IN_A_BACKOFF = 2
-# From when on an endpoint that has said that it leaves must get nothing, in seconds.
+# How long after it reported to leave an endpoint may still get requests, in seconds.
 DRAIN_SECONDS = 2.0
-# What is known not to be served is refused within this time, in seconds.
+# A request that is known to be unservable is refused within this time, in seconds.
 AT_ONCE_SECONDS = 0.4
 PAUSE_SECONDS = 0.05
 
 
 @contextmanager
 def with_leader(system: PlatformSystem) -> Iterator[None]:
-    """Leave all as it is."""
+    """Change nothing."""
     yield
 
 
 @contextmanager
 def without_leader(system: PlatformSystem) -> Iterator[None]:
-    """Leave the entry hosts one control host, which can't lead by itself."""
+    """Suspend all control hosts but one, which cannot lead without a quorum."""
     for host in system.controls[1:]:
         host.signal(signal.SIGSTOP)
     try:
@@ -48,7 +48,7 @@
 
 @contextmanager
 def cut_off(system: PlatformSystem) -> Iterator[None]:
-    """Leave the entry hosts one control host, by a cut of the network."""
+    """Partition all control hosts but one from the entry hosts."""
     for proxy in system.proxies[1:]:
         proxy.cut()
     try:
@@ -64,25 +64,25 @@
 
 
 @dataclass(frozen=True)
-class Timed:
-    """An answer, and how long it took."""
+class TimedReply:
+    """A response and its latency."""
 
     reply: Reply
     seconds: float
 
     @property
     def error(self) -> str:
-        """Return why it was refused, nothing where it was served."""
+        """Return the error of a refusal, empty for a request that was served."""
         return "" if self.reply.status == 200 else json.loads(self.reply.body)["error"]
 
 
-def ask(system: PlatformSystem, target: str, entry: int = 0) -> Timed:
-    """Send a request that tells endpoints which entry host sends it on."""
+def ask(system: PlatformSystem, target: str, entry: int = 0) -> TimedReply:
+    """Send a request whose `X-Entry` header names the entry host to endpoints."""
     shape = PROMPT if target.startswith(("/stream/", "/resumed/")) else {}
     headers = {"X-Entry": str(entry), **shape}
     began = time.monotonic()
     reply = system.ask(target, "POST", b"p", headers, entry, deadline_ms=4000)
-    return Timed(reply, time.monotonic() - began)
+    return TimedReply(reply, time.monotonic() - began)
 
 
 def offer(
@@ -91,8 +91,8 @@
     seconds: float,
     entries: Sequence[int] = range(ENTRIES),
     clients: int = 1,
-) -> list[Timed]:
-    """Send requests to entry hosts, some clients at each; return the answers."""
+) -> list[TimedReply]:
+    """Send requests with some clients to each entry host; return the responses."""
     return steady_load.offer(
         lambda entry: ask(system, target, entry),
         seconds,
@@ -103,7 +103,7 @@
 
 def offer_in(
     situation: Situation, system: PlatformSystem, target: str, seconds: float
-) -> list[Timed]:
+) -> list[TimedReply]:
     """Send requests to all entry hosts, or without a leader to the first one."""
     with situation(system):
         if situation is with_leader:
@@ -112,10 +112,10 @@
 
 
 def by_sender(worker: PlatformWorker) -> dict[str, list[Arrival]]:
-    """Return what came from each host; reservations, which don't tell, from the first.
+    """Return the arrivals by entry host; reservations count for the first host.
 
-    Hosts ask for reservations without a leader alone, where only the first is offered
-    requests that need any.
+    Reservations do not name their host. Hosts make them only without a leader, when the
+    tests send requests that need any to the first host alone.
     """
     found = defaultdict(list)
     for arrival in list(worker.arrivals):
@@ -124,28 +124,28 @@
 
 
 def most_in_a_backoff(worker: PlatformWorker) -> int:
-    """Return how many requests of one host came at most within one backoff."""
-    most = 0
+    """Return the maximum number of requests of one host within one backoff."""
+    maximum = 0
     for arrivals in by_sender(worker).values():
-        for told in arrivals:
-            if not told.backoff:
+        for notice in arrivals:
+            if not notice.backoff:
                 continue
-            since, until = told.at + SLACK_SECONDS, told.at + float(told.backoff)
-            most = max(most, sum(since < item.at < until for item in arrivals))
-    return most
+            since, until = notice.at + SLACK_SECONDS, notice.at + float(notice.backoff)
+            maximum = max(maximum, sum(since < item.at < until for item in arrivals))
+    return maximum
 
 
 def late_after_leaving(worker: PlatformWorker) -> int:
-    """Return how many requests came too late after the worker had said it leaves."""
+    """Return how many requests came too long after the worker reported to leave."""
     late = 0
     for arrivals in by_sender(worker).values():
-        told = [item.at for item in arrivals if item.reported_leaving]
-        if told:
-            late += sum(item.at > told[0] + DRAIN_SECONDS for item in arrivals)
+        notice = [item.at for item in arrivals if item.reported_leaving]
+        if notice:
+            late += sum(item.at > notice[0] + DRAIN_SECONDS for item in arrivals)
     return late
 
 
-def served_share(replies: Sequence[Timed]) -> float:
+def served_share(replies: Sequence[TimedReply]) -> float:
     """Return the share of requests that were answered with 200."""
     return sum(item.reply.status == 200 for item in replies) / len(replies)
 
@@ -153,7 +153,7 @@
 def wait_used_again(
     system: PlatformSystem, worker: PlatformWorker, target: str
 ) -> None:
-    """Wait until a worker that asks for no more backoff is used by all entry hosts."""
+    """End the worker's backoff; wait until requests at all entry hosts are served."""
     worker.backoff = ""
     for entry in range(ENTRIES):
         wait_until(
@@ -166,7 +166,7 @@
 def restarted(
     system: PlatformSystem, worker: PlatformWorker
 ) -> Iterator[PlatformWorker]:
-    """Give the next start of a worker, which leaves at the end."""
+    """Restart a worker and yield its next start, which leaves at the end."""
     later = system.restart(worker)
     try:
         yield later
@@ -178,19 +178,19 @@
 
 
 def ask_for_backoff(worker: PlatformWorker) -> None:
-    """Let the worker refuse all requests and ask for some seconds of backoff."""
+    """Make the worker refuse all requests and ask for three seconds of backoff."""
     worker.backoff = "3"
 
 
 def say_leaving(worker: PlatformWorker) -> None:
-    """Let the worker say in answers that it leaves, and go on."""
+    """Make the worker report in responses that it leaves, while it keeps serving."""
     worker.leaves = True
 
 
 def is_spared(worker: PlatformWorker) -> bool:
-    """Say whether hosts sent the worker no more than it had asked for."""
-    told = any(
+    """Return whether hosts obeyed the worker's notices, of which there was one."""
+    notice = any(
         arrival.backoff or arrival.reported_leaving for arrival in worker.arrivals
     )
     few = most_in_a_backoff(worker) <= MOST_IN_A_BACKOFF
-    return told and few and late_after_leaving(worker) == 0
+    return notice and few and late_after_leaving(worker) == 0
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,7 +1,7 @@
-"""A stand-in for a prefill or decode engine, as a process of its own.
+"""A stand-in for a prefill or decode engine, run as a separate process.
 
 It serves docs/reference/engine-interface.md. `POST` and `GET /v1/admin/faults`
-are for tests only; `_faults.py` lists what can be ordered.
+are for tests only; `_faults.py` lists the faults.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from tests.fakes._decode import DecodePool, DecodeSpeed, OpenStream, StreamItem
 from tests.fakes._faults import Faults
 from tests.fakes._http import JsonHandler, apply_reply_faults, listen, print_ready
-from tests.fakes._orders import Order, OrderBook
+from tests.fakes._orders import Order, OrderRegistry
 from tests.fakes._prefill import EventLog, PrefillServer, PrefillSpeed
 from tests.fakes._records import Call, HeldMemory, RefusalError, RunRecords, now_ms
 
@@ -29,7 +29,7 @@
 
 
 class Engine:
-    """One engine: its role, its prefill and decode parts, and its records."""
+    """One engine with its role, its prefill and decode parts, and its records."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -63,7 +63,7 @@
             self.records,
             self.faults,
         )
-        self.orders = OrderBook(options.check_fence, self.is_idle, self._carry_out)
+        self.orders = OrderRegistry(options.check_fence, self.is_idle, self._carry_out)
         self.announcer = Announcer(
             [entry for entry in options.entry.split(",") if entry],
             options.endpoint_secret,
@@ -72,13 +72,13 @@
         self._samples: deque[tuple[float, dict]] = deque(maxlen=10_000)
 
     def start(self, address: str) -> None:
-        """Begin to announce the address and to sample the load."""
+        """Start announcing the address and sampling the load."""
         self.address = self.options.announced_address or address
         threading.Thread(target=self._sample_load, daemon=True).start()
         self.announcer.start()
 
     def announcement(self) -> dict:
-        """Return what the engine announces."""
+        """Return the announcement of the engine."""
         return {
             "endpoint_id": self.options.endpoint_id,
             "incarnation": self.incarnation,
@@ -92,18 +92,18 @@
         }
 
     def leave(self) -> None:
-        """Announce that this incarnation leaves; it goes on serving what arrives."""
+        """Announce that this incarnation leaves; it keeps serving requests."""
         if not self.leaving:
             self.leaving = True
             self.leaving_ms = now_ms()
         self.announcer.announce_now()
 
     def is_idle(self) -> bool:
-        """Say whether no memory is held for any request."""
+        """Return whether no memory is held for any request."""
         return not self.held()
 
     def held(self) -> list[HeldMemory]:
-        """Return the memory held at this moment."""
+        """Return the memory that is held now."""
         return self.prefill.held() + self.decode.held()
 
     def _carry_out(self, order: Order) -> None:
@@ -133,7 +133,7 @@
         return part.load()
 
     def status(self) -> dict:
-        """Return `/v1/status`: exact held memory and lagging load."""
+        """Return `/v1/status`: current held memory, and the load with its lag."""
         sampled_at, load = time.monotonic(), self._load()
         if self.options.load_lag_ms and self._samples:
             sampled_at, load = self._samples[0]
@@ -151,7 +151,7 @@
         }
 
     def check_role(self, role: str) -> None:
-        """Refuse a call that belongs to the other role."""
+        """Refuse a call if the engine has another role."""
         if self.role != role:
             raise RefusalError(409, "wrong_role")
 
@@ -174,7 +174,7 @@
     }
 
     def route(self, method: str, path: str) -> str | None:
-        """Return the export for its path, which ends with a kv_id."""
+        """Return `export` for its path, which ends with a kv_id."""
         is_export = method == "GET" and path.startswith(EXPORT_PATH)
         return "export" if is_export else None
 
@@ -259,14 +259,14 @@
             )
 
     def _truncated(self, stream: OpenStream) -> Iterator[StreamItem]:
-        """Yield the stream's items, or only the first few when a test ordered that."""
-        items = self.engine.decode.tokens(stream, self._reader_is_wanted)
+        """Yield the stream's items, or only the first few if a test set that fault."""
+        items = self.engine.decode.tokens(stream, self._client_is_wanted)
         if not self.engine.faults.take("truncate_next_decode"):
             return items
         allowed = int(self.engine.faults.value("truncate_after_tokens"))
         return itertools.islice(items, allowed)
 
-    def _reader_is_wanted(self) -> bool:
+    def _client_is_wanted(self) -> bool:
         return not self.engine.options.free_on_close or self.peer_is_open()
 
     def cancel(self) -> None:
@@ -293,13 +293,13 @@
         self.reply(200, self.engine.events.after(after))
 
     def order(self) -> None:
-        """Take an order."""
+        """Accept an order."""
         order = Order.from_body(self.read_json())
         state = self.engine.orders.accept(order)
         self.reply(200, {"order_id": order.order_id, "state": state})
 
     def records(self) -> None:
-        """Report every run, for a test's independent check."""
+        """Report every run, which tests check independently."""
         answer = {
             **self.engine.records.as_json(),
             "held": [asdict(item) for item in self.engine.held()],
@@ -309,11 +309,11 @@
         self.reply(200, answer)
 
     def read_faults(self) -> None:
-        """Report the faults in force."""
+        """Report the active faults."""
         self.reply(200, self.engine.faults.as_json())
 
     def change_faults(self) -> None:
-        """Put faults in force."""
+        """Set faults."""
         try:
             self.engine.faults.change(self.read_json())
         except ValueError as error:
@@ -359,7 +359,7 @@
 
 
 def main() -> None:
-    """Serve until SIGTERM, then leave, finish what runs, and exit with status 0."""
+    """Serve until SIGTERM, then leave, finish running requests and exit with 0."""
     engine = Engine(parse_options())
     handler = type("BoundHandler", (EngineHandler,), {"engine": engine})
     server = listen(engine.options.address, handler)
--- a/tests/fakes/engines.py
+++ b/tests/fakes/engines.py
@@ -1,4 +1,4 @@
-"""Engines as control hosts and entry hosts know them."""
+"""Endpoint records of engines, as control hosts and entry hosts store them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     availability_zone: str = "zone-1",
     started_at_ms: int = 0,
 ) -> Endpoint:
-    """Return an engine of the service `model` that was heard just now."""
+    """Return an engine of the service `model` that was announced just now."""
     return Endpoint(
         endpoint_id=endpoint_id,
         service_name="model",
--- a/tests/fakes/fault_proxy.py
+++ b/tests/fakes/fault_proxy.py
@@ -1,6 +1,6 @@
-"""A TCP proxy that injects faults, inside a test or as a process of its own.
+"""A TCP proxy that injects faults, inside a test or as a separate process.
 
-As a process it reads commands from a control port, one JSON object a line, such as
+The process reads commands from a control port, one JSON object per line, such as
 `{"command": "cut", "direction": "to_client"}`, and answers each with one line.
 """
 
@@ -28,7 +28,7 @@
 
 
 class Direction(enum.Enum):
-    """The way that bytes go through the proxy."""
+    """The direction in which bytes pass the proxy."""
 
     TO_SERVER = "to_server"
     TO_CLIENT = "to_client"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Ending:
-    """Ends a connection once it has passed this many bytes in one direction."""
+    """Ends a connection once more than this many bytes passed in one direction."""
 
     direction: Direction
     after_bytes: int
@@ -48,7 +48,7 @@
 
 
 class _Link:
-    """One connection through the proxy: both sockets and what went by."""
+    """One connection through the proxy: both sockets and the count of bytes."""
 
     def __init__(self, client: socket.socket, server: socket.socket) -> None:
         self.source = {Direction.TO_SERVER: client, Direction.TO_CLIENT: server}
@@ -75,8 +75,8 @@
 class FaultProxy:
     """Forwards connections to one target; every fault holds until `heal`.
 
-    - `cut`: bytes stop, as in a network partition; after `heal` they go on.
-    - `freeze`: established connections are silent for good, new ones work.
+    - `cut`: bytes stop, as in a network partition, and continue after `heal`.
+    - `freeze`: established connections stay silent permanently, new ones work.
     - `refuse`: new connections are refused.
     - `delay`: bytes arrive this many seconds later.
     - `reset`: established connections end with a TCP reset.
@@ -98,7 +98,7 @@
 
     @property
     def address(self) -> str:
-        """Return where the proxy listens, as `IP:port`."""
+        """Return the address of the proxy, as `IP:port`."""
         return f"{self._bound[0]}:{self._bound[1]}"
 
     @property
@@ -108,12 +108,12 @@
             return len(self._links)
 
     def cut(self, direction: Direction | None = None) -> None:
-        """Let no byte through, in one direction or both."""
+        """Stop all bytes, in one direction or both."""
         with self._lock:
             self._cut.update([direction] if direction else BOTH)
 
     def freeze(self) -> None:
-        """Make the established connections silent for good."""
+        """Silence the established connections permanently."""
         with self._lock:
             for link in self._links:
                 link.frozen = True
@@ -124,7 +124,7 @@
             _close_listener(self._listener)
 
     def delay(self, seconds: float, direction: Direction | None = None) -> None:
-        """Hold each byte back for this many seconds."""
+        """Delay each byte by this many seconds."""
         with self._lock:
             for item in [direction] if direction else BOTH:
                 self._delay[item] = seconds
@@ -152,7 +152,7 @@
                 link.passed[direction] = 0
 
     def heal(self) -> None:
-        """Lift every fault; frozen connections stay silent."""
+        """Remove every fault; frozen connections stay silent."""
         with self._lock:
             self._cut.clear()
             self._delay = dict.fromkeys(BOTH, 0.0)
@@ -184,7 +184,7 @@
             task.start()
 
     def _connect(self, client: socket.socket) -> None:
-        """Connect to the target; during a cut only after `heal`, as a lost SYN."""
+        """Connect to the target; a cut delays this until `heal`, like a lost SYN."""
         while self._cut and not self._stopped:
             time.sleep(POLL_SECONDS)
         try:
@@ -211,7 +211,7 @@
             self._drop(link, reset=False)
 
     def _pump(self, link: _Link, direction: Direction) -> None:
-        """Forward one direction until its end; ValueError is a closed descriptor."""
+        """Forward one direction until its end; a closed socket raises ValueError."""
         source, sink = link.source[direction], link.sink[direction]
         pending: deque[tuple[float, bytes]] = deque()
         at_end = False
@@ -235,7 +235,7 @@
     def _send(
         self, link: _Link, direction: Direction, sink: socket.socket, data: bytes
     ) -> bool:
-        """Send one piece, or end the connection; say whether there is more to do."""
+        """Send one piece or end the connection; return whether it remains open."""
         if not data:
             self._end_direction(link, sink)
             return False
@@ -248,7 +248,7 @@
     def _take_ending(
         self, link: _Link, direction: Direction, size: int
     ) -> tuple[Ending | None, int]:
-        """Return the ending that this piece meets, and the bytes allowed before it."""
+        """Return the ending that applies to a piece, and the bytes sent before it."""
         with self._lock:
             before = link.passed[direction]
             link.passed[direction] += size
@@ -261,7 +261,7 @@
         return None, size
 
     def _end_direction(self, link: _Link, sink: socket.socket) -> None:
-        """Pass an end of stream on; close all when both directions have ended."""
+        """Forward an end of stream; close the link once both directions have ended."""
         with self._lock:
             link.open_directions -= 1
             ended = link.open_directions == 0
@@ -279,7 +279,7 @@
 
 
 def _is_readable(source: socket.socket, pending: deque[tuple[float, bytes]]) -> bool:
-    """Wait for bytes until the first pending piece is due, at most one poll."""
+    """Wait for bytes until the first pending piece is due, or one poll interval."""
     timeout = POLL_SECONDS
     if pending:
         timeout = min(timeout, max(0.0, pending[0][0] - time.monotonic()))
@@ -290,7 +290,7 @@
 
 
 def _close_listener(listener: socket.socket) -> None:
-    """Close the listener; the shutdown wakes the thread that accepts."""
+    """Close the listener; the shutdown wakes the accepting thread."""
     try:
         listener.shutdown(socket.SHUT_RDWR)
     except OSError:
@@ -307,7 +307,7 @@
     proxy: FaultProxy
 
     def handle(self) -> None:
-        """Carry out one command for each line."""
+        """Run the command of each line."""
         for line in self.rfile:
             try:
                 answer = run_command(self.proxy, json.loads(line))
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""Stand-in workers, each of which is started anew some time after it has ended."""
+"""Stand-in workers, each of which is restarted some time after it has ended."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.fakes.platform_system import PlatformSystem
 from tests.fakes.platform_worker import PlatformWorker
 
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 class Fleet:
-    """Workers of one service; every start of one has another id, at its address."""
+    """Workers of one service; each start has a new id and the same address."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         **fields: Any,
     ) -> None:
         self.starts: list[PlatformWorker] = []
-        """All starts, in order."""
+        """All starts of workers, in order."""
         self._system = system
         self._service = service
         self._fields = fields
@@ -33,7 +33,9 @@
         self._numbers = itertools.count(1)
         self._stopped = threading.Event()
         self._threads = [
-            threading.Thread(target=self._keep, args=(self._add(),), daemon=True)
+            threading.Thread(
+                target=self._restart_when_closed, args=(self._add(),), daemon=True
+            )
             for _ in range(size)
         ]
 
@@ -53,7 +55,7 @@
             thread.join()
 
     def run_ids(self) -> list[str]:
-        """Return the ids of all requests that ran at any start."""
+        """Return the ids of all requests that ran at any of the starts."""
         return [name for worker in list(self.starts) for name in worker.run_ids()]
 
     def _add(self, **fields: Any) -> PlatformWorker:
@@ -62,9 +64,9 @@
         self.starts.append(self._system.add(worker))
         return worker
 
-    def _keep(self, worker: PlatformWorker) -> None:
-        """Start the worker anew whenever it has ended."""
-        while not self._stopped.wait(LOOK_SECONDS):
+    def _restart_when_closed(self, worker: PlatformWorker) -> None:
+        """Restart the worker whenever it has ended."""
+        while not self._stopped.wait(POLL_SECONDS):
             if not worker.closed.is_set():
                 continue
             self._system.withdraw(worker)
--- a/tests/fakes/plain_service.py
+++ b/tests/fakes/plain_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service, as a process of its own, that counts its runs."""
+"""A stand-in for a plain service, run as a separate process, that counts its runs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class PlainRun:
-    """One run of a call that reached the service and was not refused."""
+    """One run of a call that the service did not refuse."""
 
     request_id: str
     attempt: int
@@ -27,7 +27,7 @@
 
 
 class PlainService:
-    """Answers every POST with the body it was given and the number of the run."""
+    """Responds to every POST with its body and the number of the run."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -46,12 +46,12 @@
         )
 
     def start(self, address: str) -> None:
-        """Begin to announce the address."""
+        """Start announcing the address."""
         self.address = self.options.announced_address or address
         self.announcer.start()
 
     def announcement(self) -> dict:
-        """Return what the service announces."""
+        """Return the announcement of the service."""
         return {
             "endpoint_id": self.options.endpoint_id,
             "incarnation": self.incarnation,
@@ -71,11 +71,11 @@
         self.announcer.announce_now()
 
     def is_idle(self) -> bool:
-        """Say whether no call is running."""
+        """Return whether no call is running."""
         return not self._running
 
     def run(self, request_id: str, attempt: int, key: str, body: str) -> dict:
-        """Run one call; the gates `before` and `after` lie around the run."""
+        """Run one call between the gates `before` and `after`."""
         with self._lock:
             number = time.monotonic_ns()
             self._running[number] = (request_id, attempt, time.monotonic())
@@ -93,7 +93,7 @@
         return {"request_id": request_id, "run": run, "body": body}
 
     def status(self) -> dict:
-        """Return `/v1/status` in the shape that engines use."""
+        """Return `/v1/status` in the format of engines."""
         now = time.monotonic()
         with self._lock:
             running = tuple(self._running.values())
@@ -119,7 +119,7 @@
         }
 
     def records(self) -> dict:
-        """Return every run, and the number of runs for each request and key."""
+        """Return every run, and the number of runs of each request and key."""
         with self._lock:
             runs = tuple(self._runs)
         return {
@@ -133,7 +133,7 @@
 
 
 class PlainHandler(JsonHandler):
-    """Every POST path is a call; the others are for status and tests."""
+    """The calls of a plain service: any POST, and paths for status and tests."""
 
     service: PlainService
     routes = {
@@ -178,11 +178,11 @@
         self.reply(200, self.service.records())
 
     def read_faults(self) -> None:
-        """Report the faults in force."""
+        """Report the active faults."""
         self.reply(200, self.service.faults.as_json())
 
     def change_faults(self) -> None:
-        """Put faults in force."""
+        """Set faults."""
         try:
             self.service.faults.change(self.read_json())
         except ValueError as error:
@@ -207,7 +207,7 @@
 
 
 def main() -> None:
-    """Serve until SIGTERM, then leave, finish what runs, and exit with status 0."""
+    """Serve until SIGTERM, then leave, finish running calls and exit with 0."""
     service = PlainService(parse_options())
     handler = type("BoundHandler", (PlainHandler,), {"service": service})
     server = listen(service.options.address, handler)
--- a/tests/fakes/platform_system.py
+++ b/tests/fakes/platform_system.py
@@ -1,4 +1,4 @@
-"""Control and forwarding processes on loopback, with the platform's interface."""
+"""Control hosts and forwarding hosts on loopback, with the platform's interface."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """What a client got."""
+    """A response as a client receives it; `whole` if its end arrived."""
 
     status: int
     headers: dict[str, str]
@@ -87,7 +87,7 @@
 
 
 class Host:
-    """One process of the system, which can be killed and started again."""
+    """One host of the system, whose process can be killed and restarted."""
 
     def __init__(self, folder: Path, name: str, command: str, settings: str) -> None:
         self.name = name
@@ -105,7 +105,7 @@
         )
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if self.process is not None:
             self.process.kill()
             self.process = None
@@ -116,13 +116,13 @@
         self.process.signal(number)
 
     def output(self) -> str:
-        """Return the lines that the process wrote, but for one that isn't whole yet."""
+        """Return the complete lines that the process wrote."""
         written = self.process.output() if self.process else ""
         return written[: written.rfind("\n") + 1]
 
 
 class PlatformSystem:
-    """Some control hosts and some forwarding hosts, with workers that announce."""
+    """Control hosts and forwarding hosts, with workers that are announced to them."""
 
     def __init__(
         self,
@@ -132,7 +132,7 @@
         has_proxies: bool = False,
         **entry: Any,
     ) -> None:
-        """Prepare the hosts; with proxies, others reach control hosts through them."""
+        """Prepare the hosts; proxies, if any, are between control hosts and others."""
         self.folder = folder
         self._entry_settings = entry
         self._ids = itertools.count(1)
@@ -140,11 +140,11 @@
         self._workers: list[PlatformWorker] = []
         self._stopped = threading.Event()
         self.seeds = [free_address() for _ in range(controls)]
-        self._listened = list(self.seeds)
+        self._listen_addresses = list(self.seeds)
         self.proxies: list[FaultProxy] = []
-        """In front of the control hosts, for other processes of the system."""
+        """Proxies in front of the control hosts, for other processes of the system."""
         if has_proxies:
-            self.proxies = [FaultProxy(address) for address in self._listened]
+            self.proxies = [FaultProxy(address) for address in self._listen_addresses]
             self.seeds = [proxy.address for proxy in self.proxies]
         self.control_http = [free_address() for _ in range(controls)]
         self.control_metrics = [free_address() for _ in range(controls)]
@@ -162,7 +162,7 @@
             self.control_settings(
                 f"control-{number}", self.seeds[number], self.control_http[number]
             )
-            + f'peer_listen_address = "{self._listened[number]}"\n'
+            + f'peer_listen_address = "{self._listen_addresses[number]}"\n'
             + f'[telemetry]\nmetrics_address = "{self.control_metrics[number]}"\n',
         )
 
@@ -219,7 +219,7 @@
     # The operator and the workers
 
     def put(self, body: Any, control: int = 0, timeout: float = 3.0) -> int | None:
-        """Send a configuration; return the status, None without an answer."""
+        """Send a configuration; return the status, None without a response."""
         content = body if isinstance(body, bytes) else json.dumps(body).encode()
         return self._call(control, "PUT", "/config", content, timeout)[0]
 
@@ -239,20 +239,20 @@
         return self.tell(worker.worker_id, worker.beat(state), control)
 
     def tell(self, worker_id: str, beat: dict[str, Any], control: int = 0) -> int:
-        """Let an announcement arrive, which may be an old one; return the status."""
+        """Send an announcement, which may be an old one; return the status."""
         path = f"/instances/{worker_id}"
         return self._call(control, "PUT", path, json.dumps(beat).encode(), 3.0)[0] or 0
 
     def leave(
         self, worker: PlatformWorker, control: int = 0, tells_start: bool = False
     ) -> int:
-        """Announce that a worker has left; return the status."""
+        """Announce the removal of a worker; return the status."""
         path = f"/instances/{worker.worker_id}"
-        body = json.dumps(worker.told_start()).encode() if tells_start else None
+        body = json.dumps(worker.start_fields()).encode() if tells_start else None
         return self._call(control, "DELETE", path, body, 3.0)[0] or 0
 
     def add(self, worker: PlatformWorker, control: int = 0) -> PlatformWorker:
-        """Announce a worker from now on, and close it at the end."""
+        """Announce a worker repeatedly from now on, and close it at the end."""
         self._workers.append(worker)
         wait_until(
             lambda: self.beat(worker, control=control) == 200,
@@ -261,13 +261,13 @@
         return worker
 
     def restart(self, worker: PlatformWorker, **changed: Any) -> PlatformWorker:
-        """Kill a worker and announce its next start; return that."""
+        """Kill a worker, and announce and return its next start."""
         self.withdraw(worker)
         started_at_ms = (worker.started_at_ms or 0) + 5000
         return self.add(worker.killed_and_back(started_at_ms, **changed))
 
     def withdraw(self, worker: PlatformWorker) -> None:
-        """Announce a worker no more."""
+        """Stop announcing a worker."""
         self._workers.remove(worker)
 
     def _announce(self) -> None:
@@ -303,7 +303,7 @@
         entry: int = 0,
         deadline_ms: int = 1500,
     ) -> Reply:
-        """Send a request as a client and return what came."""
+        """Send a request as a client and return the response."""
         sent = {
             "Host": HOST,
             "Request-Id": f"{next(self._ids):016x}",
@@ -328,7 +328,7 @@
             connection.close()
 
     def logged(self, message: str) -> list[dict[str, Any]]:
-        """Return the lines with this message that the control hosts have written."""
+        """Return the log records with this message that control hosts wrote."""
         texts = [host.output() for host in self.controls]
         lines = [line for text in texts for line in text.splitlines()]
         found = [json.loads(line) for line in lines if f'"{message}"' in line]
@@ -347,7 +347,7 @@
         return {name: float(value) for name, value in pairs}
 
     def ready(self, entry: int = 0) -> bool:
-        """Say whether an entry host says that it takes requests."""
+        """Return whether an entry host reports that it is ready."""
         connection = http.client.HTTPConnection(self.ready_http[entry], timeout=2)
         try:
             connection.request("GET", "/ready")
@@ -358,7 +358,7 @@
             connection.close()
 
     def wait_ready(self) -> None:
-        """Wait until all entry hosts take requests."""
+        """Wait until all entry hosts are ready."""
         for entry in range(len(self.entries)):
             wait_until(lambda entry=entry: self.ready(entry), "entry host ready")  # type: ignore[misc]
 
--- a/tests/fakes/platform_worker.py
+++ b/tests/fakes/platform_worker.py
@@ -1,9 +1,9 @@
 """A stand-in for a worker of the users' platform, served by threads of the test.
 
-It speaks what the platform's workers speak: ids, refusals that say "not run", stages
-with handles, reservations, reports, event streams. A test orders faults by setting the
-attributes of `WorkerFaults`, and reads what ran from `runs`. `killed_and_back` gives
-the next start of a worker, which knows nothing of the one before.
+It implements the protocol of the platform's workers: ids, refusals that say "not run",
+stages with handles, reservations, reports, event streams. A test sets faults through
+the attributes of `WorkerFaults`, and reads the requests that ran from `runs`.
+`killed_and_back` returns the next start of a worker, without the previous state.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from tests.fakes._http import JsonHandler, StandInServer, listen
 
 EVENT_PAUSE_SECONDS = 0.01
-# How often the server looks whether it is to stop.
+# How often the server checks whether it should stop.
 POLL_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
 class WorkerRun:
-    """A request that the worker began to work on."""
+    """A request that the worker began to run."""
 
     request_id: str
     method: str
@@ -38,49 +38,49 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A call that reached the worker, and how it began to answer."""
+    """A call that reached the worker, and the notices in its response."""
 
     at: float
-    """Seconds of the test's steady clock."""
+    """The time on the steady clock, in seconds."""
     sender: str
-    """The host that sent it, where its client told that in `X-Entry`."""
+    """The host that sent it, if the client named it in `X-Entry`."""
     target: str
     request_id: str
     """Empty for a reservation."""
     backoff: str
-    """The seconds of backoff that its answer asks for, empty without one."""
+    """The seconds of backoff that the response asks for, empty without one."""
     reported_leaving: bool
 
 
 @dataclass
 class WorkerFaults:
-    """What the worker does wrong, each for so many of its next requests."""
+    """Faults of the worker, each with the number of next requests it affects."""
 
     refuse: int = 0
-    """Say "not run" with 503."""
+    """Refuse with 503 and "not run"."""
     fail: int = 0
-    """Run, and answer 500."""
+    """Run, and respond with 500."""
     lose: int = 0
-    """Run, or read a prompt for another worker, and close without an answer."""
+    """Run, or prefill for another worker, and close without a response."""
     cut: int = 0
-    """Run, and close in the middle of the answer."""
+    """Run, and close in the middle of the response."""
     answer_twice: int = 0
-    """Send a second whole answer behind the first."""
+    """Send a second complete response after the first."""
     unframed: int = 0
-    """Give no length: the answer ends with its connection."""
+    """Send no length: the response ends with its connection."""
     hang: int = 0
-    """Run, and answer nothing until the worker is closed."""
+    """Run, and send no response until the worker is closed."""
     lapse: int = 0
-    """Have lost the memory of a prompt that was read elsewhere."""
+    """Refuse since the KV cache of the prefill has expired."""
     no_room: int = 0
     """Refuse reservations."""
     pause_stream_seconds: float = 0.0
-    """Stand still so long after the second event of a stream, once."""
+    """Stall for so long after the second event of a stream, once."""
     cut_stream_after: int = 0
-    """Close a stream after so many events, once."""
+    """Close a stream after this many events, once."""
 
     def take(self, name: str) -> bool:
-        """Count one of the named faults down; say whether there was one."""
+        """Decrement the named fault; return whether it was set."""
         left = getattr(self, name)
         if left:
             setattr(self, name, left - 1)
@@ -89,7 +89,7 @@
 
 @dataclass
 class PlatformWorker:
-    """A worker on a port of its own; `stage` is empty for a plain service."""
+    """A worker with its own port; `stage` is empty for a plain service."""
 
     worker_id: str
     service: str
@@ -99,32 +99,32 @@
     events: int = 5
     run_seconds: float = 0.0
     read_seconds: float = 0.0
-    """How long it needs to read a prompt for another worker."""
+    """The duration of a prefill for another worker."""
     capacity: int = 100_000
     started_at_ms: int | None = None
-    """The start that it tells of itself, None if it doesn't tell."""
+    """The start time that it reports, None if it reports none."""
     switch_seconds: float = 0.5
-    """How long it needs to change its stage when it is ordered to."""
+    """The duration of an ordered change of its stage."""
     listens_at: str = "127.0.0.1:0"
     limit: str = ""
-    """Requests a second that it says it takes, empty without a limit."""
+    """The limit that it reports, in requests per second, empty without one."""
     backoff: str = ""
-    """The seconds of backoff that it asks for; it refuses all requests meanwhile."""
+    """The seconds of backoff that it asks for; while set, it refuses all requests."""
     leaves: bool = False
-    """Whether all its answers say that it leaves."""
+    """Whether all its responses report that it leaves."""
     crashes_on: bytes = b""
-    """A request whose body holds this ends the worker; none does if it is empty."""
+    """A request whose body contains this crashes the worker; none if it is empty."""
     on_crash: Callable[[], bool] = lambda: True
-    """Called before that; where it returns false, only the request is lost."""
+    """Called before the crash; if it returns false, only the request is lost."""
     faults: WorkerFaults = field(default_factory=WorkerFaults)
     runs: list[WorkerRun] = field(default_factory=list)
     prompts_read: list[str] = field(default_factory=list)
     prompt_headers: list[dict[str, str]] = field(default_factory=list)
-    """Headers of the calls that had a prompt read, in order."""
+    """The headers of the prefill calls, in order."""
     questions: list[str] = field(default_factory=list)
     gone_clients: list[str] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    """All calls but those for a report, also those that it refused."""
+    """All reservations and requests, including those that it refused."""
 
     def __post_init__(self) -> None:
         self.closed = threading.Event()
@@ -155,7 +155,7 @@
         self.close()
 
     def switch_after(self, seconds: float, stage: str) -> None:
-        """Have another stage after this time, as an order asks for."""
+        """Change the stage after this time, as an order requests."""
 
         def switch() -> None:
             if not self.closed.wait(seconds):
@@ -171,7 +171,7 @@
         self._server.server_close()
 
     def kill(self) -> None:
-        """Stop serving, and break off all connections as a killed process does."""
+        """Stop serving, and close all connections as a killed process does."""
         self.close()
         for sock in list(self.sockets):
             with contextlib.suppress(OSError):
@@ -201,7 +201,7 @@
         models = [{"name": "m", "version": 1, "adapters": []}]
         engine = {"stage": self.stage, "models": models} if self.stage else {}
         return {
-            **self.told_start(),
+            **self.start_fields(),
             "service": self.service,
             "address": self.address,
             "zone": self.zone,
@@ -213,8 +213,8 @@
             "seq": self.sequence,
         }
 
-    def told_start(self) -> dict[str, Any]:
-        """Return what all that it says of itself says of its start."""
+    def start_fields(self) -> dict[str, Any]:
+        """Return the start time field, which announcements and reports include."""
         return {} if self.started_at_ms is None else {"born": self.started_at_ms}
 
     def run_ids(self) -> list[str]:
@@ -228,12 +228,12 @@
     worker: PlatformWorker
 
     def setup(self) -> None:
-        """Note the connection, which ends with the worker."""
+        """Register the connection, which is closed with the worker."""
         super().setup()
         self.worker.sockets.add(self.connection)
 
     def finish(self) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.worker.sockets.discard(self.connection)
         super().finish()
 
@@ -245,7 +245,7 @@
                 headers = {"Instance-Id": self.worker.worker_id}
                 self.reply(421, {}, headers)
             elif self.path == "/hold-take":
-                self._arrive()
+                self._record_arrival()
                 self._reserve(json.loads(body))
             elif self.path.startswith("/hold-drop/"):
                 self.worker.reservations.pop(self.path.rpartition("/")[2], None)
@@ -262,11 +262,11 @@
     def _reserve(self, fields: dict[str, Any]) -> None:
         self.worker.questions.append("reserve")
         if self.worker.backoff or self.worker.faults.take("no_room"):
-            self.reply(503, {}, self._said_of_itself(is_refusal=True))
+            self.reply(503, {}, self._notice_headers(is_refusal=True))
             return
         name = f"r{len(self.worker.questions)}"
         self.worker.reservations[name] = fields["tokens"]
-        self.reply(200, {"hold": name}, self._said_of_itself())
+        self.reply(200, {"hold": name}, self._notice_headers())
 
     def _report(self) -> None:
         self.worker.questions.append("report")
@@ -274,7 +274,7 @@
         self.reply(
             200,
             {
-                **self.worker.told_start(),
+                **self.worker.start_fields(),
                 "stage": self.worker.stage,
                 "busy": self.worker.is_switching,
                 "seq": self.worker.orders,
@@ -284,11 +284,11 @@
                 "kvCapacity": self.worker.capacity,
                 "runs": [],
             },
-            self._said_of_itself(),
+            self._notice_headers(),
         )
 
     def _order(self, fields: dict[str, Any]) -> None:
-        """Change the stage, unless another order is expected to have come before."""
+        """Change the stage, unless one is in progress or `expect` does not match."""
         worker = self.worker
         worker.questions.append("order")
         if worker.is_switching or fields.get("expect", worker.orders) != worker.orders:
@@ -299,8 +299,8 @@
         worker.switch_after(worker.switch_seconds, fields["stage"])
         self.reply(202, {})
 
-    def _arrive(self) -> None:
-        """Note a call, before it is answered."""
+    def _record_arrival(self) -> None:
+        """Record a call before the response."""
         arrival = Arrival(
             time.monotonic(),
             self.headers.get("X-Entry", ""),
@@ -313,20 +313,20 @@
 
     def _request(self, method: str, body: bytes) -> None:
         faults = self.worker.faults
-        self._arrive()
+        self._record_arrival()
         refuses = bool(self.worker.backoff) or self.worker.is_switching
         if refuses or faults.take("refuse"):
-            said = self._said_of_itself(is_refusal=True)
-            self.reply(503, {}, {"Not-Run": "1", **said})
+            notices = self._notice_headers(is_refusal=True)
+            self.reply(503, {}, {"Not-Run": "1", **notices})
             return
         if self.headers.get("Stage") == "prefill":
-            self._read_prompt()
+            self._prefill()
             return
         if self.headers.get("Kv-From") and faults.take("lapse"):
             self.reply(503, {}, {"Not-Run": "1"})
             return
         request_id = self.headers.get("Request-Id", "")
-        # A reservation can be used once.
+        # A reservation can be used only once.
         self.worker.reservations.pop(self.headers.get("Kv-Hold", ""), None)
         self.worker.runs.append(
             WorkerRun(request_id, method, self.path, dict(self.headers.items()), body)
@@ -335,17 +335,17 @@
             self.close_connection = True
             if not self.worker.on_crash():
                 return
-            # A thread of its own: the server waits for this one when it is closed.
+            # In a separate thread, since closing the server waits for this one.
             threading.Thread(target=self.worker.kill).start()
             self.worker.killed.wait()
         elif self.worker.stage and faults.take("lose"):
             self.close_connection = True
         elif self.worker.stage:
-            self._stream_until_gone(request_id)
+            self._stream_until_disconnect(request_id)
         else:
             self._answer(request_id)
 
-    def _read_prompt(self) -> None:
+    def _prefill(self) -> None:
         request_id = self.headers.get("Request-Id", "")
         self.worker.prompts_read.append(request_id)
         self.worker.prompt_headers.append(dict(self.headers.items()))
@@ -353,27 +353,27 @@
             self.close_connection = True
             return
         if self.worker.faults.take("hang"):
-            self._wait_for_the_end(request_id)
+            self._hang(request_id)
             return
         time.sleep(self.worker.read_seconds)
         self.reply(
             200,
             {"kvHandle": f"h-{request_id}", "tokens": 10, "version": 1},
-            {"Request-Id": request_id, **self._said_of_itself()},
+            {"Request-Id": request_id, **self._notice_headers()},
         )
 
-    def _said_of_itself(self, is_refusal: bool = False) -> dict[str, str]:
-        """Return the headers in which the worker speaks of itself."""
+    def _notice_headers(self, is_refusal: bool = False) -> dict[str, str]:
+        """Return the headers with the worker's limit, departure and backoff."""
         worker = self.worker
-        said = {
+        headers = {
             "Server-Limit": worker.limit,
             "Server-Leaving": "1" if worker.leaves else "",
             "Retry-After": worker.backoff if is_refusal else "",
         }
-        return {name: value for name, value in said.items() if value}
+        return {name: value for name, value in headers.items() if value}
 
-    def _wait_for_the_end(self, request_id: str) -> None:
-        """Answer nothing until the client or the worker is closed."""
+    def _hang(self, request_id: str) -> None:
+        """Send no response until the client disconnects or the worker is closed."""
         while not self.worker.closed.wait(0.02):
             if not self.peer_is_open():
                 self.worker.gone_clients.append(request_id)
@@ -383,7 +383,7 @@
     def _answer(self, request_id: str) -> None:
         faults = self.worker.faults
         if faults.take("hang"):
-            self._wait_for_the_end(request_id)
+            self._hang(request_id)
             return
         time.sleep(self.worker.run_seconds)
         if faults.take("lose"):
@@ -410,13 +410,13 @@
             f"Server-Stamp: {self.worker.worker_id}.{request_id}",
             "Keep-Alive: timeout=5",
         ]
-        lines += [f"{name}: {value}" for name, value in self._said_of_itself().items()]
+        lines += [f"{name}: {value}" for name, value in self._notice_headers().items()]
         if length is not None:
             lines.append(f"Content-Length: {length}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
-    def _stream_until_gone(self, request_id: str) -> None:
-        """Stream; a write that fails tells that the caller has gone, too."""
+    def _stream_until_disconnect(self, request_id: str) -> None:
+        """Stream the events; a failed write also shows that the client disconnected."""
         try:
             self._stream(request_id)
         except OSError:
@@ -425,7 +425,7 @@
             raise
 
     def _stream(self, request_id: str) -> None:
-        """Stream events 1 to `events`, or go on behind Last-Event-Id."""
+        """Stream events 1 to `events`, or those after Last-Event-Id."""
         time.sleep(self.worker.run_seconds)
         worker = self.worker
         first = int(self.headers.get("Last-Event-Id") or 0) + 1
@@ -452,7 +452,7 @@
                 worker.gone_clients.append(request_id)
                 self.close_connection = True
                 return
-            # By instants, so that a thread that is woken late catches up.
+            # Scheduled by absolute times, so that a thread that wakes late catches up.
             due_at += EVENT_PAUSE_SECONDS
             time.sleep(max(0.0, due_at - time.monotonic()))
         self.wfile.write(b"0\r\n\r\n")
--- a/tests/fakes/processes.py
+++ b/tests/fakes/processes.py
@@ -1,4 +1,4 @@
-"""Starts processes for tests, waits for them with a bound, and ends only its own."""
+"""Starts processes for tests, waits for them with timeouts, and ends only these."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 def free_address() -> str:
     """Return a loopback address whose port stays reserved for this test process.
 
-    A port that was only free a moment ago can be taken by another test before its
-    server starts. A bound socket that doesn't listen keeps it: servers, which set
-    SO_REUSEADDR, can bind beside it, and other tests' reservations can't. The port
-    lies below those that the system gives to outgoing connections.
+    Without a reservation another test could take a free port before this one's server
+    starts. A bound socket that doesn't listen reserves it: servers, which set
+    SO_REUSEADDR, can bind the same port, and reservations of other tests cannot. The
+    port is below those that the system assigns to outgoing connections.
     """
     while True:
         reservation = socket.socket()
@@ -69,7 +69,7 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
 ) -> tuple[int, dict]:
-    """Make one HTTP call and return its status and its JSON answer."""
+    """Make one HTTP call and return its status and its JSON body."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         content = None if body is None else json.dumps(body)
@@ -82,14 +82,14 @@
 
 
 class ManagedProcess:
-    """One started Python module, its output, and its end."""
+    """A process that runs a Python module, with its output."""
 
     def __init__(self, name: str, module: str, arguments: Sequence[str], folder: Path):
         self.name = name
         self.log_path = folder / f"{name}.log"
         self._lines: list[str] = []
         self._changed = threading.Condition()
-        # This tree's code, also where the interpreter has another one installed.
+        # Import the code of this tree, also if another version is installed.
         path = os.pathsep.join([str(ROOT / "src"), str(ROOT)])
         environment = {**os.environ, "PYTHONPATH": path, "PYTHONUNBUFFERED": "1"}
         with self.log_path.open("ab") as log:
@@ -119,11 +119,11 @@
 
     @property
     def running(self) -> bool:
-        """Say whether the process has not ended."""
+        """Return whether the process has not ended."""
         return self._process.poll() is None
 
     def output(self) -> str:
-        """Return what the process wrote on both outputs."""
+        """Return what the process wrote to standard output and standard error."""
         with self._changed:
             lines = "".join(self._lines)
         return lines + self.log_path.read_text(errors="replace")
@@ -148,12 +148,12 @@
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process with SIGKILL and wait for its end."""
+        """Send SIGKILL to the process and wait for its end."""
         self._process.kill()
         self._process.wait()
 
     def terminate(self) -> None:
-        """Ask for the graceful stop."""
+        """Request a graceful stop with SIGTERM."""
         self.signal(signal.SIGTERM)
 
     def wait(self, timeout: float = STOP_SECONDS) -> int:
@@ -161,7 +161,7 @@
         return self._process.wait(timeout)
 
     def stop(self, timeout: float = STOP_SECONDS) -> None:
-        """Stop gracefully, and with SIGKILL when that takes too long."""
+        """Stop gracefully, or with SIGKILL after the timeout."""
         self.signal(signal.SIGCONT)
         self.terminate()
         try:
--- a/tests/fakes/scenarios.py
+++ b/tests/fakes/scenarios.py
@@ -1,4 +1,4 @@
-"""Small systems that several tests start."""
+"""Specifications of small systems that several tests start."""
 
 from __future__ import annotations
 
--- a/tests/fakes/steady_load.py
+++ b/tests/fakes/steady_load.py
@@ -1,4 +1,4 @@
-"""Requests that clients send one after another for a while."""
+"""A load of clients that each send requests one after another."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     entries: Sequence[int],
     pause_seconds: float,
 ) -> list[T]:
-    """Let a client for each entry host send for so long; return all answers."""
+    """Run a client for each entry of `entries`; return all responses."""
     ended = Event()
 
     def send_to(entry: int) -> list[T]:
@@ -27,7 +27,7 @@
         return replies
 
     with ThreadPoolExecutor(len(entries)) as pool:
-        found = [pool.submit(send_to, entry) for entry in entries]
+        threads = [pool.submit(send_to, entry) for entry in entries]
         time.sleep(seconds)
         ended.set()
-        return [reply for future in found for reply in future.result()]
+        return [reply for future in threads for reply in future.result()]
--- a/tests/fakes/takeover.py
+++ b/tests/fakes/takeover.py
@@ -1,4 +1,4 @@
-"""Control hosts of a test whose leader is suspended, and the next one that leads."""
+"""Helpers for tests that suspend the leading control host and wait for the next."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def leader_of(system: PlatformSystem) -> int:
-    """Return the control host that began to lead last, by its own lines."""
+    """Return the control host with the latest leadership, by the log lines."""
     terms = [_latest_term(host.output()) for host in system.controls]
     return terms.index(max(terms))
 
 
 def _latest_term(output: str) -> int:
-    """Return the last term in which a control host led, 0 if it never did."""
+    """Return the last term in which a control host was the leader, 0 if none."""
     lines = [json.loads(line) for line in output.splitlines() if '"leading"' in line]
     led = [line["term"] for line in lines if line["message"] == "leading"]
     return max(led, default=0)
@@ -26,7 +26,7 @@
 
 @contextmanager
 def suspended_leader(system: PlatformSystem) -> Iterator[int]:
-    """Suspend the control host that leads, and resume it at the end."""
+    """Suspend the leading control host, and resume it at the end."""
     leader = leader_of(system)
     system.controls[leader].signal(signal.SIGSTOP)
     try:
@@ -36,13 +36,13 @@
 
 
 def wait_for_next_leader(system: PlatformSystem, before: int) -> int:
-    """Wait until another control host leads; return it."""
+    """Wait until another control host is the leader; return it."""
     wait_until(lambda: leader_of(system) != before, "the next one leads")
     return leader_of(system)
 
 
 def wait_until_followed(system: PlatformSystem, host: int) -> None:
-    """Wait until a control host says that it follows the one that leads, or leads."""
+    """Wait until a control host logs that it follows the leader, or is the leader."""
 
     def follows() -> bool:
         leader = leader_of(system)
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in engine: its costs, its memory, its streams."""
+"""Tests of the stand-in engine: its timing, its memory and its streams."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 class TestPrefill:
-    """The prefill queue, its prefix cache, and the results it holds."""
+    """The prefill queue, its prefix cache and the results that it holds."""
 
     def test_a_cached_prefix_costs_nothing(self, start_engine: StartEngine) -> None:
         engine = start_engine("prefill")
@@ -130,7 +130,7 @@
 
 
 class TestExport:
-    """Transfers over the link of the engine."""
+    """Transfers of KV caches over the link of the engine."""
 
     def test_concurrent_exports_share_the_rate_of_the_link(
         self, start_engine: StartEngine
@@ -150,7 +150,9 @@
         assert time.monotonic() - started >= 0.4
         assert held(source) == []
 
-    def test_a_cut_export_is_no_import(self, start_engine: StartEngine) -> None:
+    def test_a_truncated_export_fails_the_import(
+        self, start_engine: StartEngine
+    ) -> None:
         source, target = start_engine("prefill"), start_engine("decode")
         kv_id = prefill(source, "a")[1]["kv_id"]
         order_faults(source, truncate_next_export=1)
@@ -203,7 +205,7 @@
         high.join()
         assert order == ["c", "b"]
 
-    def test_memory_of_a_gone_reader_is_held_until_cancel(
+    def test_memory_of_a_disconnected_client_is_held_until_cancel(
         self, start_engine: StartEngine
     ) -> None:
         source, target = start_engine("prefill"), start_engine("decode")
--- a/tests/fakes/test_fault_proxy.py
+++ b/tests/fakes/test_fault_proxy.py
@@ -49,7 +49,7 @@
 
 
 class TestFaultProxy:
-    """Each fault, and what a connection sees of it."""
+    """Each fault and its effect on a connection."""
 
     def test_cut_bytes_go_on_after_heal(self, proxy: FaultProxy) -> None:
         with connect(proxy) as connection:
--- a/tests/fakes/test_platform_system.py
+++ b/tests/fakes/test_platform_system.py
@@ -1,4 +1,4 @@
-"""The processes of a test, as the test reads them."""
+"""Tests of how the output of a host's process is read."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.fakes.platform_system import Host
 
 
-class TestLineThatIsBeingWritten:
-    """Guards against tests that fail on a log line that is half written."""
+class TestIncompleteLogLine:
+    """A test must not fail on a log line that is only partly written."""
 
     def test_is_left_out(self, tmp_path: Path) -> None:
         host = Host(tmp_path, "host", "forward", "")
--- a/tests/fakes/test_platform_worker.py
+++ b/tests/fakes/test_platform_worker.py
@@ -1,4 +1,4 @@
-"""The stand-in for a worker of the users' platform."""
+"""Tests of the stand-in for a worker of the users' platform."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.fakes.processes import wait_until
 
 EVENTS = 50
-# How much longer than asked for a thread sleeps on a busy machine.
+# The factor by which threads oversleep on the simulated busy machine.
 OVERSLEEP_FACTOR = 5.0
 
 
 class TestStreamOnABusyMachine:
-    """Guards against streams that outlast their route's timeout by the stand-in."""
+    """Late wake-ups of the stand-in must not delay a stream beyond its timeout."""
 
     def test_lasts_as_long_as_on_an_idle_one(
         self, monkeypatch: pytest.MonkeyPatch
@@ -36,26 +36,26 @@
         monkeypatch.setattr(platform_worker, "time", late_time)
         with PlatformWorker("engine-1", "model", "decode", events=EVENTS) as worker:
             connection = http.client.HTTPConnection(worker.address, timeout=10.0)
-            begun_at = time.monotonic()
+            started_at = time.monotonic()
             connection.request("POST", "/", b"prompt", {"Request-Id": "request-1"})
             body = connection.getresponse().read()
-            lasted = time.monotonic() - begun_at
+            duration = time.monotonic() - started_at
             connection.close()
         assert body.count(b"id: ") == EVENTS
-        assert lasted < EVENTS * EVENT_PAUSE_SECONDS * OVERSLEEP_FACTOR / 2
+        assert duration < EVENTS * EVENT_PAUSE_SECONDS * OVERSLEEP_FACTOR / 2
 
 
-class TestCallerThatResetsItsConnection:
-    """Guards against callers that left, and were not noted since a write found out."""
+class TestClientThatResetsItsConnection:
+    """A disconnect that only a failed write reveals must be recorded as well."""
 
     def test_is_noted(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(WorkerHandler, "peer_is_open", lambda _: True)
         with PlatformWorker("engine-1", "model", "decode", events=EVENTS) as worker:
             host, _, port = worker.address.rpartition(":")
-            caller = socket.create_connection((host, int(port)))
-            caller.sendall(b"POST / HTTP/1.1\r\nRequest-Id: request-1\r\n\r\n")
-            assert caller.recv(1)
+            client = socket.create_connection((host, int(port)))
+            client.sendall(b"POST / HTTP/1.1\r\nRequest-Id: request-1\r\n\r\n")
+            assert client.recv(1)
             reset_on_close = struct.pack("ii", 1, 0)
-            caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close)
-            caller.close()
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close)
+            client.close()
             wait_until(lambda: worker.gone_clients == ["request-1"], "it is noted")
--- a/tests/fakes/test_sockets.py
+++ b/tests/fakes/test_sockets.py
@@ -1,4 +1,4 @@
-"""What the stand-ins ask of sockets."""
+"""Tests of the socket helpers of the stand-ins."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from tests.fakes._sockets import is_readable
 
-# Descriptors from here on are beyond what select takes.
-FIRST_BEYOND = 1024
+# The first descriptor that select rejects.
+SELECT_LIMIT = 1024
 
 
 @pytest.fixture
 def many_descriptors() -> Iterator[None]:
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = max(limits[0], 2 * FIRST_BEYOND)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, limits[1]))
+    raised = max(limits[0], 2 * SELECT_LIMIT)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (raised, limits[1]))
     yield
     resource.setrlimit(resource.RLIMIT_NOFILE, limits)
 
 
 class TestSocketWithAHighDescriptor:
-    """Guards against large runs in which stand-ins fail for want of descriptors."""
+    """Stand-ins must not fail in large runs, whose descriptors select rejects."""
 
     def test_is_readable_once_bytes_came(self, many_descriptors: None) -> None:
         one, other = socket.socketpair()
-        descriptor = fcntl.fcntl(one, fcntl.F_DUPFD, FIRST_BEYOND)
+        descriptor = fcntl.fcntl(one, fcntl.F_DUPFD, SELECT_LIMIT)
         with one, other, socket.socket(fileno=descriptor) as high:
             assert not is_readable(high, 0)
             other.sendall(b"x")
