--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -112,14 +112,14 @@
 @disturb_host.register
 def _(fault: _schedule.DiskLost, faults: Faults) -> None:
     faults.system.kill(fault.host)
-    faults.system.lose_disk(fault.host)
+    faults.system.remove_data_folder(fault.host)
     faults.pause(fault.seconds)
     faults.system.start(fault.host)
 
 
 @disturb_host.register
 def _(fault: _schedule.DiskFull, faults: Faults) -> None:
-    faults.system.fill_disk(fault.host)
+    faults.system.fail_writes(fault.host)
     faults.pause(fault.seconds)
     faults.system.kill(fault.host)
     faults.system.start(fault.host)
--- a/soak/_system.py
+++ b/soak/_system.py
@@ -189,11 +189,11 @@
 
     # Disks
 
-    def lose_disk(self, slot: str) -> None:
+    def remove_data_folder(self, slot: str) -> None:
         """Remove the data folder of a control host that does not run."""
         shutil.rmtree(self._folder / self.host_by_slot[slot].host.name)
 
-    def fill_disk(self, slot: str) -> None:
+    def fail_writes(self, slot: str) -> None:
         """Make the host's next writes fail, until its process ends."""
         process = self.host_by_slot[slot].host.process
         if process is not None and process.running:
@@ -206,17 +206,17 @@
         soak_host = self.host_by_slot[slot]
         with soak_host.lock:
             self.kill(slot)
-            self.lose_disk(slot)
+            self.remove_data_folder(slot)
             previous, soak_host.address = soak_host.address, free_address()
             name = f"control-{self._replaced}"
             self._replaced += 1
             platform.seeds[number] = soak_host.address
             platform.control_http[number] = http_address = free_address()
             operators = self.proxy_by_link[f"operator>{slot}"]
-            operators.target = _split(http_address)
+            operators.target = _parse_address(http_address)
             for other in CONTROLS:
                 if other != slot:
-                    self.proxy_by_link[f"{other}>{slot}"].target = _split(
+                    self.proxy_by_link[f"{other}>{slot}"].target = _parse_address(
                         soak_host.address
                     )
             soak_host.host = Host(self._folder, name, "control", "")
@@ -305,7 +305,7 @@
         return stack
 
 
-def _split(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
--- a/tests/fakes/fault_proxy.py
+++ b/tests/fakes/fault_proxy.py
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, target: str, address: str = "127.0.0.1:0") -> None:
-        self.target = _split(target)
+        self.target = _parse_address(target)
         self._lock = threading.Condition()
         self._links: set[_Link] = set()
         self._cut: set[Direction] = set()
@@ -92,7 +92,7 @@
         self._endings: list[Ending] = []
         self._stopped = False
         self.accepted = 0
-        self._bound = _split(address)
+        self._bound = _parse_address(address)
         self._listener = self._listen()
         self._bound = self._listener.getsockname()[:2]
 
@@ -298,7 +298,7 @@
     listener.close()
 
 
-def _split(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -339,7 +339,7 @@
     options = parser.parse_args()
     proxy = FaultProxy(options.target, options.address)
     handler = type("BoundHandler", (_ControlHandler,), {"proxy": proxy})
-    server = socketserver.ThreadingTCPServer(_split(options.control), handler)
+    server = socketserver.ThreadingTCPServer(_parse_address(options.control), handler)
     host, port = server.server_address[:2]
     ready = {"ready": True, "address": proxy.address, "control": f"{host!s}:{port}"}
     sys.stdout.write(json.dumps(ready) + "\n")
--- a/tests/fakes/test_platform_worker.py
+++ b/tests/fakes/test_platform_worker.py
@@ -45,7 +45,7 @@
         assert duration < EVENTS * EVENT_PAUSE_SECONDS * OVERSLEEP_FACTOR / 2
 
 
-class TestClientThatResetsItsConnection:
+class TestCallerThatResetsItsConnection:
     """A disconnect that only a failed write reveals must be recorded as well."""
 
     def test_is_noted(self, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -101,7 +101,7 @@
     """A client retries a request whose refusal says that it has not run."""
 
     @pytest.mark.parametrize("status", [503, 429, 421, 408])
-    def test_request_that_ran_all_the_same(
+    def test_refused_request_that_ran(
         self, observations: Observations, status: int
     ) -> None:
         observations.calls.append(call("unsafe-1", Kind.UNSAFE, status=status))
@@ -141,18 +141,14 @@
             EVENTS + b"id: 9",
         ],
     )
-    def test_events_that_are_not_the_stream(
-        self, observations: Observations, body: bytes
-    ) -> None:
+    def test_wrong_events(self, observations: Observations, body: bytes) -> None:
         observations.runs.append(run("stream-1"))
         observations.calls.append(call("stream-1", Kind.STREAM, body=body))
         assert violated_guarantees(_checks.check_answers, observations) == [
             "whole answers in order"
         ]
 
-    def test_stream_that_breaks_off_in_an_event(
-        self, observations: Observations
-    ) -> None:
+    def test_stream_that_ends_within_an_event(self, observations: Observations) -> None:
         observations.runs.append(run("stream-1"))
         cut = call("stream-1", Kind.STREAM, body=EVENTS[:50], outcome=Outcome.CUT)
         observations.calls.append(cut)
@@ -181,7 +177,7 @@
     @pytest.mark.parametrize(
         "target", ["entry-0", "client>entry-0", "plain-0", "entry>plain-0"]
     )
-    def test_fault_that_explains_it(
+    def test_fault_that_explains_the_loss(
         self, observations: Observations, target: str
     ) -> None:
         self.lose(observations)
@@ -190,7 +186,7 @@
         assert violated_guarantees(_checks.check_losses, observations) == []
 
     @pytest.mark.parametrize("target", ["entry-1", "client>entry-1", "plain-1"])
-    def test_fault_elsewhere_does_not(
+    def test_unrelated_fault_explains_nothing(
         self, observations: Observations, target: str
     ) -> None:
         self.lose(observations)
@@ -200,7 +196,7 @@
             "requests that are lost"
         ]
 
-    def test_planned_stop_does_not(self, observations: Observations) -> None:
+    def test_planned_stop_explains_nothing(self, observations: Observations) -> None:
         """A host receives SIGTERM and ends in the middle of a response."""
         self.lose(observations)
         stop = Disturbance("entry-0", "a stop", True, LONG_AGO - 1, LONG_AGO + 3)
@@ -250,7 +246,9 @@
         observations.disturbances.append(fault)
         assert violated_guarantees(_checks.check_departures, observations) == expected
 
-    def test_machine_that_stalls_stretches_it(self, observations: Observations) -> None:
+    def test_stall_of_the_machine_extends_the_bound(
+        self, observations: Observations
+    ) -> None:
         self.leave(observations, 0.1)
         observations.stalls.append((LONG_AGO, 0.1))
         assert violated_guarantees(_checks.check_departures, observations) == []
@@ -356,7 +354,7 @@
         )
 
     @pytest.mark.parametrize(("after_seconds", "excuses"), [(0.07, True), (0.6, False)])
-    def test_endpoint_that_ends_soon_need_not_be_notified(
+    def test_endpoint_that_ends_soon_need_not_be_told(
         self, observations: Observations, after_seconds: float, excuses: bool
     ) -> None:
         self.leave(observations)
--- a/tests/soak/test_system.py
+++ b/tests/soak/test_system.py
@@ -43,7 +43,7 @@
     def test_all_replicas_vote(self) -> None:
         assert is_ready(*VOTERS)
 
-    def test_lost_disk_whose_voter_is_still_the_one_before(self) -> None:
+    def test_lost_disk_whose_former_replica_is_still_a_voter(self) -> None:
         assert not is_ready("control-0/a", "control-1/new", "control-2/c")
 
     @pytest.mark.parametrize("lost", range(1, 3))
