--- a/src/jujubeslip/telemetry/__init__.py
+++ b/src/jujubeslip/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs, OpenTelemetry metrics, and a span for each hop."""
+"""Structured logs, OpenTelemetry metrics, and trace spans for each hop of a request."""
 
 from jujubeslip.telemetry._logs import configure_logging
 from jujubeslip.telemetry._meters import MILLISECOND_BUCKETS, Meters, observed
--- a/src/jujubeslip/telemetry/_meters.py
+++ b/src/jujubeslip/telemetry/_meters.py
@@ -13,12 +13,12 @@
 def observed(
     value: Callable[[], float],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
-    """Return what an observable gauge asks for the one value that it has."""
+    """Return a callback for an observable gauge that has a single value."""
     return lambda _: [Observation(value())]
 
 
 class Meters:
-    """Instruments by their attribute name; times in milliseconds."""
+    """The metric instruments of an entry host; durations are in milliseconds."""
 
     def __init__(self) -> None:
         meter = metrics.get_meter("jujubeslip")
--- a/src/jujubeslip/telemetry/_metrics_server.py
+++ b/src/jujubeslip/telemetry/_metrics_server.py
@@ -1,4 +1,4 @@
-"""The metrics of a process at an address of its own."""
+"""HTTP server for the metrics of a process, at an address of its own."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 def serve_metrics(
     settings: TelemetrySettings, telemetry: Telemetry, process: Process
 ) -> None:
-    """Serve the metrics as text, if the settings name an address.
+    """Serve the metrics as text if the settings contain a metrics address.
 
-    An address that can't be used is logged, and the process goes on without: it serves
-    clients, whoever watches it or not.
+    If the address can't be bound, this logs an error and the process continues without
+    the server: serving clients doesn't depend on monitoring.
     """
     if not settings.metrics_address:
         return
@@ -36,7 +36,7 @@
 
 
 class _MetricsApp:
-    """Answers every request with the metrics of now."""
+    """WSGI application that answers every request with the current metrics."""
 
     def __init__(self, metrics_text: Callable[[], str]) -> None:
         self._metrics_text = metrics_text
@@ -44,7 +44,7 @@
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Return the current metrics, whatever the method and path."""
         body = self._metrics_text().encode()
         headers = [("Content-Type", CONTENT_TYPE), ("Content-Length", str(len(body)))]
         start_response("200 OK", headers)
--- a/src/jujubeslip/telemetry/_metrics_text.py
+++ b/src/jujubeslip/telemetry/_metrics_text.py
@@ -1,4 +1,4 @@
-"""Metrics as text: a line for each value, as collectors read it."""
+"""Metrics in the Prometheus text format, one line per value."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 def metrics_as_text(data: MetricsData | None) -> str:
-    """Return all metrics, each with its description; empty before the first value."""
+    """Return all metrics with their descriptions; empty before the first value."""
     if data is None:
         return ""
     lines: list[str] = []
     for resource in data.resource_metrics:
         for scope in resource.scope_metrics:
             for metric in scope.metrics:
-                lines += _lines_of(metric)
+                lines += _metric_lines(metric)
     return "\n".join([*lines, ""])
 
 
-def _lines_of(metric: Metric) -> Iterator[str]:
+def _metric_lines(metric: Metric) -> Iterator[str]:
     name = metric.name.replace(".", "_")
     if metric.unit and metric.unit != "1":
         name = f"{name}_{metric.unit}"
     if isinstance(metric.data, Sum) and metric.data.is_monotonic:
         name = f"{name}_total"
     yield f"# HELP {name} {metric.description}"
-    yield f"# TYPE {name} {_type_of(metric)}"
+    yield f"# TYPE {name} {_metric_type(metric)}"
     if isinstance(metric.data, Histogram):
         for point in metric.data.data_points:
             yield from _histogram_lines(name, point)
@@ -43,7 +43,7 @@
             yield f"{name}{_labels(value.attributes)} {value.value}"
 
 
-def _type_of(metric: Metric) -> str:
+def _metric_type(metric: Metric) -> str:
     if isinstance(metric.data, Histogram):
         return "histogram"
     if isinstance(metric.data, Sum) and metric.data.is_monotonic:
@@ -61,13 +61,13 @@
     yield f"{name}_count{_labels(point.attributes)} {point.count}"
 
 
-def _labels(attributes: Mapping[str, Any] | None, **more: str) -> str:
-    labels = {**(attributes or {}), **more}
+def _labels(attributes: Mapping[str, Any] | None, **extra_labels: str) -> str:
+    labels = {**(attributes or {}), **extra_labels}
     if not labels:
         return ""
-    pairs = [f'{key}="{_escaped(str(value))}"' for key, value in labels.items()]
+    pairs = [f'{key}="{_escape(str(value))}"' for key, value in labels.items()]
     return "{" + ",".join(pairs) + "}"
 
 
-def _escaped(value: str) -> str:
+def _escape(value: str) -> str:
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/src/jujubeslip/telemetry/_setup.py
+++ b/src/jujubeslip/telemetry/_setup.py
@@ -1,4 +1,4 @@
-"""Providers of metrics and spans: exported when asked for, or read as text."""
+"""Metric and trace providers: exported by OTLP, served as text, or both."""
 
 from __future__ import annotations
 
@@ -17,18 +17,21 @@
 
 @dataclass(frozen=True)
 class Telemetry:
-    """What `configure_telemetry` opened."""
+    """Access to the providers that `configure_telemetry` opened."""
 
     shutdown: Callable[[], None]
-    """Exports what is left."""
+    """Exports the remaining spans and metrics, and closes the providers."""
     metrics_text: Callable[[], str]
-    """Returns the metrics of now; empty where they are not served."""
+    """Returns the current metrics; empty if the settings have no metrics address."""
 
 
 def configure_telemetry(
     settings: TelemetrySettings, host_id: str, availability_zone: str
 ) -> Telemetry:
-    """Open the providers; nothing is recorded that nobody can read."""
+    """Open the providers that the settings require.
+
+    Without a metrics address and without an OTLP endpoint nothing is recorded.
+    """
     resource = Resource.create(
         {
             "service.name": "jujubeslip",
@@ -37,47 +40,47 @@
         }
     )
     readers: list[MetricReader] = []
-    shut_down: list[Callable[[], None]] = []
-    text: Callable[[], str] = str
+    shutdown_callbacks: list[Callable[[], None]] = []
+    read_metrics: Callable[[], str] = str
     if settings.metrics_address:
         reader = InMemoryMetricReader()
         readers.append(reader)
-        text = _text_of(reader)
+        read_metrics = _metrics_reader(reader)
     if settings.otlp_endpoint:
-        shut_down.append(_export_spans(settings, resource))
+        shutdown_callbacks.append(_export_spans(settings, resource))
         readers.append(_metric_exporter(settings))
     if readers:
-        meters = MeterProvider(resource=resource, metric_readers=readers)
-        metrics.set_meter_provider(meters)
-        shut_down.append(meters.shutdown)
+        meter_provider = MeterProvider(resource=resource, metric_readers=readers)
+        metrics.set_meter_provider(meter_provider)
+        shutdown_callbacks.append(meter_provider.shutdown)
 
     def shutdown() -> None:
-        for stop in shut_down:
-            stop()
+        for callback in shutdown_callbacks:
+            callback()
 
-    return Telemetry(shutdown, text)
+    return Telemetry(shutdown, read_metrics)
 
 
-def _text_of(reader: InMemoryMetricReader) -> Callable[[], str]:
+def _metrics_reader(reader: InMemoryMetricReader) -> Callable[[], str]:
     return lambda: metrics_as_text(reader.get_metrics_data())
 
 
 def _export_spans(
     settings: TelemetrySettings, resource: Resource
 ) -> Callable[[], None]:
-    # Imported late: the exporters cost some 8 MB that a process without them saves.
+    # Imported only if needed: the exporters take some 8 MB of memory.
     from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
     from opentelemetry.sdk.trace.export import BatchSpanProcessor
 
-    spans = TracerProvider(resource=resource)
-    spans.add_span_processor(
+    provider = TracerProvider(resource=resource)
+    provider.add_span_processor(
         BatchSpanProcessor(
             OTLPSpanExporter(f"{settings.otlp_endpoint.rstrip('/')}/v1/traces"),
             schedule_delay_millis=settings.export_interval_ms,
         )
     )
-    trace.set_tracer_provider(spans)
-    return spans.shutdown
+    trace.set_tracer_provider(provider)
+    return provider.shutdown
 
 
 def _metric_exporter(settings: TelemetrySettings) -> MetricReader:
--- a/tests/telemetry/test_logs.py
+++ b/tests/telemetry/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines under load, and with a reader that reads no more."""
+"""Log handlers under load, and while the output stream blocks."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 
 
 def record(message: str, second: float = 100.0) -> logging.LogRecord:
-    made = logging.LogRecord("name", logging.INFO, "", 0, message, (), None)
-    made.created = second
-    return made
+    log_record = logging.LogRecord("name", logging.INFO, "", 0, message, (), None)
+    log_record.created = second
+    return log_record
 
 
-class TestReaderThatStops:
-    """What collects the output stands still; whoever writes a line would wait for it.
+class TestBlockedStream:
+    """Guards against requests that wait for a log line.
 
-    A board's request must not wait for a log line.
+    A log collector that stops reading the output stream blocks each thread that writes
+    to it.
     """
 
-    def test_costs_lines_which_are_counted(self) -> None:
-        waiting: queue.Queue[logging.LogRecord] = queue.Queue(2)
-        handler = DroppingHandler(waiting)
+    def test_drops_and_counts_lines(self) -> None:
+        queued_records: queue.Queue[logging.LogRecord] = queue.Queue(2)
+        handler = DroppingHandler(queued_records)
         for number in range(5):
             handler.emit(record(f"line {number}"))
-        waiting.get()
+        queued_records.get()
         handler.emit(record("after"))
-        lines = [waiting.get(), waiting.get()]
+        lines = [queued_records.get(), queued_records.get()]
         assert lines[1].dropped_before == 3  # type: ignore[attr-defined]
 
 
-class TestBurstOfOneKind:
-    def test_is_bounded_and_the_next_line_says_by_how_much(self) -> None:
-        limit = RateFilter(3)
-        passed = [limit.filter(record("refused")) for _ in range(10)]
+class TestRateFilter:
+    def test_limits_a_kind_and_reports_the_suppressed_count(self) -> None:
+        rate_filter = RateFilter(3)
+        passed = [rate_filter.filter(record("refused")) for _ in range(10)]
         assert passed.count(True) == 3
         following = record("refused", 101.0)
-        assert limit.filter(following)
+        assert rate_filter.filter(following)
         assert following.left_out_before == 7  # type: ignore[attr-defined]
 
-    def test_leaves_other_kinds_alone(self) -> None:
-        limit = RateFilter(1)
-        limit.filter(record("refused"))
-        assert limit.filter(record("served"))
+    def test_does_not_limit_other_kinds(self) -> None:
+        rate_filter = RateFilter(1)
+        rate_filter.filter(record("refused"))
+        assert rate_filter.filter(record("served"))
--- a/tests/telemetry/test_metrics_text.py
+++ b/tests/telemetry/test_metrics_text.py
@@ -1,4 +1,4 @@
-"""Metrics as a collector reads them."""
+"""The text format of metrics."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     return MeterProvider(metric_readers=[reader]), reader
 
 
-class TestText:
+class TestMetricsAsText:
     def test_is_empty_before_the_first_value(self) -> None:
         _, reader = _provider()
         assert metrics_as_text(reader.get_metrics_data()) == ""
 
-    def test_counts_by_labels(self) -> None:
+    def test_counter_has_a_line_for_each_label_set(self) -> None:
         provider, reader = _provider()
         counter = provider.get_meter("test").create_counter(
             "test.requests", description="Requests."
@@ -30,7 +30,7 @@
         assert 'test_requests_total{kind="safe"} 2' in lines
         assert 'test_requests_total{kind="a \\"quoted\\" one"} 1' in lines
 
-    def test_histogram_counts_up_to_each_bound(self) -> None:
+    def test_histogram_buckets_are_cumulative(self) -> None:
         provider, reader = _provider()
         histogram = provider.get_meter("test").create_histogram(
             "test.wait", unit="ms", explicit_bucket_boundaries_advisory=[10, 100]
