--- a/src/jujubeslip/tracing/__init__.py
+++ b/src/jujubeslip/tracing/__init__.py
@@ -1,4 +1,4 @@
-"""One request's way through the system, read back from the lines that hosts wrote."""
+"""The steps of one request, and the cause of its end, from the logs of the hosts."""
 
 from jujubeslip.tracing._causes import cause_of
 from jujubeslip.tracing._models import Line
--- a/src/jujubeslip/tracing/_causes.py
+++ b/src/jujubeslip/tracing/_causes.py
@@ -1,4 +1,4 @@
-"""Why a request ended as it did, in a sentence."""
+"""Explains in a sentence why a request ended with its outcome."""
 
 from __future__ import annotations
 
@@ -8,58 +8,58 @@
 from jujubeslip.tracing._models import Line, RequestEnd, read_end
 
 END_MESSAGE = "request ended"
-REFUSAL_MESSAGE = "no grant at an engine"
+NO_GRANT_MESSAGE = "no grant at an engine"
 KEY_MESSAGE = "key not accepted"
 LIMIT_MESSAGE = "request not within its account's limit"
 ENDPOINT_LIMIT_MESSAGE = "request not within its endpoint's limit"
 BACKOFF_MESSAGE = "request refused during backoff"
 QUARANTINE_MESSAGE = "request quarantined"
-CUT_MESSAGE = "run cut off"
+INTERRUPTION_MESSAGE = "run cut off"
 _STEP = re.compile(r"(?P<ms>\d+) ms (?P<endpoint>\S+): (?P<what>.*)")
 
-Explain = Callable[[RequestEnd, Sequence[Line]], str]
+CauseFunction = Callable[[RequestEnd, Sequence[Line]], str]
 
 
 def cause_of(lines: Sequence[Line]) -> str:
-    """Return the cause that the lines of one request show."""
+    """Return a sentence with the cause of a request's end, from its log lines."""
     ends = [line for line in lines if line.message == END_MESSAGE]
     if not ends:
-        return _without_end(lines)
+        return _cause_without_end(lines)
     end = read_end(ends[-1])
-    explain = _EXPLAIN_BY_OUTCOME.get(end.outcome, _other)
+    explain = _EXPLAIN_BY_OUTCOME.get(end.outcome, _other_outcome)
     return explain(end, lines)
 
 
-def _without_end(lines: Sequence[Line]) -> str:
+def _cause_without_end(lines: Sequence[Line]) -> str:
     if not lines:
         return "No line names this request: it reached none of these hosts."
     refusals = [line for line in lines if line.message == KEY_MESSAGE]
     if refusals:
-        return _unknown_key(refusals[-1])
+        return _key_refusal(refusals[-1])
     return (
-        "No host wrote its end: it is being served, its host stopped, or the line was "
-        "left out (see left_out_before and dropped_before of later lines)."
+        "No host logged its end: it is still served, its host stopped, or the line was "
+        "dropped (see left_out_before and dropped_before of later lines)."
     )
 
 
-def _unknown_key(line: Line) -> str:
+def _key_refusal(line: Line) -> str:
     fields = line.fields
-    sent = "It sent a key" if fields.get("has_key") else "It sent no single key"
+    key_text = "It sent a key" if fields.get("has_key") else "It sent no single key"
     return (
         f"Refused with 401, not run: {fields.get('reason')} in configuration "
-        f"{fields.get('version')}. {sent}, and its route is not public."
+        f"{fields.get('version')}. {key_text}, and its route is not public."
     )
 
 
-def _key_taken(end: RequestEnd, lines: Sequence[Line]) -> str:
+def _key_refused(end: RequestEnd, lines: Sequence[Line]) -> str:
     refusals = [line for line in lines if line.message == KEY_MESSAGE]
-    return _unknown_key(refusals[-1]) if refusals else _other(end, lines)
+    return _key_refusal(refusals[-1]) if refusals else _other_outcome(end, lines)
 
 
 def _over_limit(end: RequestEnd, lines: Sequence[Line]) -> str:
     refusals = [line for line in lines if line.message == LIMIT_MESSAGE]
     if not refusals:
-        return "Refused, not run: its account's limit; no line says what was left."
+        return "Refused, not run: its account's limit; no line has the details."
     fields = refusals[-1].fields
     return (
         f"Refused, not run: it counts {fields.get('cost')} against the limit of "
@@ -72,16 +72,16 @@
     refusals = [line for line in lines if line.message == ENDPOINT_LIMIT_MESSAGE]
     if not refusals:
         return (
-            "Refused, not run: the limits that the endpoints of its service named were "
-            "used a moment before; see `request not within its endpoint's limit` of "
-            "other requests on this host."
+            "Refused, not run: the limits that the endpoints of its service reported "
+            "were used up shortly before; see `request not within its endpoint's "
+            "limit` of other requests on this host."
         )
     fields = refusals[-1].fields
-    asked = "the leader" if fields.get("leader") else "the hosts without a leader"
+    granted_by = "the leader" if fields.get("leader") else "the hosts without a leader"
     return (
         f"Refused, not run: endpoint {fields.get('start_id')} takes "
-        f"{fields.get('per_second')} requests a second from all hosts, as it said "
-        f"{fields.get('named_ago_ms')} ms before, and {asked} had none left for "
+        f"{fields.get('per_second')} requests a second from all hosts, as it reported "
+        f"{fields.get('named_ago_ms')} ms before, and {granted_by} had none left for "
         f"{fields.get('wait_ms')} ms."
     )
 
@@ -91,14 +91,14 @@
     if not refusals:
         return (
             "Refused, not run: all endpoints of its service were in backoff; no line "
-            "names them."
+            "names the endpoints."
         )
     fields = refusals[-1].fields
-    named = ", ".join(fields.get("start_ids") or ["of its service"])
+    endpoint_names = ", ".join(fields.get("start_ids") or ["endpoints of its service"])
     return (
-        f"Refused, not run: no endpoint may be asked, and {named} had asked this host "
-        f"for backoff, the first for {fields.get('wait_ms')} ms more; see its lines "
-        "`endpoint asked for backoff` before that."
+        f"Refused, not run: no endpoint was available, and {endpoint_names} had asked "
+        f"this host for backoff, which ends first after {fields.get('wait_ms')} ms; "
+        "see earlier lines `endpoint asked for backoff` of this host."
     )
 
 
@@ -106,43 +106,43 @@
     refusals = [line for line in lines if line.message == QUARANTINE_MESSAGE]
     if not refusals:
         return (
-            "Refused, not run: its content is in quarantine; no line says since when."
+            "Refused, not run: its content is in quarantine; no line has the details."
         )
     fields = refusals[-1].fields
     return (
         f"Refused, not run: its content {fields.get('fingerprint')} is in quarantine "
         f"for {fields.get('held_for_ms')} ms more, since equal requests have ended "
-        f"{fields.get('crashes')} endpoints one after another; "
-        "`jujubeslip quarantine lift` ends that."
+        f"{fields.get('crashes')} endpoints in succession; "
+        "`jujubeslip quarantine lift` ends the quarantine."
     )
 
 
-def _no_room(end: RequestEnd, lines: Sequence[Line]) -> str:
-    refusals = [line for line in lines if line.message == REFUSAL_MESSAGE]
+def _no_capacity(end: RequestEnd, lines: Sequence[Line]) -> str:
+    refusals = [line for line in lines if line.message == NO_GRANT_MESSAGE]
     if refusals:
         fields = refusals[-1].fields
         return (
-            "Refused, not run: the leader found no engine with room for its "
-            f"{fields.get('prompt_tokens')} prompt tokens and for what all answers "
-            f"there will grow by; it forecast a wait of {fields.get('forecast_ms')} ms."
+            "Refused, not run: the leader found no engine with enough free memory for "
+            f"its {fields.get('prompt_tokens')} prompt tokens and for the growth of "
+            f"all answers there; it forecast a wait of {fields.get('forecast_ms')} ms."
         )
     return (
-        "Refused, not run: no engine had room in time, and no leader was asked; "
-        f"{_last_step(end)}."
+        "Refused, not run: no engine had free capacity in time, and no leader was "
+        f"asked; {_last_step(end)}."
     )
 
 
 def _answer_lost(end: RequestEnd, lines: Sequence[Line]) -> str:
-    endpoint, what = _failed_step(end)
+    endpoint, result = _failed_step(end)
     return (
-        f"Its answer was lost: endpoint {endpoint} took it and ended with {what}"
-        f"{_crash(lines)}. It may have run there, and was not sent again, since its "
-        "route does not allow that or nothing was left for it."
+        f"Its answer was lost: endpoint {endpoint} took it and ended with {result}"
+        f"{_endpoint_crash(lines)}. It may have run there, and was not sent "
+        "again, since its route does not allow that or no attempt or time was left."
     )
 
 
-def _crash(lines: Sequence[Line]) -> str:
-    cuts = [line for line in lines if line.message == CUT_MESSAGE]
+def _endpoint_crash(lines: Sequence[Line]) -> str:
+    cuts = [line for line in lines if line.message == INTERRUPTION_MESSAGE]
     if not cuts or not cuts[-1].fields.get("endpoint_ended"):
         return ""
     return f", as its process had ended (content {cuts[-1].fields.get('fingerprint')})"
@@ -162,32 +162,32 @@
 
 def _no_endpoint(end: RequestEnd, lines: Sequence[Line]) -> str:
     return (
-        "Refused, not run: its host knew no usable endpoint of the service; see its "
-        "lines `endpoint changed` and `endpoint skipped` before that."
+        "Refused, not run: its host knew no usable endpoint of the service; see "
+        "earlier lines `endpoint changed` and `endpoint skipped` of this host."
     )
 
 
 def _client_left(end: RequestEnd, lines: Sequence[Line]) -> str:
-    return f"Its client closed the connection; until then: {_last_step(end)}."
+    return f"Its client closed the connection; before that: {_last_step(end)}."
 
 
-def _cut(end: RequestEnd, lines: Sequence[Line]) -> str:
-    endpoint, what = _failed_step(end)
+def _answer_cut(end: RequestEnd, lines: Sequence[Line]) -> str:
+    endpoint, result = _failed_step(end)
     return (
-        f"Its answer broke off at endpoint {endpoint} with {what}, after some events; "
-        "its client was shown that it is not whole."
+        f"Its answer was cut off at endpoint {endpoint} with {result}, after some "
+        "events; its client was shown that the answer is incomplete."
     )
 
 
-def _served(end: RequestEnd, lines: Sequence[Line]) -> str:
-    late = _late_first_event(end)
-    if late:
-        return f"Answered whole, late: {late}"
+def _answered(end: RequestEnd, lines: Sequence[Line]) -> str:
+    late_cause = _late_first_event(end)
+    if late_cause:
+        return f"Answered whole, late: {late_cause}"
     if end.maximum_gap_ms and end.longest_gap_ms > end.maximum_gap_ms:
         return (
             f"Answered whole, late: it paused for {end.longest_gap_ms} ms, "
-            f"{end.maximum_gap_ms} ms are allowed. Its engine pushed it out, or read "
-            "another prompt by itself meanwhile."
+            f"{end.maximum_gap_ms} ms are allowed. Its decode engine evicted it from "
+            "memory, or prefilled another prompt itself at that time."
         )
     return "Answered whole and in time."
 
@@ -199,39 +199,39 @@
     longest, step = _longest_wait(end)
     return (
         f"its first event came after {first} ms, {end.target_ms} ms are allowed; "
-        f"{longest} ms of it until `{step}`{_reread(end)}."
+        f"{longest} ms of it until `{step}`{_repeated_prefill(end)}."
     )
 
 
-def _reread(end: RequestEnd) -> str:
-    read = any(step.endswith("prompt read") for step in end.steps)
-    refused = any("endpoint_refused" in step for step in end.steps)
-    if read and refused:
+def _repeated_prefill(end: RequestEnd) -> str:
+    is_prefilled = any(step.endswith("prompt read") for step in end.steps)
+    is_refused = any("endpoint_refused" in step for step in end.steps)
+    if is_prefilled and is_refused:
         return (
-            "; its prompt had been read, its memory was gone when the answering engine "
-            "fetched it, and the prompt was read again"
+            "; its prompt had been prefilled, its KV cache was lost before the decode "
+            "engine fetched it, and the prompt was prefilled again"
         )
     return ""
 
 
 def _longest_wait(end: RequestEnd) -> tuple[int, str]:
     waits = []
-    before = 0
+    previous = 0
     for step in end.steps:
-        found = _STEP.match(step)
-        if found is None:
+        match = _STEP.match(step)
+        if match is None:
             continue
-        now = int(found["ms"])
-        waits.append((now - before, found["what"]))
-        before = now
+        elapsed = int(match["ms"])
+        waits.append((elapsed - previous, match["what"]))
+        previous = elapsed
     return max(waits, default=(0, "the request came"))
 
 
 def _failed_step(end: RequestEnd) -> tuple[str, str]:
     for step in reversed(end.steps):
-        found = _STEP.match(step)
-        if found is not None and "ran=True" in found["what"]:
-            return found["endpoint"], found["what"].split()[0]
+        match = _STEP.match(step)
+        if match is not None and "ran=True" in match["what"]:
+            return match["endpoint"], match["what"].split()[0]
     return "-", "no answer"
 
 
@@ -239,21 +239,21 @@
     return f"last step: {end.steps[-1]}" if end.steps else "nothing was sent"
 
 
-def _other(end: RequestEnd, lines: Sequence[Line]) -> str:
+def _other_outcome(end: RequestEnd, lines: Sequence[Line]) -> str:
     if end.outcome.isdigit():
         return (
-            f"An endpoint answered {end.outcome}, which was passed on; "
+            f"An endpoint answered {end.outcome}, which was forwarded to the client; "
             f"{_last_step(end)}."
         )
-    return f"Ended as {end.outcome}, ran {end.ran}; {_last_step(end)}."
+    return f"Ended with outcome {end.outcome}, ran {end.ran}; {_last_step(end)}."
 
 
-_EXPLAIN_BY_OUTCOME: dict[str, Explain] = {
-    "no_room": _no_room,
+_EXPLAIN_BY_OUTCOME: dict[str, CauseFunction] = {
+    "no_room": _no_capacity,
     "request_quarantined": _quarantined,
     "endpoint_limit": _over_endpoint_limit,
     "endpoint_backoff": _endpoints_in_backoff,
-    "client_unknown": _key_taken,
+    "client_unknown": _key_refused,
     "client_limit": _over_limit,
     "limit_unknown": _over_limit,
     "answer_lost": _answer_lost,
@@ -262,7 +262,7 @@
     "no_endpoint": _no_endpoint,
     "caller_gone": _client_left,
     "left": _client_left,
-    "answer_cut": _cut,
-    "whole": _served,
-    "200": _served,
+    "answer_cut": _answer_cut,
+    "whole": _answered,
+    "200": _answered,
 }
--- a/src/jujubeslip/tracing/_models.py
+++ b/src/jujubeslip/tracing/_models.py
@@ -1,4 +1,4 @@
-"""Lines of a log, and the end of a request as one of them tells it."""
+"""A log line, and the end of a request as its last line records it."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One line that a host wrote about a request."""
+    """One log line of a host about a request."""
 
     time: str
-    """Time of day in ISO 8601, which orders lines of hosts with like clocks."""
+    """Time in ISO 8601; sorts the lines of hosts whose clocks agree."""
     source: str
-    """The file that it was read from."""
+    """Name of the file that contains the line."""
     message: str
     fields: Mapping[str, Any]
-    """What else the line says."""
+    """All other fields of the line."""
 
 
 @dataclass(frozen=True)
 class RequestEnd:
-    """What an entry host wrote when a request ended."""
+    """The line that an entry host writes when a request ends."""
 
     outcome: str
     ran: str
     steps: tuple[str, ...]
-    """What was done, in order: "MILLISECONDS ms ENDPOINT: what came of it"."""
+    """The steps in order, each as "MILLISECONDS ms ENDPOINT: RESULT"."""
     first_event_ms: int | None
     target_ms: int
-    """Until when an answer, or its first event, is in time."""
+    """Target time of the answer, or of the first event of a stream."""
     longest_gap_ms: int
     maximum_gap_ms: int
-    """Longest pause between two events that is in time; 0 without such a bound."""
+    """Maximum allowed pause between two events; 0 if there is no such bound."""
 
 
 def read_end(line: Line) -> RequestEnd:
-    """Return what the last line of a request says."""
+    """Return the end of a request from its last line."""
     fields = line.fields
     return RequestEnd(
         str(fields.get("outcome", "")),
--- a/tests/cli/test_trace_command.py
+++ b/tests/cli/test_trace_command.py
@@ -112,7 +112,10 @@
         text = trace(system, tmp_path)
         engines.leave()
         assert "control-0.log no grant at an engine" in text
-        assert "cause: Refused, not run: the leader found no engine with room" in text
+        assert (
+            "cause: Refused, not run: the leader found no engine with enough free "
+            "memory for its 100 prompt tokens" in text
+        )
         assert "100 prompt tokens" in text
 
 
@@ -148,7 +151,7 @@
         text = trace(system, tmp_path)
         engines.leave()
         assert "cause: Answered whole, late: its first event came after" in text
-        assert "its prompt had been read, its memory was gone" in text
+        assert "its prompt had been prefilled, its KV cache was lost" in text
 
 
 class TestUnknownRequest:
