--- a/src/jujubeslip/cli/__init__.py
+++ b/src/jujubeslip/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line, `jujubeslip`."""
+"""The `jujubeslip` command-line interface."""
 
-# Imported first: see its doc string for what it catches while the rest is loaded.
+# Imported first to handle SIGHUP while the other modules load; see its docstring.
 from jujubeslip import _reload_signal as _reload_signal
 from jujubeslip.cli._main import main
 
--- a/src/jujubeslip/cli/__main__.py
+++ b/src/jujubeslip/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m jujubeslip.cli` is the same as `jujubeslip`."""
+"""Runs the `jujubeslip` command as `python -m jujubeslip.cli`."""
 
 from jujubeslip.cli import main
 
--- a/src/jujubeslip/cli/_change_commands.py
+++ b/src/jujubeslip/cli/_change_commands.py
@@ -1,4 +1,4 @@
-"""Commands that change and show the declaration in force."""
+"""Commands that apply, show and list revisions of the declaration."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 APPLY_SECONDS = 10.0
 ENTRY_TIMEOUT = 1.0
-LOOK_INTERVAL = 0.1
+POLL_INTERVAL = 0.1
 
 
 @click.command()
@@ -39,17 +39,17 @@
 @click.option(
     "--base",
     type=int,
-    help="Revision that the file was made from; the one in force if not given.",
+    help="Revision that the file is based on; by default the one in force.",
 )
 @click.option(
     "--change-id",
-    help="Id of this change; give the same one again after a lost answer.",
+    help="Id of this change; to retry after a lost answer, give the same id.",
 )
 @click.option(
     "--wait",
     "entry",
     type=ADDRESS,
-    help="Wait until the change is in force on the hosts that this entry host knows.",
+    help="Wait until the change is in force on all hosts that this entry host knows.",
 )
 @click.option("--wait-seconds", default=6.0, show_default=True)
 @json_option
@@ -63,7 +63,7 @@
     wait_seconds: float,
     as_json: bool,
 ) -> None:
-    """Apply a declaration; exactly one of two with the same base is accepted."""
+    """Apply a declaration; exactly one of several with the same base is accepted."""
     text, _ = read_declaration(path)
     control = open_control(control_addresses, peer_secret)
     change_id = change_id or uuid.uuid4().hex
@@ -74,18 +74,20 @@
         request = ApplyRequest(change_id, base, text, operator_name())
         reply = control.apply_configuration(request, Deadline.after(APPLY_SECONDS))
     if not reply.accepted:
-        _exit_lost(text, reply)
+        _exit_with_conflict(text, reply)
     fields = {"accepted": True, "revision": reply.revision, "change_id": change_id}
     if entry:
-        fields.update(_wait(entry, peer_secret, reply.revision, wait_seconds))
+        fields.update(
+            _wait_until_in_force(entry, peer_secret, reply.revision, wait_seconds)
+        )
     print_fields(fields, as_json)
 
 
-def _exit_lost(text: str, reply: ApplyReply) -> None:
+def _exit_with_conflict(text: str, reply: ApplyReply) -> None:
     click.echo(
         f"not accepted: revision {reply.revision} by {reply.winner_operator} (change "
-        f"{reply.winner_change_id}) came first. Make the change from it and apply "
-        "again. It differs from this file:",
+        f"{reply.winner_change_id}) was accepted before it. Base the change on that "
+        "revision and apply it again. The revision differs from this file:",
         err=True,
     )
     difference = difflib.unified_diff(
@@ -99,10 +101,13 @@
     sys.exit(EXIT_REFUSED)
 
 
-def _wait(
+def _wait_until_in_force(
     entry: str, peer_secret: str, revision: int, seconds: float
 ) -> dict[str, object]:
-    """Return how many living hosts have the revision, and which don't."""
+    """Wait until all living hosts have the revision, or the time is up.
+
+    Returns how many living hosts have it, and which don't.
+    """
     client = open_entry(entry, peer_secret)
     deadline = Deadline.after(seconds)
     while True:
@@ -118,7 +123,7 @@
                 "in_force": len(living) - len(behind),
                 "not_in_force": behind,
             }
-        time.sleep(LOOK_INTERVAL)
+        time.sleep(POLL_INTERVAL)
 
 
 @click.command()
@@ -138,8 +143,8 @@
 
 @click.command()
 @control_options
-@click.option("--limit", default=20, show_default=True, help="How many to show.")
-@click.option("--diff", "with_diff", is_flag=True, help="Show what each one changed.")
+@click.option("--limit", default=20, show_default=True, help="Number of revisions.")
+@click.option("--diff", "with_diff", is_flag=True, help="Show each revision's changes.")
 @json_option
 def history(
     control_addresses: tuple[str, ...],
@@ -148,7 +153,7 @@
     with_diff: bool,
     as_json: bool,
 ) -> None:
-    """Show the latest revisions, the newest first."""
+    """Show the latest revisions, newest first."""
     control = open_control(control_addresses, peer_secret)
     with exit_on_refusal():
         changes = control.history(limit)
--- a/src/jujubeslip/cli/_check_commands.py
+++ b/src/jujubeslip/cli/_check_commands.py
@@ -1,4 +1,4 @@
-"""Commands that work on files alone."""
+"""Commands that check and explain local files, without a running system."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     type=click.Choice(["declaration", "routes", "entry", "forward", "control"]),
     default="declaration",
     show_default=True,
-    help="What the file is.",
+    help="What the file contains.",
 )
 @interface_option
 def check(path: Path, kind: str, interface: str | None) -> None:
-    """Check a declaration, routes or a settings file; exit 3 if it can't be used."""
+    """Check a declaration, routes or a settings file; exit with 3 if it is invalid."""
     if kind == "entry":
         settings_or_exit(load_entry_settings(path))
     elif kind == "forward":
@@ -53,7 +53,7 @@
 
 
 def read_declaration(path: Path) -> tuple[str, Declaration]:
-    """Return a declaration's text and its value, or print what is wrong and exit."""
+    """Return a declaration's text and its parsed value, or print errors and exit."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -108,7 +108,7 @@
     availability_zone: str,
     as_json: bool,
 ) -> None:
-    """Print which rule a request would match, and why the earlier ones don't."""
+    """Print which rule a request would match, and why no earlier rule applies."""
     _, declaration = read_declaration(path)
     declared = declaration.service_by_name.get(service)
     facts = RequestFacts(
--- a/src/jujubeslip/cli/_connection.py
+++ b/src/jujubeslip/cli/_connection.py
@@ -1,4 +1,4 @@
-"""Options by which operators' commands find and prove themselves to the system."""
+"""Options and clients for connections from operators' commands to the system."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AddressType(click.ParamType):
-    """An IP:PORT on the command line, checked as in the settings."""
+    """An IP:PORT argument, validated as in the settings."""
 
     name = "IP:PORT"
 
@@ -37,31 +37,31 @@
     "--peer-secret",
     envvar="JUJUBESLIP_PEER_SECRET",
     required=True,
-    help="The peer_secret of the settings; better given by the environment variable "
+    help="The peer_secret of the settings; preferably set by the environment variable "
     "JUJUBESLIP_PEER_SECRET.",
 )
 
 
 def control_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that name the control hosts."""
+    """Add the options with the addresses of the control hosts and the peer secret."""
     control = click.option(
         "--control",
         "control_addresses",
         multiple=True,
         required=True,
         type=ADDRESS,
-        help="Peer address of a control host; give it for each.",
+        help="Peer address of a control host; repeat it for each.",
     )
     return control(secret_option(command))
 
 
 def operator_name() -> str:
-    """Return the name by which a change is recorded."""
+    """Return the name that is recorded with a change: the current user's."""
     return getpass.getuser()
 
 
 def operator_identity(peer_secret: str) -> PeerIdentity:
-    """Return the identity of this command."""
+    """Return the identity that this command uses toward peers."""
     return PeerIdentity(f"operator-{operator_name()}", new_incarnation(), peer_secret)
 
 
--- a/src/jujubeslip/cli/_main.py
+++ b/src/jujubeslip/cli/_main.py
@@ -1,4 +1,4 @@
-"""The command group; each module of commands adds its own."""
+"""The main command group, with the commands of the other modules."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 def main() -> None:
     """Route requests to separate prefill and decode pools.
 
-    Exit codes: 0 done; 1 refused or not reached, with the remedy on standard error;
-    2 the command line was wrong; 3 a file was not valid.
+    Exit codes: 0 success; 1 refused or host unreachable, with the remedy on standard
+    error; 2 invalid command line; 3 invalid file.
     """
-    # The library writes a line for each try that fails, before the command's own
-    # error, which has the remedy.
+    # The thrift library logs each failed connection attempt, and would write before
+    # the command's own error, which contains the remedy.
     logging.getLogger("thrift").setLevel(logging.CRITICAL)
 
 
--- a/src/jujubeslip/cli/_output.py
+++ b/src/jujubeslip/cli/_output.py
@@ -1,4 +1,4 @@
-"""Output for people and, with --json, for scripts."""
+"""Output as text and, with --json, as JSON for scripts."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 def print_fields(fields: dict[str, Any], as_json: bool) -> None:
     """Print one object, as `key: value` lines or as one line of JSON."""
     if as_json:
-        click.echo(json.dumps(fields, default=_plain))
+        click.echo(json.dumps(fields, default=_json_value))
         return
     for key, value in fields.items():
         click.echo(f"{key}: {_text(value)}")
 
 
 def thrift_fields(message: object) -> dict[str, Any]:
-    """Return a Thrift message as a plain object for output."""
-    fields = {key: _plain(value) for key, value in vars(message).items()}
+    """Return a Thrift message as a dictionary of JSON values."""
+    fields = {key: _json_value(value) for key, value in vars(message).items()}
     if isinstance(message, HostState):
         fields["status"] = HostStatus(message.status).name.lower()
     return fields
 
 
-def _plain(value: Any) -> Any:
+def _json_value(value: Any) -> Any:
     if isinstance(value, enum.Enum):
         return value.name.lower()
     if isinstance(value, bytes):
         return value.decode(errors="replace")
     if isinstance(value, list):
-        return [_plain(item) for item in value]
+        return [_json_value(item) for item in value]
     if hasattr(value, "thrift_spec"):
         return thrift_fields(value)
     return value
@@ -60,7 +60,7 @@
 
 
 def exit_with_problems(problems: Iterable[SettingsProblem]) -> NoReturn:
-    """Print what is wrong in a file, a line each, and exit."""
+    """Print the problems of a file, one per line, and exit."""
     for problem in problems:
         click.echo(str(problem), err=True)
     sys.exit(EXIT_FILE_INVALID)
@@ -68,7 +68,7 @@
 
 @contextmanager
 def exit_on_refusal() -> Iterator[None]:
-    """Print a refusal that leaves the block, with its remedy, and exit."""
+    """Print an error that is raised in the block, with its remedy, and exit."""
     try:
         yield
     except (JujubeslipError, PeerRefusal) as error:
--- a/src/jujubeslip/cli/_quarantine_commands.py
+++ b/src/jujubeslip/cli/_quarantine_commands.py
@@ -1,4 +1,4 @@
-"""Commands about contents of requests that crash endpoints."""
+"""Commands for the quarantine of request contents that crash endpoints."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ContentUnknownError(JujubeslipError):
-    """A fingerprint of which no crash is known."""
+    """No crash is known for the fingerprint."""
 
     error_id = "content_unknown"
     default_remedy = "Take the fingerprint from `jujubeslip quarantine list`."
@@ -18,7 +18,7 @@
 
 @click.group()
 def quarantine() -> None:
-    """Show and lift what is held back since it crashes endpoints."""
+    """Show and lift the quarantine of contents that crash endpoints."""
 
 
 @quarantine.command("list")
@@ -27,7 +27,7 @@
 def list_quarantined(
     control_addresses: tuple[str, ...], peer_secret: str, as_json: bool
 ) -> None:
-    """Show the contents of requests that are held back, with their crashes."""
+    """Show the request contents in quarantine, with their crashes."""
     control = open_control(control_addresses, peer_secret)
     with exit_on_refusal():
         contents = [thrift_fields(item) for item in control.quarantined()]
@@ -40,9 +40,9 @@
 def lift(
     fingerprint: str, control_addresses: tuple[str, ...], peer_secret: str
 ) -> None:
-    """Let requests of this content run again; its crashes are forgotten."""
+    """Lift the quarantine of this content and forget its crashes."""
     control = open_control(control_addresses, peer_secret)
     with exit_on_refusal():
         if not control.lift_quarantine(fingerprint):
-            raise ContentUnknownError(f"No crash of {fingerprint!r} is known.")
+            raise ContentUnknownError(f"No crash is known for {fingerprint!r}.")
     click.echo(f"{fingerprint} may run again.")
--- a/src/jujubeslip/cli/_replica_commands.py
+++ b/src/jujubeslip/cli/_replica_commands.py
@@ -1,4 +1,4 @@
-"""Commands that change which control hosts keep the replicated log."""
+"""Commands that change the replicas of the replicated log."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @click.group()
 def replica() -> None:
-    """Change which control hosts keep the replicated log, one at a time."""
+    """Change which control hosts are replicas of the log, one at a time."""
 
 
 @replica.command()
 @host_argument
 @control_options
 def add(host_id: str, control_addresses: tuple[str, ...], peer_secret: str) -> None:
-    """Let a host join; then start it with an empty data folder."""
+    """Admit a host as a replica; then start it with an empty data folder."""
 
     def change(control: ControlClient, deadline: Deadline) -> None:
         control.add_replica(host_id, deadline)
@@ -41,13 +41,13 @@
 @host_argument
 @control_options
 def remove(host_id: str, control_addresses: tuple[str, ...], peer_secret: str) -> None:
-    """Take a host out of the replicas, for good."""
+    """Remove a host from the replicas permanently."""
 
     def change(control: ControlClient, deadline: Deadline) -> None:
         control.remove_replica(host_id, deadline)
 
     _change(change, control_addresses, peer_secret)
-    click.echo(f"{host_id} is no replica any more.")
+    click.echo(f"{host_id} is no longer a replica.")
 
 
 def _change(
@@ -62,14 +62,16 @@
 
 @replica.command("recover")
 @settings_option
-@click.option("--confirm", is_flag=True, help="Do it; without, only show the state.")
+@click.option(
+    "--confirm", is_flag=True, help="Recover; by default only show the state."
+)
 @json_option
 def recover_replica(settings_path: Path, confirm: bool, as_json: bool) -> None:
-    """Go on alone from this data folder, after a majority was lost for good.
+    """Continue alone from this data folder, after a majority was lost permanently.
 
     Stop the process first. Without --confirm nothing changes: compare last_term, then
-    last_index, of all survivors, and take the highest. What only the lost hosts had
-    accepted is lost.
+    last_index, of all surviving hosts, and recover the highest. Entries that only the
+    lost hosts had accepted are lost.
     """
     settings = settings_or_exit(load_control_settings(settings_path))
     with exit_on_refusal():
--- a/src/jujubeslip/cli/_route_commands.py
+++ b/src/jujubeslip/cli/_route_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the routes of an operator's numbered configuration."""
+"""Commands for the routes of a numbered configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 interface_option = click.option(
     "--interface",
-    help="Interface whose format the routes are in; needed if there are several.",
+    help="Interface that reads the routes; required if there are several.",
 )
 
 
@@ -28,16 +28,17 @@
 def explain_route(
     path: Path, host: str, target: str, interface: str | None, as_json: bool
 ) -> None:
-    """Print which route a request would match, and why the earlier ones don't."""
+    """Print which route a request would match, and why no other route applies."""
     table = read_route_table(path, interface)
-    found = table.find_route(host.lower(), target)
+    matched_route = table.find_route(host.lower(), target)
     lines = [
-        _explanation(route, found, target)
+        _explanation(route, matched_route, target)
         for route in table.routes_by_host.get(host.lower(), ())
     ]
-    name = found.name if found else "none (refused as no_route)"
+    name = matched_route.name if matched_route else "none (refused as no_route)"
     shares = [
-        f"{item.service_name}={item.weight}" for item in (found.shares if found else ())
+        f"{item.service_name}={item.weight}"
+        for item in (matched_route.shares if matched_route else ())
     ]
     print_fields(
         {"version": table.version, "route": name, "services": shares, "why": lines},
@@ -46,22 +47,22 @@
 
 
 def read_route_table(path: Path, interface: str | None) -> RouteTable:
-    """Return the routes of a file, or print what is wrong and exit."""
+    """Return the routes of a file, or print its problem and exit."""
     load_plugins()
     try:
         content = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
         problem = SettingsProblem(str(path), "-", f"{error}.", "Name a readable file.")
         exit_with_problems([problem])
-    read = _interface(interface).read_routes(content)
-    if isinstance(read, Failure):
-        problem = SettingsProblem(str(path), "-", read.failure(), "Correct the file.")
+    result = _interface(interface).read_routes(content)
+    if isinstance(result, Failure):
+        problem = SettingsProblem(str(path), "-", result.failure(), "Correct the file.")
         exit_with_problems([problem])
-    return read.unwrap()
+    return result.unwrap()
 
 
 def _interface(name: str | None) -> Interface:
-    """Return the interface of this name; without a name, the only one there is."""
+    """Return the interface of this name; without a name, the only interface."""
     if name is not None:
         return interfaces.get(name)
     names = sorted(interfaces.by_name)
@@ -70,8 +71,8 @@
     return interfaces.get(names[0])
 
 
-def _explanation(route: Route, found: Route | None, target: str) -> str:
-    if route is found:
+def _explanation(route: Route, matched_route: Route | None, target: str) -> str:
+    if route is matched_route:
         return f"{route.name}: {route.path_prefix} matches and decides"
     if target.startswith(route.path_prefix):
         return f"{route.name}: {route.path_prefix} would match, but is shorter"
--- a/src/jujubeslip/cli/_run_commands.py
+++ b/src/jujubeslip/cli/_run_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run a process of the system."""
+"""Commands that run the process of a host."""
 
 from __future__ import annotations
 
@@ -34,47 +34,47 @@
 @click.command()
 @settings_option
 def entry(settings_path: Path) -> None:
-    """Run an entry host: HTTP to clients, routing, grants of endpoints' capacity.
+    """Run an entry host: client HTTP, routing, and grants of endpoints' capacity.
 
-    SIGTERM stops it gracefully: it takes no new request and ends when the last open
-    one has ended.
+    SIGTERM stops it gracefully: it accepts no new requests, and exits when the last
+    open request has ended.
     """
     settings = settings_or_exit(load_entry_settings(settings_path))
     from jujubeslip.entry import run_entry
 
-    with exit_on_refusal(), _start_errors():
+    with exit_on_refusal(), _convert_start_errors():
         run_entry(settings)
 
 
 @click.command()
 @settings_option
 def forward(settings_path: Path) -> None:
-    """Run an entry host that forwards HTTP requests by the routes of an operator.
+    """Run an entry host that forwards HTTP requests by an operator's routes.
 
-    SIGTERM stops it gracefully; SIGHUP makes it read its settings' seeds again.
+    SIGTERM stops it gracefully; SIGHUP reloads the seeds from its settings.
     """
     settings = settings_or_exit(load_forward_settings(settings_path))
     from jujubeslip.forwarding import run_forward
 
-    with exit_on_refusal(), _start_errors():
+    with exit_on_refusal(), _convert_start_errors():
         run_forward(settings, settings_path)
 
 
 @click.command()
 @settings_option
 def control(settings_path: Path) -> None:
-    """Run a control host: the replicated log, on a host that has a disk."""
+    """Run a control host: a replica of the log, on a host with a disk."""
     settings = settings_or_exit(load_control_settings(settings_path))
     from jujubeslip.control import run_control
 
     configure_logging(settings.telemetry)
-    with exit_on_refusal(), _start_errors():
+    with exit_on_refusal(), _convert_start_errors():
         run_control(settings)
 
 
 @contextmanager
-def _start_errors() -> Iterator[None]:
-    """Raise StartFailedError for what the operating system refuses at the start."""
+def _convert_start_errors() -> Iterator[None]:
+    """Raise StartFailedError for errors of the operating system during the start."""
     try:
         yield
     except OSError as error:
@@ -82,7 +82,7 @@
 
 
 def settings_or_exit(result: Result[T, tuple[SettingsProblem, ...]]) -> T:
-    """Return the settings, or print everything that is wrong and exit."""
+    """Return the settings, or print all their problems and exit."""
     if isinstance(result, Failure):
         exit_with_problems(result.failure())
     return result.unwrap()
--- a/src/jujubeslip/cli/_status_commands.py
+++ b/src/jujubeslip/cli/_status_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running host about itself."""
+"""Commands that show the status of running hosts, or stop them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from jujubeslip.peers import PeerClient, PeerRefusal
 
 TIMEOUT = 2.0
-LOOK_INTERVAL = 0.5
+POLL_INTERVAL = 0.5
 ABANDON_INTERVAL = 0.05
 NOT_STOPPING = "not_stopping"
 
@@ -32,7 +32,7 @@
     "control_addresses",
     multiple=True,
     type=ADDRESS,
-    help="Peer address of a control host; give it for each.",
+    help="Peer address of a control host; repeat it for each.",
 )
 @secret_option
 @json_option
@@ -42,7 +42,7 @@
     peer_secret: str,
     as_json: bool,
 ) -> None:
-    """Show what an entry host, or the control hosts, say of themselves."""
+    """Show the status of an entry host or of the control hosts."""
     if not entry and not control_addresses:
         raise click.UsageError("Give --entry or --control.")
     with exit_on_refusal():
@@ -58,17 +58,17 @@
 @click.command()
 @click.option("--pid", type=int, required=True, help="Process id of the entry host.")
 @click.option(
-    "--entry", required=True, type=ADDRESS, help="Its peer address, to watch it."
+    "--entry", required=True, type=ADDRESS, help="Its peer address, to observe it."
 )
 @click.option(
     "--abandon",
     is_flag=True,
-    help="Do not wait for what is in flight: end it, and tell each client whether "
-    "its request may have run.",
+    help="End open requests instead of waiting for them, and notify each client "
+    "whether its request may have run.",
 )
 @secret_option
 def drain(pid: int, entry: str, abandon: bool, peer_secret: str) -> None:
-    """Stop an entry host on this machine gracefully; show what is still open."""
+    """Stop an entry host on this machine gracefully; show its open requests."""
     _request_stop(pid)
     client = open_entry(entry, peer_secret)
     with exit_on_refusal():
@@ -76,12 +76,12 @@
             _abandon(client)
         while (count := _open_requests(client)) is not None:
             click.echo(f"open requests: {count}")
-            time.sleep(LOOK_INTERVAL)
+            time.sleep(POLL_INTERVAL)
     click.echo("stopped")
 
 
 def _abandon(client: PeerClient) -> None:
-    """End what is in flight, once the host has taken notice of the signal."""
+    """End open requests, once the host has handled the signal."""
     deadline = Deadline.after(TIMEOUT)
     while True:
         try:
@@ -92,7 +92,7 @@
             time.sleep(ABANDON_INTERVAL)
             continue
         except PeerUnavailableError:
-            # It has stopped by itself.
+            # The host has already stopped.
             return
         click.echo(f"abandoned requests: {count}")
         return
@@ -113,5 +113,5 @@
         message = f"no process on this machine has the id {pid}."
         raise click.BadParameter(message, param_hint="--pid") from error
     except PermissionError as error:
-        message = f"process {pid} belongs to another account; run this as that one."
+        message = f"process {pid} belongs to another user; run this as that user."
         raise click.BadParameter(message, param_hint="--pid") from error
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""What operators and their scripts meet at the command line."""
+"""Output and exit codes of the commands."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 class TestCheck:
     @pytest.mark.parametrize("deployment", ["northvane", "glanmor"])
-    def test_finds_the_examples_well(self, deployment: str) -> None:
+    def test_examples_are_valid(self, deployment: str) -> None:
         folder = EXAMPLES / deployment
         assert run("check", folder / "declaration.toml").exit_code == 0
         for kind in ("entry", "control"):
             result = run("check", "--kind", kind, folder / f"{kind}-1.toml")
             assert result.exit_code == 0, result.output
 
-    def test_exits_with_3_and_the_remedy(self, tmp_path: Path) -> None:
+    def test_unknown_key_is_3_with_a_remedy(self, tmp_path: Path) -> None:
         path = tmp_path / "declaration.toml"
         path.write_text('[[rule]]\nname = "r"\nthn = {}\n')
         result = run("check", path)
@@ -40,27 +40,32 @@
         assert f"{path}: rule[0].thn: There is no such key." in result.stderr
         assert "Did you mean 'then'?" in result.stderr
 
-    def test_exits_with_3_for_what_only_the_checks_find(self, tmp_path: Path) -> None:
+    def test_failed_check_is_3(self, tmp_path: Path) -> None:
         path = tmp_path / "declaration.toml"
         path.write_text('[[service]]\nname = "s"\n')
         result = run("check", path)
         assert result.exit_code == 3
         assert "declaration.E004" in result.stderr
 
-    def test_a_warning_is_shown_and_passes(self, tmp_path: Path) -> None:
+    def test_warning_is_shown_and_is_0(self, tmp_path: Path) -> None:
         path = tmp_path / "declaration.toml"
         path.write_text('[[rule]]\nname = "a"\n[[rule]]\nname = "b"\n')
         result = run("check", path)
         assert result.exit_code == 0
         assert "warning rules.W001" in result.stderr
 
-    def test_a_file_of_another_kind_is_refused(self) -> None:
-        """An entry host started with a control host's settings would never serve."""
+    def test_file_of_another_kind_is_refused(self) -> None:
+        """Guards against an entry host that starts with a control host's settings.
+
+        It would never serve a request.
+        """
         path = EXAMPLES / "northvane" / "control-1.toml"
         assert run("check", "--kind", "entry", path).exit_code == 3
 
     @pytest.mark.parametrize("name", ["missing.toml", "."])
-    def test_a_path_that_can_not_be_read(self, tmp_path: Path, name: str) -> None:
+    def test_unreadable_path_is_3_with_a_remedy(
+        self, tmp_path: Path, name: str
+    ) -> None:
         result = run("check", tmp_path / name)
         assert result.exit_code == 3, result.output
         assert "Name a readable file." in result.stderr
@@ -68,7 +73,7 @@
 
 class TestStart:
     @pytest.mark.parametrize("command", ["entry", "control"])
-    def test_nothing_starts_from_a_file_with_an_error(
+    def test_invalid_settings_prevent_the_start(
         self, command: str, tmp_path: Path
     ) -> None:
         path = tmp_path / "settings.toml"
@@ -77,8 +82,8 @@
         assert result.exit_code == 3
         assert "peer_secret: This key is required." in result.stderr
 
-    def test_an_address_that_is_taken_is_1_with_a_remedy(self, tmp_path: Path) -> None:
-        """A host is started twice: the second one must say what to look at."""
+    def test_address_in_use_is_1_with_a_remedy(self, tmp_path: Path) -> None:
+        """Guards against a second start of a host that fails without the reason."""
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = "{}:{}".format(*taken.getsockname())
             text = (EXAMPLES / "northvane" / "entry-1.toml").read_text()
@@ -90,9 +95,11 @@
             )
             command = [sys.executable, "-m", "jujubeslip.cli"]
             command += ["entry", "--settings", str(path)]
-            ended = subprocess.run(command, capture_output=True, text=True, timeout=30)
-        assert ended.returncode == 1
-        last_line = ended.stderr.splitlines()[-1]
+            completed = subprocess.run(
+                command, capture_output=True, text=True, timeout=30
+            )
+        assert completed.returncode == 1
+        last_line = completed.stderr.splitlines()[-1]
         assert last_line.startswith("start_failed: Address already in use")
 
 
@@ -101,7 +108,7 @@
         path = EXAMPLES / "glanmor" / "declaration.toml"
         return run("explain", path, *arguments)
 
-    def test_names_the_rule_and_why_not_the_earlier_ones(self) -> None:
+    def test_prints_the_rule_and_why_earlier_rules_differ(self) -> None:
         result = self.explain("--service", "rota-llm", "--prompt-tokens", "9000")
         assert result.exit_code == 0
         assert "rule: contract-summaries" in result.output
@@ -111,7 +118,7 @@
         result = self.explain("--service", "rota-desk", "--not-repeatable", "--json")
         assert json.loads(result.stdout)["rule"] == "shift-confirmations"
 
-    def test_says_that_no_rule_matches(self, tmp_path: Path) -> None:
+    def test_prints_that_no_rule_matches(self, tmp_path: Path) -> None:
         path = tmp_path / "declaration.toml"
         path.write_text('[[rule]]\nname = "r"\nwhen = { client = "c" }\n')
         result = run("explain", path, "--service", "s")
@@ -119,41 +126,41 @@
 
 
 class TestExitCodes:
-    def test_a_wrong_command_line_is_2(self) -> None:
+    def test_invalid_command_line_is_2(self) -> None:
         assert run("apply").exit_code == 2
         assert run("status").exit_code == 2
 
-    def test_a_process_that_is_none_is_2(self) -> None:
-        """The id of a process that ended already, taken from an old file."""
-        ended = subprocess.Popen([sys.executable, "-c", ""])
-        ended.wait()
-        result = run("drain", "--pid", str(ended.pid), "--entry", free_address())
+    def test_id_of_an_ended_process_is_2(self) -> None:
+        """An operator may take the id from an outdated file."""
+        completed = subprocess.Popen([sys.executable, "-c", ""])
+        completed.wait()
+        result = run("drain", "--pid", str(completed.pid), "--entry", free_address())
         assert result.exit_code == 2, result.output
         assert "no process on this machine" in result.stderr
 
-    def test_hosts_that_can_not_be_reached_are_1_with_a_remedy(self) -> None:
+    def test_unreachable_hosts_are_1_with_a_remedy(self) -> None:
         result = run("status", "--control", free_address())
         assert result.exit_code == 1
         assert result.stderr.startswith("peer_unavailable: ")
         assert "Check that" in result.stderr
 
-    def test_the_remedy_is_all_that_a_process_writes(self) -> None:
-        """A script that reads the first line must not get a library's message."""
+    def test_process_writes_nothing_but_the_remedy(self) -> None:
+        """Guards against a script that reads a library's message as the first line."""
         command = [sys.executable, "-m", "jujubeslip.cli"]
         command += ["status", "--entry", free_address()]
-        ended = subprocess.run(
+        completed = subprocess.run(
             command, env={**os.environ, **SECRET}, capture_output=True, text=True
         )
-        assert ended.returncode == 1
-        assert ended.stderr.startswith("peer_unavailable: ")
-        assert ended.stderr.count("\n") == 1
+        assert completed.returncode == 1
+        assert completed.stderr.startswith("peer_unavailable: ")
+        assert completed.stderr.count("\n") == 1
 
     @pytest.mark.parametrize(
         "arguments",
         [("status", "--entry"), ("show", "--control"), ("history", "--control")],
     )
-    def test_an_address_that_is_none_is_2(self, arguments: tuple[str, ...]) -> None:
-        """A host name or a forgotten port must not end in a Python traceback."""
+    def test_invalid_address_is_2(self, arguments: tuple[str, ...]) -> None:
+        """Guards against a traceback for a host name or a missing port."""
         result = run(*arguments, "regina-hall")
         assert result.exit_code == 2, result.output
         assert "IP:PORT" in result.output
--- a/tests/cli/test_early_reload.py
+++ b/tests/cli/test_early_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP to a process that is still starting."""
+"""SIGHUP to a process that is still importing its modules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-# Prints how SIGHUP is handled when the first large library is asked for.
+# Prints how SIGHUP is handled when the import of the first large library begins.
 PROBE = """
 import signal, sys
 
@@ -29,7 +29,7 @@
 """
 
 
-def handling(command: str) -> subprocess.CompletedProcess[str]:
+def run_probe(command: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-c", PROBE, command],
         capture_output=True,
@@ -39,17 +39,18 @@
 
 
 class TestReloadDuringAStart:
-    """A host that starts while its settings are changed ends without a word.
+    """Guards against a host that ends without a log line when its seeds change.
 
-    Operators tell all hosts by SIGHUP that the seeds are others. The signal ends a
-    process that has no handler, and ours came after half a second of loading
-    libraries: the host "ends with status -1" and is started again.
+    Operators send SIGHUP to all hosts after a change of the seeds. The signal ends a
+    process that has no handler. A handler that is installed only after the imports,
+    which take half a second, is too late for a host that is starting: it "ends with
+    status -1" and is started again.
     """
 
     @pytest.mark.parametrize("command", ["control", "entry", "forward"])
-    def test_is_noted_before_libraries_are_loaded(self, command: str) -> None:
-        assert handling(command).stdout.split() == ["caught", "noted"]
+    def test_is_recorded_before_libraries_are_imported(self, command: str) -> None:
+        assert run_probe(command).stdout.split() == ["caught", "noted"]
 
     def test_ends_commands_that_operators_run(self) -> None:
-        """Their terminal is closed."""
-        assert handling("status").stdout.split() == ["fatal"]
+        """SIGHUP then means that the operator's terminal was closed."""
+        assert run_probe("status").stdout.split() == ["fatal"]
--- a/tests/cli/test_replica_commands.py
+++ b/tests/cli/test_replica_commands.py
@@ -1,4 +1,4 @@
-"""Operators change the replicas, and recover from a lost majority, by commands."""
+"""Commands that change the replicas, and recover from a lost quorum."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 
 class TestReplicaCommands:
-    def test_a_refusal_names_the_remedy(self, tmp_path: Path) -> None:
-        """Of two replicas one is lost, and an operator removes the wrong one.
+    def test_remove_that_loses_the_quorum_is_refused(self, tmp_path: Path) -> None:
+        """Guards against an operator's removal of the wrong replica.
 
-        Without the living one nothing could be accepted any more, so the command is
-        refused, says what to do, and changes nothing.
+        One replica is lost, and the operator removes a living one instead. Without it
+        no change could be accepted any more, so the command is refused with a remedy
+        and changes nothing.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
@@ -42,8 +43,8 @@
             assert refused.stderr.startswith("quorum_would_be_lost: ")
             assert cluster.client.status().leader_id
 
-    def test_recover_shows_first_and_changes_nothing(self, tmp_path: Path) -> None:
-        """A survivor that is behind must be told from the one that lost least."""
+    def test_recover_changes_nothing_unless_confirmed(self, tmp_path: Path) -> None:
+        """Operators first compare the survivors, to recover the most recent one."""
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
             survivor = cluster.leader()
@@ -51,8 +52,8 @@
                 host.kill()
             command = ["replica", "recover", "--settings", str(survivor.settings_path)]
             for _ in range(2):
-                shown = run(*command, "--json")
-                assert shown.exit_code == 0, shown.output
-                assert json.loads(shown.stdout)["recovered"] is False
-            done = run(*command, "--confirm", "--json")
-            assert json.loads(done.stdout)["recovered"] is True
+                result = run(*command, "--json")
+                assert result.exit_code == 0, result.output
+                assert json.loads(result.stdout)["recovered"] is False
+            recovered = run(*command, "--confirm", "--json")
+            assert json.loads(recovered.stdout)["recovered"] is True
--- a/tests/cli/test_route_commands.py
+++ b/tests/cli/test_route_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the routes of a numbered configuration."""
+"""Commands for the routes of a numbered configuration."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class TestExplainRoute:
-    def test_names_the_longest_prefix_and_why_not_the_others(self, path: Path) -> None:
+    def test_prints_the_longest_prefix_and_why_others_differ(self, path: Path) -> None:
         arguments = ["explain-route", str(path), "--host", HOST, "--target", "/a/b/c"]
         result = CliRunner().invoke(main, [*arguments, "--json"])
         answer = json.loads(result.output)
         assert (answer["route"], answer["version"]) == ("long", 3)
         assert any("short" in line for line in answer["why"])
 
-    def test_says_that_no_route_matches(self, path: Path) -> None:
+    def test_prints_that_no_route_matches(self, path: Path) -> None:
         arguments = ["explain-route", str(path), "--host", HOST, "--target", "/z/"]
         assert "no_route" in CliRunner().invoke(main, arguments).output
 
@@ -39,23 +39,23 @@
 class TestInterfaceOption:
     @pytest.fixture
     def another(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Let there be a second interface."""
+        """Register a second interface."""
         load_plugins()
-        (only,) = interfaces.by_name.values()
-        monkeypatch.setitem(interfaces.by_name, "another", only)
+        (existing,) = interfaces.by_name.values()
+        monkeypatch.setitem(interfaces.by_name, "another", existing)
 
     @pytest.mark.usefixtures("another")
-    def test_is_needed_where_there_are_several(self, path: Path) -> None:
+    def test_is_required_with_several_interfaces(self, path: Path) -> None:
         result = CliRunner().invoke(main, ["check", "--kind", "routes", str(path)])
         assert result.exit_code == 2
         assert "--interface" in result.output and "another" in result.output
 
     @pytest.mark.usefixtures("another")
-    def test_names_the_one_that_reads_the_routes(self, path: Path) -> None:
+    def test_selects_the_interface_that_reads_the_routes(self, path: Path) -> None:
         arguments = ["check", "--kind", "routes", "--interface", "another", str(path)]
         assert CliRunner().invoke(main, arguments).exit_code == 0
 
-    def test_has_no_name_of_an_interface_as_its_default(self, path: Path) -> None:
+    def test_has_no_default(self, path: Path) -> None:
         request = ["--host", HOST, "--target", "/a/"]
         arguments_by_command = {"check": [], "explain-route": request}
         for name, arguments in arguments_by_command.items():
@@ -68,7 +68,7 @@
         result = CliRunner().invoke(main, ["check", "--kind", "routes", str(path)])
         assert result.exit_code == 0
 
-    def test_invalid_routes_are_told_with_the_reason(self, path: Path) -> None:
+    def test_invalid_routes_are_3_with_the_reason(self, path: Path) -> None:
         path.write_text(json.dumps(configuration(3, ROUTES, [])))
         result = CliRunner().invoke(main, ["check", "--kind", "routes", str(path)])
         assert result.exit_code == 3
--- a/tests/cli/test_trace_command.py
+++ b/tests/cli/test_trace_command.py
@@ -1,4 +1,4 @@
-"""A failed request is explained from the lines of its hosts alone."""
+"""The trace command explains a failed request from the logs of its hosts."""
 
 from __future__ import annotations
 
@@ -36,15 +36,19 @@
 
 
 class Engines:
-    """One engine that reads prompts and one that answers."""
+    """One prefill engine and one decode engine."""
 
     def __init__(self, system: PlatformSystem, name: str) -> None:
         self._system = system
-        self.reader = system.add(PlatformWorker(f"reader-{name}", "model", "prefill"))
-        self.engine = system.add(PlatformWorker(f"engine-{name}", "model", "decode"))
+        self.prefill_engine = system.add(
+            PlatformWorker(f"reader-{name}", "model", "prefill")
+        )
+        self.decode_engine = system.add(
+            PlatformWorker(f"engine-{name}", "model", "decode")
+        )
 
     def leave(self) -> None:
-        for worker in (self.reader, self.engine):
+        for worker in (self.prefill_engine, self.decode_engine):
             self._system.withdraw(worker)
             assert self._system.leave(worker) == 200
             worker.close()
@@ -57,27 +61,27 @@
 def wait_for_grants(system: PlatformSystem, engines: Engines) -> None:
     def granted() -> bool:
         ask_stream(system)
-        given = system.logged("grant at an engine")
-        ids = [line["endpoint_id"] for line in given]
-        return engines.engine.worker_id in ids
+        grants = system.logged("grant at an engine")
+        ids = [line["endpoint_id"] for line in grants]
+        return engines.decode_engine.worker_id in ids
 
     wait_until(granted, "the leader grants the engine")
 
 
 def trace(system: PlatformSystem, folder: Path) -> str:
-    """Return what the command prints of the last request."""
+    """Return the command's output for the last request."""
     request_id = system.last_request_id
-    wait_until(lambda: has_ended(system, request_id), "its end is on record")
+    wait_until(lambda: has_ended(system, request_id), "its end is logged")
     files = []
     for host in (*system.controls, *system.entries):
         path = folder / f"{host.name}.log"
         path.write_text(host.output())
         files.append(str(path))
     command = [sys.executable, "-m", "jujubeslip.cli", "trace"]
-    done = subprocess.run(
+    completed = subprocess.run(
         [*command, request_id, *files], capture_output=True, text=True, check=True
     )
-    return done.stdout
+    return completed.stdout
 
 
 def has_ended(system: PlatformSystem, request_id: str) -> bool:
@@ -86,10 +90,10 @@
 
 
 class TestRefusedRequest:
-    """A dispatcher is told 503 though the engines' consoles show free slots.
+    """Guards against a 503 that operators can't explain.
 
-    What runs out is memory: the engine has room for the prompt, and not for what its
-    answers will grow to.
+    The engines' consoles show free slots, but memory is exhausted: the engine has
+    memory for the prompt, but not for the growth of its answers.
     """
 
     def test_is_explained_by_the_leader_that_refused_it(
@@ -97,17 +101,17 @@
     ) -> None:
         engines = Engines(system, "full")
         wait_for_grants(system, engines)
-        engines.engine.capacity = 110
+        engines.decode_engine.capacity = 110
         wait_until(
-            lambda: ask_stream(system).status == 503, "the leader knows of the memory"
+            lambda: ask_stream(system).status == 503, "the leader knows the free memory"
         )
-        asked = system.last_request_id
+        request_id = system.last_request_id
         wait_until(
             lambda: any(
-                line["request_id"] == asked
+                line["request_id"] == request_id
                 for line in system.logged("no grant at an engine")
             ),
-            "the leader's refusal is on record",
+            "the leader's refusal is logged",
         )
         text = trace(system, tmp_path)
         engines.leave()
@@ -119,8 +123,8 @@
         assert "100 prompt tokens" in text
 
 
-class TestAnswerThatIsLost:
-    """A confirmation ends with 502. Its endpoint took it and closed the connection."""
+class TestLostAnswer:
+    """A request ends with 502: its endpoint accepted it and closed the connection."""
 
     def test_is_explained_by_the_endpoint(
         self, system: PlatformSystem, tmp_path: Path
@@ -134,19 +138,19 @@
         assert "answer_cut" in text
 
 
-class TestStreamThatIsLate:
-    """A summary's first words come late: its prompt was read and then lost.
+class TestLateStream:
+    """A stream's first event is late: its KV cache was lost after the prefill.
 
-    The answering engine reads it again, which takes longer.
+    The decode engine prefills the prompt again, which takes longer.
     """
 
-    def test_is_explained_by_the_prompt_that_was_lost(
+    def test_is_explained_by_the_lost_kv_cache(
         self, system: PlatformSystem, tmp_path: Path
     ) -> None:
         engines = Engines(system, "late")
         wait_for_grants(system, engines)
-        engines.engine.faults.lapse = 1
-        engines.engine.run_seconds = 0.5
+        engines.decode_engine.faults.lapse = 1
+        engines.decode_engine.run_seconds = 0.5
         assert ask_stream(system).whole
         text = trace(system, tmp_path)
         engines.leave()
@@ -155,18 +159,18 @@
 
 
 class TestUnknownRequest:
-    def test_is_said_to_be_unknown(
+    def test_is_reported_as_unknown(
         self, system: PlatformSystem, tmp_path: Path
     ) -> None:
         path = tmp_path / "empty.log"
         path.write_text("not a line of ours\n")
         command = [sys.executable, "-m", "jujubeslip.cli", "trace", "none", str(path)]
-        done = subprocess.run(command, capture_output=True, text=True, check=True)
-        assert "No line names this request" in done.stdout
+        completed = subprocess.run(command, capture_output=True, text=True, check=True)
+        assert "No line names this request" in completed.stdout
 
-    def test_file_that_is_missing_is_named(self, tmp_path: Path) -> None:
+    def test_missing_file_is_named(self, tmp_path: Path) -> None:
         path = tmp_path / "missing.log"
         command = [sys.executable, "-m", "jujubeslip.cli", "trace", "none", str(path)]
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
-        assert done.returncode == 3
-        assert str(path) in done.stderr
+        completed = subprocess.run(command, capture_output=True, text=True, check=False)
+        assert completed.returncode == 3
+        assert str(path) in completed.stderr
