--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -1,11 +1,11 @@
-"""What is said of ways to decide that were played."""
+"""The comparison of policies that were played."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 from pathlib import Path
 
-from tools.ablation import Row, Way, table_of
+from tools.ablation import Policy, Row, table_of
 
 ROW = Row(
     way="as it is",
@@ -25,16 +25,16 @@
 
 class TestTable:
     def test_compares_the_same_days_and_seeds(self) -> None:
-        """A way that was played on an easier day has gained nothing by that."""
+        """Guards against a policy that seems better since it played an easier day."""
         other = replace(ROW, way="other", worth=0.6)
-        easier = replace(other, day="easier", worth=0.9)
-        line = table_of([ROW, other, easier]).splitlines()[-1]
+        other_day = replace(other, day="easier", worth=0.9)
+        line = table_of([ROW, other, other_day]).splitlines()[-1]
         assert line.startswith("| other abc | 2 | 0.750 | +0.100 |")
 
-    def test_leaves_out_plays_without_a_result(self) -> None:
+    def test_omits_plays_without_a_result(self) -> None:
         assert len(table_of([replace(ROW, worth=None)]).splitlines()) == 2
 
-    def test_tells_how_far_the_differences_spread(self) -> None:
+    def test_shows_the_deviation_of_the_differences(self) -> None:
         rows = [replace(ROW, seed=seed) for seed in (1, 2)]
         other = [
             replace(ROW, way="other", seed=seed, worth=0.5 + 0.1 * seed)
@@ -43,10 +43,10 @@
         assert "| +0.150 | 0.050 |" in table_of([*rows, *other])
 
 
-class TestWay:
-    def test_is_chosen_by_lines_of_settings(self, tmp_path: Path) -> None:
+class TestPolicy:
+    def test_is_selected_by_lines_of_settings(self, tmp_path: Path) -> None:
         (tmp_path / "control.toml").write_text('host_id = "a"\n')
-        Way("careless", ("control.toml:memory_caution = 0.0",)).write_to(tmp_path)
+        Policy("careless", ("control.toml:memory_caution = 0.0",)).write_to(tmp_path)
         assert (tmp_path / "control.toml").read_text().splitlines() == [
             "memory_caution = 0.0",
             'host_id = "a"',
--- a/tests/tools/test_draws.py
+++ b/tests/tools/test_draws.py
@@ -1,4 +1,4 @@
-"""Which engines a play took away."""
+"""The events of engines in the log lines of a play."""
 
 from __future__ import annotations
 
@@ -13,14 +13,18 @@
 
 
 def changed(at: float, endpoint_id: str, role: str, **extra: Any) -> str:
-    told = {"address": f"{endpoint_id}:1", "leaving": False, "started_at_ms": 1}
+    fields = {"address": f"{endpoint_id}:1", "leaving": False, "started_at_ms": 1}
     return line(
-        at, "endpoint changed", endpoint_id=endpoint_id, role=role, **{**told, **extra}
+        at,
+        "endpoint changed",
+        endpoint_id=endpoint_id,
+        role=role,
+        **{**fields, **extra},
     )
 
 
 class TestEngineEvents:
-    def test_count_the_engines_that_are_left(self) -> None:
+    def test_count_the_remaining_engines(self) -> None:
         lost = "engine lost, no requests granted until it returns"
         lines = [
             changed(-9, "e-1", "PREFILL"),
@@ -34,16 +38,16 @@
             changed(15, "e-3", "PREFILL", address="e-2:1"),
         ]
         events = list(engine_events(lines))
-        assert [event.what for event in events] == [
-            "came, PREFILL",
-            "came, DECODE",
+        assert [event.description for event in events] == [
+            "joined, PREFILL",
+            "joined, DECODE",
             "leaves, PREFILL",
             "lost, DECODE",
-            "came, DECODE",
+            "joined, DECODE",
             "ordered to PREFILL",
             "changed to PREFILL",
         ]
-        assert [(event.reading, event.answering) for event in events] == [
+        assert [(event.prefill_count, event.decode_count) for event in events] == [
             (1, 0),
             (1, 1),
             (0, 1),
@@ -53,7 +57,7 @@
             (1, 0),
         ]
 
-    def test_count_an_engine_that_is_back_unless_its_address_is_taken(self) -> None:
+    def test_count_a_returned_engine_unless_its_address_is_taken(self) -> None:
         lost = "engine lost, no requests granted until it returns"
         lines = [
             changed(-9, "e-1", "DECODE"),
@@ -64,7 +68,7 @@
             line(10, "engine reports again", endpoint_id="e-1"),
         ]
         events = list(engine_events(lines))
-        assert [(event.reading, event.answering) for event in events] == [
+        assert [(event.prefill_count, event.decode_count) for event in events] == [
             (0, 1),
             (0, 0),
             (0, 1),
--- a/tests/tools/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -1,4 +1,4 @@
-"""What the table of losses says of the ends that hosts wrote."""
+"""The causes of late and lost requests, from the lines at the end of attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tools.losses import Cause, cause_of, read_ended, table_of
+from tools.losses import Cause, cause_of, read_attempt_ends, table_of
 
 STREAM: dict[str, object] = {
     "message": "request ended",
@@ -27,14 +27,14 @@
 }
 
 
-def line(told: dict[str, object]) -> str:
-    return f"   9.5 front-1 {json.dumps(told)}\n"
+def line(fields: dict[str, object]) -> str:
+    return f"   9.5 front-1 {json.dumps(fields)}\n"
 
 
 def cause(*changes: dict[str, object]) -> Cause | None:
-    """Return the cause of the last line; each differs from a stream in time."""
+    """Return the cause of the last line; each line is a change of an in-time stream."""
     lines = [line(STREAM | change) for change in changes]
-    return cause_of(list(read_ended(lines))[-1])
+    return cause_of(list(read_attempt_ends(lines))[-1])
 
 
 class TestCause:
@@ -44,40 +44,42 @@
     @pytest.mark.parametrize(
         ("change", "found"),
         [
-            ({"came_back": True}, Cause.CAME_BACK),
-            ({"longest_gap_ms": 400}, Cause.PAUSED),
-            ({"first_event_ms": 1000, "granted_ms": 800}, Cause.WAITED),
+            ({"came_back": True}, Cause.CLIENT_RETRIED),
+            ({"longest_gap_ms": 400}, Cause.LONG_PAUSE),
+            ({"first_event_ms": 1000, "granted_ms": 800}, Cause.WAITED_FOR_CAPACITY),
             ({"first_event_ms": 1000, "granted_ms": 20}, Cause.SLOW_ANSWER),
             (REFUSED, Cause.NO_MEMORY),
-            ({"outcome": "500", "maximum_gap_ms": 0}, Cause.OWN_ERROR),
-            ({"outcome": "answer_lost"}, Cause.CUT),
+            ({"outcome": "500", "maximum_gap_ms": 0}, Cause.ENDPOINT_ERROR),
+            ({"outcome": "answer_lost"}, Cause.ANSWER_CUT),
             (
                 {"outcome": "no_room", "sends": ["9 ms i-1: endpoint_replaced"]},
-                Cause.REPLACED,
+                Cause.ENGINE_REPLACED,
             ),
             ({"outcome": "something_new"}, Cause.UNKNOWN),
         ],
     )
-    def test_is_told_by_the_line(self, change: dict[str, object], found: Cause) -> None:
-        assert cause(change) is found
+    def test_follows_from_the_line(
+        self, change: dict[str, object], expected: Cause
+    ) -> None:
+        assert cause(change) is expected
 
-    def test_is_told_by_what_was_lacked(self) -> None:
-        lacked: dict[str, object] = {
+    def test_follows_from_the_missing_resource(self) -> None:
+        refusal: dict[str, object] = {
             "message": "no grant at an engine",
             "lacked": "reader",
         }
-        assert cause(lacked, REFUSED) is Cause.NO_READER
-        lacked["lacked"] = "may read"
-        assert cause(lacked, REFUSED) is Cause.MAY_NOT_READ
+        assert cause(refusal, REFUSED) is Cause.NO_PREFILL_ENGINE
+        refusal["lacked"] = "may read"
+        assert cause(refusal, REFUSED) is Cause.NO_OWN_PREFILL
 
-    def test_is_told_by_the_wait_for_a_configuration(self) -> None:
+    def test_follows_from_the_wait_for_a_configuration(self) -> None:
         waited: dict[str, object] = {
             "message": "request waited for the first configuration"
         }
         late: dict[str, object] = {"first_event_ms": 1200, "granted_ms": 1000}
         assert cause(waited, late) is Cause.NO_CONFIGURATION
 
-    def test_is_told_by_the_wait_for_the_first_endpoints(self) -> None:
+    def test_follows_from_the_wait_for_the_first_endpoints(self) -> None:
         waited: dict[str, object] = {
             "message": "request waited for the first endpoints"
         }
@@ -89,5 +91,5 @@
 class TestTable:
     def test_has_a_row_for_each_cause(self) -> None:
         lines = [line(STREAM), line(STREAM | REFUSED), "not a line of a host\n"]
-        table = table_of(read_ended(lines)).splitlines()
+        table = table_of(read_attempt_ends(lines)).splitlines()
         assert table[2:] == [f"| {Cause.NO_MEMORY.value} | 1 | 1 |"]
--- a/tests/tools/test_troubles.py
+++ b/tests/tools/test_troubles.py
@@ -21,7 +21,7 @@
     Player,
     PlayError,
     Trouble,
-    bring_journal,
+    copy_journal_entries,
     days_of,
     make_copies,
     read_kinds,
@@ -304,7 +304,7 @@
         (copy / "journal" / "blobs" / "new").write_text("new")
         (copy / "journal" / "old").write_text("the copy's")
         (root / "journal" / "old").write_text("ours")
-        bring_journal(copy, root)
+        copy_journal_entries(copy, root)
         assert (root / "journal" / "blobs" / "new").read_text() == "new"
         assert (root / "journal" / "old").read_text() == "ours"
 
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for developers: generated pages and what CI passes over."""
+"""Developer tools: generated pages, known failing tests, and analyses of plays."""
--- a/tools/ablation/__main__.py
+++ b/tools/ablation/__main__.py
@@ -1,4 +1,4 @@
-"""Play days in one way to decide, and compare the ways that were played."""
+"""Play days with one policy, and compare the policies that were played."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-from tools.ablation import Comparison, Way, read_rows, table_of
+from tools.ablation import Comparison, Policy, read_rows, table_of
 from tools.troubles import make_copies
 
 PathArgument = click.Path(path_type=Path)
@@ -15,14 +15,14 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Hold the commands."""
+    """Group the commands."""
 
 
 @main.command()
 @click.argument("program", type=click.Path(path_type=Path, exists=True))
 @click.argument("site", type=click.Path(path_type=Path, exists=True))
-@click.option("--way", required=True, help="Its name in the table.")
-@click.option("--set", "settings", multiple=True, help="FILE:LINE of settings.")
+@click.option("--way", required=True, help="Name of the policy in the table.")
+@click.option("--set", "settings", multiple=True, help="FILE:LINE of settings to add.")
 @click.option("--day", "days", multiple=True, required=True)
 @click.option("--seed", "seeds", multiple=True, type=int, default=[0])
 @click.option("--jobs", default=2, show_default=True, help="Plays at once.")
@@ -39,9 +39,10 @@
     results: Path,
     why: str,
 ) -> None:
-    """Play days of SITE with PROGRAM in what is committed here; seed 0 is the day's.
+    """Play days of SITE with PROGRAM on the commit checked out in this folder.
 
-    Processor time is not charged: a play then mostly repeats.
+    Seed 0 selects the seed of the day itself. Processor time is not charged, so that
+    plays with the same seed give mostly the same result.
     """
     root, results = Path.cwd(), results.absolute()
     results.parent.mkdir(parents=True, exist_ok=True)
@@ -50,7 +51,7 @@
         root=root,
         copies=make_copies(root, results.parent / f"copies-{way}", jobs),
         results=results,
-        way=Way(way, settings),
+        policy=Policy(way, settings),
         revision=_revision(root),
         why=why,
     ).play_all(site.absolute(), days, seeds)
@@ -65,10 +66,12 @@
 
 
 def _revision(root: Path) -> str:
-    """Return the name of what is committed, whatever the commit says of it."""
+    """Return the id of the committed tree, which doesn't depend on commit messages."""
     command = ["git", "rev-parse", "--short", "HEAD^{tree}"]
-    told = subprocess.run(command, cwd=root, check=True, capture_output=True, text=True)
-    return told.stdout.strip()
+    completed = subprocess.run(
+        command, cwd=root, check=True, capture_output=True, text=True
+    )
+    return completed.stdout.strip()
 
 
 if __name__ == "__main__":
--- a/tools/ablation/_table.py
+++ b/tools/ablation/_table.py
@@ -1,4 +1,4 @@
-"""The table of ways, each beside the first one on the same days and seeds."""
+"""The table of policies, each compared with the first on the same days and seeds."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from tools.ablation._plays import Row
 
 HEAD = (
-    "| way | plays | worth | difference | deviation | not served | late | refused |"
-    " failed | for nothing | rules broken |",
+    "| policy | plays | worth | difference | deviation | not served | late | refused |"
+    " failed | unused prefills | rules broken |",
     "|---|---|---|---|---|---|---|---|---|---|---|",
 )
 
 
 def table_of(rows: Iterable[Row]) -> str:
-    """Return a line for each way and revision, in the order of their first rows.
+    """Return a line for each policy and revision, in the order of their first rows.
 
-    The difference is the mean over the plays that the first way has, too; the deviation
-    is that of this mean. What lies within two of them is no gain.
+    The difference is the mean over the plays that the first policy has, too; the
+    deviation is the standard deviation of this mean. A difference of less than two
+    deviations is not significant.
     """
     rows_by_way: dict[str, list[Row]] = {}
     for row in rows:
@@ -26,17 +27,19 @@
             rows_by_way.setdefault(f"{row.way} {row.revision}", []).append(row)
     if not rows_by_way:
         return "\n".join(HEAD)
-    first = next(iter(rows_by_way.values()))
-    lines = [_line(name, own, first) for name, own in rows_by_way.items()]
+    baseline = next(iter(rows_by_way.values()))
+    lines = [
+        _line(name, policy_rows, baseline) for name, policy_rows in rows_by_way.items()
+    ]
     return "\n".join([*HEAD, *lines])
 
 
-def _line(name: str, rows: Sequence[Row], first: Sequence[Row]) -> str:
-    worth_by_place = {row.place: row.worth or 0.0 for row in first}
+def _line(name: str, rows: Sequence[Row], baseline: Sequence[Row]) -> str:
+    worth_by_key = {row.comparison_key: row.worth or 0.0 for row in baseline}
     differences = [
-        (row.worth or 0.0) - worth_by_place[row.place]
+        (row.worth or 0.0) - worth_by_key[row.comparison_key]
         for row in rows
-        if row.place in worth_by_place
+        if row.comparison_key in worth_by_key
     ]
     cells = [
         name,
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,10 @@
-"""Build dist/jujubeslip: one file that runs on a machine with Python 3.11 alone.
+"""Build dist/jujubeslip: a single file that requires only Python 3.11 to run.
 
-The packages are taken from the virtual environment that runs this program, so the
-file holds just what the tests ran with, and the build needs no network. The file
-unpacks itself once into a folder (SHIV_ROOT, else ~/.cache/jujubeslip); it is built
-without `--compile-pyc`, which would compile in processes of its own at first start.
+The packages are copied from the virtual environment that runs this program, so the
+file contains exactly the versions that the tests used, and the build needs no network.
+The file unpacks itself once into a folder (SHIV_ROOT, by default ~/.cache/jujubeslip).
+It is built without `--compile-pyc`, which would start additional processes to compile
+at the first start.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def required_names(package: str) -> set[str]:
-    """Return the names of all distributions that the package needs to run."""
+    """Return the names of the package's distribution and its runtime dependencies."""
     found: set[str] = set()
     waiting = [package]
     while waiting:
@@ -48,7 +49,7 @@
 
 
 def copy_distribution(name: str, target: Path) -> None:
-    """Copy a distribution's files, but for its programs, into the target folder."""
+    """Copy a distribution's files, except its programs, into the target folder."""
     for file in metadata.files(name) or ():
         source = Path(str(file.locate()))
         if ".." in file.parts or file.suffix == ".pyc" or not source.is_file():
@@ -59,7 +60,7 @@
 
 
 def build(output: Path) -> None:
-    """Write the single file."""
+    """Build the single file at the output path."""
     with tempfile.TemporaryDirectory() as folder:
         site_packages = Path(folder) / "site-packages"
         for name in sorted(required_names(PACKAGE) - {PACKAGE}):
@@ -84,7 +85,7 @@
 
 
 def main() -> int:
-    """Build the file and print where it is; return an exit status."""
+    """Build the file and print its path and size; return an exit status."""
     output = Path(sys.argv[1]).resolve() if len(sys.argv) > 1 else OUTPUT
     build(output)
     print(f"{output} ({output.stat().st_size / 1e6:.1f} MB)")
--- a/tools/data_classes.py
+++ b/tools/data_classes.py
@@ -1,4 +1,4 @@
-"""What the data classes of settings and declaration say of their keys."""
+"""Descriptions, types and defaults of the keys of settings and declarations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def key_descriptions(kind: type) -> dict[str, str]:
-    """Return the docstring that stands after each field of a data class."""
+    """Return the docstring after each field of a data class, by the field's name."""
     tree = ast.parse(inspect.getsource(kind)).body[0]
     assert isinstance(tree, ast.ClassDef)
     found = {}
@@ -37,7 +37,7 @@
 
 
 def type_text(hint: Any) -> str:
-    """Return what a key's value may be, in words."""
+    """Return a description of a key's type and bounds."""
     if get_origin(hint) is Annotated:
         inner, *details = get_args(hint)
         bounds = [text for detail in details for text in _bounds(detail)]
@@ -78,7 +78,7 @@
 
 
 def default_text(field: Any) -> str:
-    """Return a key's default, or that it is required."""
+    """Return a key's default, or `required` if it has none."""
     default = field.default
     if default is MISSING and field.default_factory is MISSING:
         return "required"
--- a/tools/draws.py
+++ b/tools/draws.py
@@ -1,9 +1,10 @@
-"""Say which engines a play took away.
+"""Show which engines joined and were lost in a play.
 
-`python -m tools.draws FILE...` reads what all hosts of a play wrote, each line behind
-the time and the host, and prints when each engine came, left, was lost or was ordered
-to another role, and how many read and answered after that. The same day and seed takes
-away other engines from play to play: only plays that lost the same ones are compared.
+`python -m tools.draws FILE...` reads the log lines of all hosts of a play, each with
+the time and the host as a prefix, and prints when each engine joined, left, was lost or
+was ordered to another role, and the number of prefill and decode engines after that.
+Plays of the same day and seed may lose different engines: compare only plays that lost
+the same ones.
 """
 
 from __future__ import annotations
@@ -20,102 +21,102 @@
 
 ROLES = ("PREFILL", "DECODE")
 LOST = "engine lost, no requests granted until it returns"
-BACK = "engine reports again"
+RETURNED = "engine reports again"
 ORDERED = "engine ordered"
 
 
 @dataclass(frozen=True)
 class EngineEvent:
-    """What became of an engine."""
+    """A change of an engine's state."""
 
     at: float
     """Seconds from the start of traffic."""
     endpoint_id: str
-    what: str
-    reading: int
-    answering: int
+    description: str
+    prefill_count: int
+    decode_count: int
 
 
 @dataclass(frozen=True)
-class _Known:
+class _Engine:
     role: str
     address: str
 
 
-class _Engines:
-    """The engines that are there, by what control hosts wrote so far."""
+class _EngineTracker:
+    """The available engines, according to the lines of control hosts so far."""
 
     def __init__(self) -> None:
-        self._known_by_id: dict[str, _Known] = {}
-        self._lost_by_id: dict[str, _Known] = {}
+        self._engine_by_id: dict[str, _Engine] = {}
+        self._lost_by_id: dict[str, _Engine] = {}
         self._seen: set[tuple[str, str, bool, int]] = set()
 
-    def take(self, at: float, told: Mapping[str, Any]) -> EngineEvent | None:
-        """Take over a line; return what it tells that was not told before."""
-        message = told.get("message")
-        endpoint_id = str(told.get("endpoint_id", ""))
+    def apply_line(self, at: float, fields: Mapping[str, Any]) -> EngineEvent | None:
+        """Apply a line; return the event, None if the line reports no new change."""
+        message = fields.get("message")
+        endpoint_id = str(fields.get("endpoint_id", ""))
         if message == ORDERED:
-            return self._event(at, endpoint_id, f"ordered to {told['role']}")
+            return self._event(at, endpoint_id, f"ordered to {fields['role']}")
         if message == LOST:
             return self._lost(at, endpoint_id)
-        if message == BACK:
-            return self._back(at, endpoint_id)
-        if message == "endpoint changed" and told.get("role") in ROLES:
-            return self._changed(at, endpoint_id, told)
+        if message == RETURNED:
+            return self._returned(at, endpoint_id)
+        if message == "endpoint changed" and fields.get("role") in ROLES:
+            return self._changed(at, endpoint_id, fields)
         return None
 
     def _changed(
-        self, at: float, endpoint_id: str, told: Mapping[str, Any]
+        self, at: float, endpoint_id: str, fields: Mapping[str, Any]
     ) -> EngineEvent | None:
-        role, leaving = str(told["role"]), bool(told["leaving"])
-        key = (endpoint_id, role, leaving, int(told["started_at_ms"]))
+        role, leaving = str(fields["role"]), bool(fields["leaving"])
+        key = (endpoint_id, role, leaving, int(fields["started_at_ms"]))
         if key in self._seen:
             return None
         self._seen.add(key)
-        known = self._known_by_id.pop(endpoint_id, None)
+        engine = self._engine_by_id.pop(endpoint_id, None)
         if leaving:
             return self._event(at, endpoint_id, f"leaves, {role}")
-        self._forget_address(str(told["address"]))
-        self._known_by_id[endpoint_id] = _Known(role, str(told["address"]))
-        what = f"changed to {role}" if known else f"came, {role}"
-        return self._event(at, endpoint_id, what)
+        self._forget_address(str(fields["address"]))
+        self._engine_by_id[endpoint_id] = _Engine(role, str(fields["address"]))
+        description = f"changed to {role}" if engine else f"joined, {role}"
+        return self._event(at, endpoint_id, description)
 
     def _lost(self, at: float, endpoint_id: str) -> EngineEvent | None:
-        known = self._known_by_id.pop(endpoint_id, None)
-        if known is None:
+        engine = self._engine_by_id.pop(endpoint_id, None)
+        if engine is None:
             return None
-        self._lost_by_id[endpoint_id] = known
-        return self._event(at, endpoint_id, f"lost, {known.role}")
-
-    def _back(self, at: float, endpoint_id: str) -> EngineEvent | None:
-        """Take one for back, unless another one has its address."""
-        known = self._lost_by_id.pop(endpoint_id, None)
-        taken = {other.address for other in self._known_by_id.values()}
-        if known is None or known.address in taken:
+        self._lost_by_id[endpoint_id] = engine
+        return self._event(at, endpoint_id, f"lost, {engine.role}")
+
+    def _returned(self, at: float, endpoint_id: str) -> EngineEvent | None:
+        """Restore an engine that reports again, unless another one has its address."""
+        engine = self._lost_by_id.pop(endpoint_id, None)
+        used_addresses = {other.address for other in self._engine_by_id.values()}
+        if engine is None or engine.address in used_addresses:
             return None
-        self._known_by_id[endpoint_id] = known
-        return self._event(at, endpoint_id, f"back, {known.role}")
+        self._engine_by_id[endpoint_id] = engine
+        return self._event(at, endpoint_id, f"returned, {engine.role}")
 
     def _forget_address(self, address: str) -> None:
-        for endpoint_id, known in list(self._known_by_id.items()):
-            if known.address == address:
-                del self._known_by_id[endpoint_id]
+        for endpoint_id, engine in list(self._engine_by_id.items()):
+            if engine.address == address:
+                del self._engine_by_id[endpoint_id]
 
-    def _event(self, at: float, endpoint_id: str, what: str) -> EngineEvent:
-        roles = [known.role for known in self._known_by_id.values()]
+    def _event(self, at: float, endpoint_id: str, description: str) -> EngineEvent:
+        roles = [engine.role for engine in self._engine_by_id.values()]
         return EngineEvent(
-            at, endpoint_id, what, roles.count("PREFILL"), roles.count("DECODE")
+            at, endpoint_id, description, roles.count("PREFILL"), roles.count("DECODE")
         )
 
 
 def engine_events(lines: Iterable[str]) -> Iterator[EngineEvent]:
-    """Yield what became of engines, in the order of the lines."""
-    engines = _Engines()
+    """Yield the changes of engines, in the order of the lines."""
+    engines = _EngineTracker()
     for line in lines:
-        found = LINE_PATTERN.match(line)
-        if found is None:
+        match = LINE_PATTERN.match(line)
+        if match is None:
             continue
-        event = engines.take(float(found[1]), json.loads(found[3]))
+        event = engines.apply_line(float(match[1]), json.loads(match[3]))
         if event is not None:
             yield event
 
@@ -126,13 +127,13 @@
     """Print a table for each file."""
     for name in files:
         click.echo(f"{Path(name).name}\n")
-        click.echo("| second | engine | what | reading | answering |")
+        click.echo("| second | engine | event | prefill | decode |")
         click.echo("| --- | --- | --- | --- | --- |")
         lines = Path(name).read_text(errors="replace").splitlines()
         for event in engine_events(lines):
             click.echo(
-                f"| {event.at:.2f} | {event.endpoint_id} | {event.what} |"
-                f" {event.reading} | {event.answering} |"
+                f"| {event.at:.2f} | {event.endpoint_id} | {event.description} |"
+                f" {event.prefill_count} | {event.decode_count} |"
             )
         click.echo("")
 
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -1,9 +1,9 @@
-"""Say why requests of a play were late or not served, from the hosts' own log lines.
+"""Show why requests of a play were late or not served, from the hosts' log lines.
 
-`python -m tools.losses FILE` reads what all hosts of a play wrote, each line behind the
-time and the host, and prints how many attempts were lost by each cause, over spans of
-some seconds. A client that was refused and came back is two attempts: its refusal is no
-loss by itself where the second one is served.
+`python -m tools.losses FILE` reads the log lines of all hosts of a play, each prefixed
+by the time and the host, and prints how many attempts were lost by each cause, in
+intervals of some seconds. A client that retries after a refusal makes two attempts: the
+refusal is no loss by itself if the second attempt is served.
 """
 
 from __future__ import annotations
@@ -19,192 +19,207 @@
 import click
 
 LINE_PATTERN = re.compile(r"^\s*(-?[\d.]+) (\S+) (\{.*\})\s*$")
-# Spans of the table, in seconds.
-SPAN_SECONDS = 10
-# Of the target, for the prompt and the first event after the grant, in milliseconds.
-START_MS = 250
+# Length of the intervals of the table, in seconds.
+INTERVAL_SECONDS = 10
+# Part of the target time that the prefill and the first event need after the grant, in
+# milliseconds.
+PREFILL_AND_FIRST_EVENT_MS = 250
 
 
 class Cause(StrEnum):
     """Why an attempt was late or not served."""
 
-    OWN_ERROR = "the endpoint's own answer was a failure"
-    CUT = "the answer was cut, and could not go on"
-    REPLACED = "an engine that is gone was asked"
-    ENGINE_LOST = "the engine was lost or refused after the prompt was read"
-    NO_CONFIGURATION = "late as no configuration was there"
-    NO_ENDPOINT = "late as no endpoint had announced itself"
-    CAME_BACK = "late as it was refused and came back"
-    WAITED = "late as it waited for room"
-    PAUSED = "late by a pause between events"
-    NO_READER = "refused: no reader had time"
-    NO_MEMORY = "refused: no engine had memory"
-    MAY_NOT_READ = "refused: no engine that answers may read its prompt"
-    NO_LEADER = "refused: no room by the host alone"
-    ENDPOINT_SILENT = "no answer in the endpoint's time"
-    SLOW_ANSWER = "late by the endpoint's answer"
-    LEFT = "the client left"
+    ENDPOINT_ERROR = "the endpoint answered with an error"
+    ANSWER_CUT = "the answer was cut off and could not be resumed"
+    ENGINE_REPLACED = "the request was sent to an engine that was replaced"
+    ENGINE_LOST = "the engine was lost or refused the request after the prefill"
+    NO_CONFIGURATION = "late: the host had no configuration yet"
+    NO_ENDPOINT = "late: no endpoint had announced itself yet"
+    CLIENT_RETRIED = "late: the client retried after a refusal"
+    WAITED_FOR_CAPACITY = "late: the request waited for free capacity"
+    LONG_PAUSE = "late: a pause between events was too long"
+    NO_PREFILL_ENGINE = "refused: no prefill engine had time"
+    NO_MEMORY = "refused: no engine had enough free memory"
+    NO_OWN_PREFILL = "refused: no decode engine may prefill the prompt itself"
+    NO_LEADER = "refused: the host without a leader found no free capacity"
+    ENDPOINT_SILENT = "the endpoint sent no answer in time"
+    SLOW_ANSWER = "late: the endpoint answered too late"
+    CLIENT_LEFT = "the client closed the connection"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True)
-class Ended:
-    """The line that a host wrote at the end of an attempt."""
+class AttemptEnd:
+    """The end of an attempt, from the line that its host wrote."""
 
     at: float
     outcome: str
     steps: tuple[str, ...]
-    """What became of each send, in order."""
+    """The result of each send, in order."""
     target_ms: int
     duration_ms: int
     first_event_ms: int | None
     granted_ms: int | None
-    came_back: bool
+    is_client_retry: bool
     longest_gap_ms: int
     maximum_gap_ms: int
     is_stream: bool
     waited_for_configuration: bool
-    lacked: str
+    missing_resource: str
     waited_for_endpoints: bool = False
 
     def has_step(self, text: str) -> bool:
-        """Say whether a send ended so."""
+        """Return whether the result of any send contains the text."""
         return any(text in step for step in self.steps)
 
     @property
     def is_late(self) -> bool:
-        """Say whether a whole answer came after its target."""
-        if self.came_back:
+        """Return whether the answer came after its target time, or after a retry."""
+        if self.is_client_retry:
             return True
         ready_ms = self.first_event_ms if self.is_stream else self.duration_ms
         return ready_ms is not None and ready_ms > self.target_ms
 
     @property
-    def has_paused(self) -> bool:
-        """Say whether two of its events were too far apart."""
+    def has_long_pause(self) -> bool:
+        """Return whether a pause between two events was too long."""
         return 0 < self.maximum_gap_ms < self.longest_gap_ms
 
 
-Test = Callable[[Ended], bool]
+Predicate = Callable[[AttemptEnd], bool]
 
-# The first cause whose test holds is taken.
-SERVED: tuple[tuple[Test, Cause], ...] = (
-    (lambda ended: ended.came_back, Cause.CAME_BACK),
-    (lambda ended: ended.waited_for_configuration, Cause.NO_CONFIGURATION),
-    (lambda ended: ended.waited_for_endpoints, Cause.NO_ENDPOINT),
-    (lambda ended: not ended.is_late and ended.has_paused, Cause.PAUSED),
-    (lambda ended: ended.has_step("endpoint_replaced"), Cause.REPLACED),
-    (lambda ended: ended.has_step("ran=False"), Cause.ENGINE_LOST),
+# The first cause whose predicate is true applies.
+LATE_CAUSES: tuple[tuple[Predicate, Cause], ...] = (
+    (lambda attempt: attempt.is_client_retry, Cause.CLIENT_RETRIED),
+    (lambda attempt: attempt.waited_for_configuration, Cause.NO_CONFIGURATION),
+    (lambda attempt: attempt.waited_for_endpoints, Cause.NO_ENDPOINT),
+    (lambda attempt: not attempt.is_late and attempt.has_long_pause, Cause.LONG_PAUSE),
+    (lambda attempt: attempt.has_step("endpoint_replaced"), Cause.ENGINE_REPLACED),
+    (lambda attempt: attempt.has_step("ran=False"), Cause.ENGINE_LOST),
     (
-        lambda ended: (ended.granted_ms or 0) > ended.target_ms - START_MS,
-        Cause.WAITED,
+        lambda attempt: (
+            (attempt.granted_ms or 0) > attempt.target_ms - PREFILL_AND_FIRST_EVENT_MS
+        ),
+        Cause.WAITED_FOR_CAPACITY,
     ),
-    (lambda ended: ended.has_step("ran=True"), Cause.ENGINE_LOST),
+    (lambda attempt: attempt.has_step("ran=True"), Cause.ENGINE_LOST),
     (lambda _: True, Cause.SLOW_ANSWER),
 )
-LOST: tuple[tuple[Test, Cause], ...] = (
-    (lambda ended: ended.outcome in ("500", "504"), Cause.OWN_ERROR),
-    (lambda ended: ended.outcome in ("left", "caller_gone"), Cause.LEFT),
-    (lambda ended: ended.has_step("endpoint_replaced"), Cause.REPLACED),
-    (lambda ended: ended.outcome in ("answer_cut", "answer_lost"), Cause.CUT),
-    (lambda ended: ended.outcome == "no_answer_in_time", Cause.ENDPOINT_SILENT),
-    (lambda ended: ended.has_step("ran=False"), Cause.ENGINE_LOST),
-    (lambda ended: ended.lacked == "reader", Cause.NO_READER),
-    (lambda ended: ended.lacked == "may read", Cause.MAY_NOT_READ),
-    (lambda ended: ended.has_step("no room in time"), Cause.NO_LEADER),
-    (lambda ended: ended.has_step("no grant in time"), Cause.NO_MEMORY),
-    (lambda ended: ended.outcome == "no_configuration", Cause.NO_CONFIGURATION),
-    (lambda ended: ended.outcome == "no_endpoint", Cause.NO_ENDPOINT),
+UNSERVED_CAUSES: tuple[tuple[Predicate, Cause], ...] = (
+    (lambda attempt: attempt.outcome in ("500", "504"), Cause.ENDPOINT_ERROR),
+    (lambda attempt: attempt.outcome in ("left", "caller_gone"), Cause.CLIENT_LEFT),
+    (lambda attempt: attempt.has_step("endpoint_replaced"), Cause.ENGINE_REPLACED),
+    (
+        lambda attempt: attempt.outcome in ("answer_cut", "answer_lost"),
+        Cause.ANSWER_CUT,
+    ),
+    (lambda attempt: attempt.outcome == "no_answer_in_time", Cause.ENDPOINT_SILENT),
+    (lambda attempt: attempt.has_step("ran=False"), Cause.ENGINE_LOST),
+    (lambda attempt: attempt.missing_resource == "reader", Cause.NO_PREFILL_ENGINE),
+    (lambda attempt: attempt.missing_resource == "may read", Cause.NO_OWN_PREFILL),
+    (lambda attempt: attempt.has_step("no room in time"), Cause.NO_LEADER),
+    (lambda attempt: attempt.has_step("no grant in time"), Cause.NO_MEMORY),
+    (lambda attempt: attempt.outcome == "no_configuration", Cause.NO_CONFIGURATION),
+    (lambda attempt: attempt.outcome == "no_endpoint", Cause.NO_ENDPOINT),
     (lambda _: True, Cause.UNKNOWN),
 )
 
 
-def cause_of(ended: Ended) -> Cause | None:
-    """Return why an attempt was late or not served, None where it was in time."""
-    if ended.outcome not in ("whole", "200"):
-        return _first(LOST, ended)
-    if ended.is_late or ended.has_paused:
-        return _first(SERVED, ended)
+def cause_of(attempt: AttemptEnd) -> Cause | None:
+    """Return why an attempt was late or not served, None if it was in time."""
+    if attempt.outcome not in ("whole", "200"):
+        return _first(UNSERVED_CAUSES, attempt)
+    if attempt.is_late or attempt.has_long_pause:
+        return _first(LATE_CAUSES, attempt)
     return None
 
 
-def _first(tests: Iterable[tuple[Test, Cause]], ended: Ended) -> Cause:
-    return next(cause for test, cause in tests if test(ended))
+def _first(causes: Iterable[tuple[Predicate, Cause]], attempt: AttemptEnd) -> Cause:
+    return next(cause for predicate, cause in causes if predicate(attempt))
 
 
-def read_ended(lines: Iterable[str]) -> Iterator[Ended]:
-    """Yield the ends of attempts that the lines tell, in their order."""
-    waited: set[str] = set()
+def read_attempt_ends(lines: Iterable[str]) -> Iterator[AttemptEnd]:
+    """Yield the ends of attempts from the lines, in their order."""
+    waited_for_configuration: set[str] = set()
     waited_for_endpoints: set[str] = set()
-    lacked_by_id: dict[str, str] = {}
+    missing_resource_by_id: dict[str, str] = {}
     for line in lines:
-        found = LINE_PATTERN.match(line)
-        if found is None:
+        match = LINE_PATTERN.match(line)
+        if match is None:
             continue
-        told = json.loads(found[3])
-        request_id = str(told.get("request_id", ""))
-        if told.get("message") == "request waited for the first configuration":
-            waited.add(request_id)
-        elif told.get("message") == "request waited for the first endpoints":
+        fields = json.loads(match[3])
+        request_id = str(fields.get("request_id", ""))
+        if fields.get("message") == "request waited for the first configuration":
+            waited_for_configuration.add(request_id)
+        elif fields.get("message") == "request waited for the first endpoints":
             waited_for_endpoints.add(request_id)
-        elif told.get("message") == "no grant at an engine":
-            lacked_by_id[request_id] = str(told.get("lacked") or "")
-        elif told.get("message") == "request ended":
-            is_waited = request_id in waited
-            lacked = lacked_by_id.get(request_id, "")
-            ended = _ended(float(found[1]), told, is_waited, lacked)
+        elif fields.get("message") == "no grant at an engine":
+            missing_resource_by_id[request_id] = str(fields.get("lacked") or "")
+        elif fields.get("message") == "request ended":
+            has_waited = request_id in waited_for_configuration
+            missing_resource = missing_resource_by_id.get(request_id, "")
+            attempt = _attempt_end(
+                float(match[1]), fields, has_waited, missing_resource
+            )
             yield replace(
-                ended, waited_for_endpoints=request_id in waited_for_endpoints
+                attempt, waited_for_endpoints=request_id in waited_for_endpoints
             )
 
 
-def _ended(at: float, told: Mapping[str, object], waited: bool, lacked: str) -> Ended:
+def _attempt_end(
+    at: float,
+    fields: Mapping[str, object],
+    waited_for_configuration: bool,
+    missing_resource: str,
+) -> AttemptEnd:
     def number(name: str) -> int | None:
-        value = told.get(name)
+        value = fields.get(name)
         return int(value) if isinstance(value, int | float) else None
 
-    steps = told.get("sends")
-    return Ended(
+    steps = fields.get("sends")
+    return AttemptEnd(
         at=at,
-        outcome=str(told.get("outcome")),
+        outcome=str(fields.get("outcome")),
         steps=tuple(str(step) for step in steps) if isinstance(steps, list) else (),
         target_ms=number("target_ms") or 0,
         duration_ms=number("duration_ms") or 0,
         first_event_ms=number("first_event_ms"),
         granted_ms=number("granted_ms"),
-        came_back=bool(told.get("came_back")),
+        is_client_retry=bool(fields.get("came_back")),
         longest_gap_ms=number("longest_gap_ms") or 0,
         maximum_gap_ms=number("maximum_gap_ms") or 0,
         is_stream=bool(number("maximum_gap_ms")),
-        waited_for_configuration=waited,
-        lacked=lacked,
+        waited_for_configuration=waited_for_configuration,
+        missing_resource=missing_resource,
     )
 
 
-def table_of(ended: Iterable[Ended]) -> str:
-    """Return a row for each cause, with all and with each span of the play."""
+def table_of(attempts: Iterable[AttemptEnd]) -> str:
+    """Return a row for each cause, with counts for the whole play and each interval."""
     counts: dict[Cause, Counter[int]] = defaultdict(Counter)
-    for item in ended:
-        cause = cause_of(item)
+    for attempt in attempts:
+        cause = cause_of(attempt)
         if cause is not None:
-            counts[cause][int(item.at // SPAN_SECONDS) * SPAN_SECONDS] += 1
-    spans = sorted({span for counter in counts.values() for span in counter})
-    head = ["cause", "streams and others", *(f"{span} s" for span in spans)]
+            counts[cause][int(attempt.at // INTERVAL_SECONDS) * INTERVAL_SECONDS] += 1
+    intervals = sorted(
+        {interval for counter in counts.values() for interval in counter}
+    )
+    head = ["cause", "all attempts", *(f"{interval} s" for interval in intervals)]
     rows = [head, ["---"] * len(head)]
     for cause, counter in sorted(counts.items(), key=lambda item: -item[1].total()):
-        cells = [str(counter[span] or "") for span in spans]
+        cells = [str(counter[interval] or "") for interval in intervals]
         rows.append([cause.value, str(counter.total()), *cells])
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
 @click.command(help=__doc__)
 @click.argument("file", type=click.Path(path_type=Path, exists=True))
-@click.option("--streams", is_flag=True, help="Leave plain requests out.")
+@click.option("--streams", is_flag=True, help="Count streams only.")
 def main(file: Path, streams: bool) -> None:
     """Print the table."""
     with file.open() as lines:
-        ended = list(read_ended(lines))
-    click.echo(table_of(item for item in ended if item.is_stream or not streams))
+        attempts = list(read_attempt_ends(lines))
+    click.echo(table_of(item for item in attempts if item.is_stream or not streams))
 
 
 if __name__ == "__main__":
--- a/tools/troubles/__init__.py
+++ b/tools/troubles/__init__.py
@@ -5,7 +5,7 @@
 that as a table. The table of kinds is `kinds.toml` beside this module.
 """
 
-from tools.troubles._copies import bring_journal, make_copies, play_in_copies
+from tools.troubles._copies import copy_journal_entries, make_copies, play_in_copies
 from tools.troubles._days import Day, days_of
 from tools.troubles._kinds import KINDS, KindsError, Trouble, read_kinds
 from tools.troubles._plays import Play, Player, PlayError, read_plays
@@ -19,7 +19,7 @@
     "PlayError",
     "Player",
     "Trouble",
-    "bring_journal",
+    "copy_journal_entries",
     "days_of",
     "make_copies",
     "play_in_copies",
--- a/tools/troubles/_copies.py
+++ b/tools/troubles/_copies.py
@@ -36,7 +36,7 @@
     return copies
 
 
-def bring_journal(copy: Path, root: Path) -> None:
+def copy_journal_entries(copy: Path, root: Path) -> None:
     """Copy the journal's new entries to the repository, with what they refer to."""
     for path in (copy / JOURNAL).rglob("*"):
         target = root / path.relative_to(copy)
--- a/tools/troubles/_plays.py
+++ b/tools/troubles/_plays.py
@@ -10,7 +10,7 @@
 from itertools import product
 from pathlib import Path
 
-from tools.troubles._copies import JOURNAL, bring_journal, play_in_copies
+from tools.troubles._copies import JOURNAL, copy_journal_entries, play_in_copies
 from tools.troubles._days import Day
 
 # Where a play's report names its entry in the journal.
@@ -95,7 +95,7 @@
         )
         report = self.directory / f"{day.name}-{site.stem}-{seed}.txt"
         report.write_text(done.stdout)
-        bring_journal(copy, self.root)
+        copy_journal_entries(copy, self.root)
         play = Play(
             site=site.stem,
             day=day.name,
