--- a/tests/packaging/test_binary.py
+++ b/tests/packaging/test_binary.py
@@ -1,4 +1,4 @@
-"""The single file runs both kinds of host with Python alone, each as one process."""
+"""The single-file build runs control and entry hosts, each as one process."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 @pytest.fixture(scope="module")
 def binary(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """Return the single file, built from this environment."""
+    """Build the single file from this environment and return its path."""
     path = tmp_path_factory.mktemp("dist") / "jujubeslip"
     build(path)
     return path
 
 
-class Started:
-    """A process of the single file, without this environment's packages."""
+class BinaryProcess:
+    """A process of the single file that can't import this environment's packages."""
 
     def __init__(self, binary: Path, folder: Path, kind: str, settings: str) -> None:
         path = folder / f"{kind}.toml"
         path.write_text(settings)
         self.log_path = folder / f"{kind}.log"
-        # The Python that the virtual environment was made from has no packages of
-        # ours; -I keeps the environment and the current folder off its path.
+        # The base interpreter of the virtual environment has none of the project's
+        # packages; -I keeps environment variables and the current folder off its path.
         python = str(Path(sys.base_prefix) / "bin" / "python3.11")
         environment = {"PATH": os.environ["PATH"], "SHIV_ROOT": str(folder / "cache")}
         with self.log_path.open("wb") as log:
@@ -53,7 +53,7 @@
             )
 
     def descendants(self) -> list[str]:
-        """Return the ids of all processes that this one has started."""
+        """Return the ids of the processes that this process has started."""
         tasks = Path(f"/proc/{self.process.pid}/task")
         return [
             child
@@ -70,8 +70,8 @@
 
 
 @pytest.fixture
-def control(binary: Path, tmp_path: Path) -> Iterator[tuple[Started, str]]:
-    """Start a lone control host; give it and its address."""
+def control(binary: Path, tmp_path: Path) -> Iterator[tuple[BinaryProcess, str]]:
+    """Start a single control host; yield it and its address."""
     address = free_address()
     settings = f"""{COMMON}
 host_id = "control-1"
@@ -81,15 +81,15 @@
 host_id = "control-1"
 address = "{address}"
 """
-    started = Started(binary, tmp_path, "control", settings)
+    started = BinaryProcess(binary, tmp_path, "control", settings)
     yield started, address
     started.process.kill()
     started.process.wait()
 
 
 @pytest.fixture
-def entry(binary: Path, tmp_path: Path) -> Iterator[tuple[Started, str]]:
-    """Start a lone entry host; give it and its HTTP address."""
+def entry(binary: Path, tmp_path: Path) -> Iterator[tuple[BinaryProcess, str]]:
+    """Start a single entry host; yield it and its HTTP address."""
     address = free_address()
     settings = f"""{COMMON}
 host_id = "entry-1"
@@ -97,13 +97,13 @@
 peer_address = "{free_address()}"
 endpoint_secret = "an-endpoint-secret"
 """
-    started = Started(binary, tmp_path, "entry", settings)
+    started = BinaryProcess(binary, tmp_path, "entry", settings)
     yield started, address
     started.process.kill()
     started.process.wait()
 
 
-def leads(address: str) -> bool:
+def has_leader(address: str) -> bool:
     identity = PeerIdentity("test", 1, SECRET)
     client = PeerClient(ControlPeer.Client, address, identity)
     try:
@@ -115,7 +115,7 @@
     return bool(status.leader_id)
 
 
-def answers(address: str) -> bool:
+def is_serving(address: str) -> bool:
     try:
         return call_json(address, "GET", "/v1/ready")[0] == 503
     except OSError:
@@ -123,20 +123,22 @@
 
 
 class TestSingleFile:
-    """A supervisor that watches one process id must see all of the system.
+    """Guards against a bootstrap that runs the host in a child process.
 
-    A bootstrap that starts a child leaves it behind when the parent is killed: the
-    old process goes on serving beside its successor.
+    A supervisor knows only the parent's process id. When it kills the parent, the child
+    keeps running and serves requests beside its successor.
     """
 
-    def test_control_leads_as_one_process(self, control: tuple[Started, str]) -> None:
+    def test_control_host_is_one_process(
+        self, control: tuple[BinaryProcess, str]
+    ) -> None:
         started, address = control
-        wait_until(lambda: leads(address), "the control host leads", 60)
+        wait_until(lambda: has_leader(address), "the control host leads", 60)
         assert started.descendants() == []
         assert started.stop() == 0, started.log()
 
-    def test_entry_serves_as_one_process(self, entry: tuple[Started, str]) -> None:
+    def test_entry_host_is_one_process(self, entry: tuple[BinaryProcess, str]) -> None:
         started, address = entry
-        wait_until(lambda: answers(address), "the entry host answers", 60)
+        wait_until(lambda: is_serving(address), "the entry host answers", 60)
         assert started.descendants() == []
         assert started.stop() == 0, started.log()
--- a/tests/packaging/test_entry_points.py
+++ b/tests/packaging/test_entry_points.py
@@ -1,4 +1,4 @@
-"""What a newcomer and CI run first."""
+"""The demo, and the list of known failing tests that CI reads."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 class TestDemo:
     def test_prints_whole_answers_their_rules_and_spans(self) -> None:
         command = [sys.executable, "-m", "bench.demo"]
-        run = subprocess.run(
+        completed = subprocess.run(
             command, cwd=ROOT, capture_output=True, text=True, timeout=120
         )
-        assert run.returncode == 0, run.stdout + run.stderr
-        assert "'rule': 'board-lines-first'" in run.stdout
-        assert "'rule': 'everything-else'" in run.stdout
-        assert run.stdout.count("transfer  begins") == 2
+        assert completed.returncode == 0, completed.stdout + completed.stderr
+        assert "'rule': 'board-lines-first'" in completed.stdout
+        assert "'rule': 'everything-else'" in completed.stdout
+        assert completed.stdout.count("transfer  begins") == 2
 
 
 class TestKnownRed:
-    """A test that is red for a known reason must not hide another red one.
+    """Guards against known failing tests that hide other failing ones.
 
-    CI would show green while more and more is broken: someone lists a fourth test, or
-    a line goes on naming a test that was renamed, and nobody sees either.
+    CI would pass although more and more is broken: someone adds further tests to the
+    list, or a line still names a test that was renamed, and nobody notices.
     """
 
     def write(self, folder: Path, *lines: str) -> Path:
@@ -37,17 +37,17 @@
         path.write_text("\n".join(lines))
         return path
 
-    def test_passes_over_nothing_without_the_file(self, tmp_path: Path) -> None:
+    def test_deselects_nothing_without_the_file(self, tmp_path: Path) -> None:
         assert read_known_red(tmp_path / "KNOWN-RED.txt") == ()
 
-    def test_passes_over_just_the_listed_tests(self, tmp_path: Path) -> None:
+    def test_deselects_only_the_listed_tests(self, tmp_path: Path) -> None:
         path = self.write(tmp_path, "test_it.py::TestA::test_b; a cause; issue 3", "")
         assert read_known_red(path) == ("test_it.py::TestA::test_b",)
 
-    def test_names_them_as_a_shell_hands_them_on(
+    def test_prints_options_without_quotes(
         self, tmp_path: Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        """A command substitution leaves quotes in place: nothing was passed over."""
+        """A command substitution keeps quotes, so that no test would be deselected."""
         path = self.write(tmp_path, "test_it.py::test_a[1-/x]; a cause; issue 3")
         assert main(path) == 0
         assert capsys.readouterr().out == "--deselect=test_it.py::test_a[1-/x]\n"
@@ -62,7 +62,7 @@
             ("gone.py::test_a; cause; 3",),
         ],
     )
-    def test_refuses_a_list_that_hides_more(
+    def test_refuses_an_ambiguous_or_invalid_list(
         self, tmp_path: Path, lines: tuple[str, ...]
     ) -> None:
         with pytest.raises(KnownRedError):
--- a/tests/packaging/test_imports.py
+++ b/tests/packaging/test_imports.py
@@ -1,4 +1,4 @@
-"""Which packages import which."""
+"""Import cycles between the packages."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def package_of(module: str) -> str | None:
-    """Return the product's package that a module belongs to, None if to none."""
+    """Return the package of a module of the product, None for other modules."""
     parts = module.split(".")
     return parts[1] if parts[0] == PRODUCT and len(parts) > 1 else None
 
 
 def modules_imported(path: Path) -> Iterator[str]:
-    """Return every module that a file names, also those for its types alone."""
+    """Yield all modules that a file imports, also those for type checking only."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -32,7 +32,7 @@
 
 
 def packages_imported(package: str) -> set[str]:
-    """Return the other packages that a package imports itself."""
+    """Return the other packages that a package imports directly."""
     found = {
         package_of(module)
         for path in (SOURCE / package).rglob("*.py")
@@ -41,8 +41,8 @@
     return {name for name in found if name is not None} - {package}
 
 
-def chain_back_to(package: str) -> list[str]:
-    """Return a shortest chain of imports from a package to itself, empty if none."""
+def shortest_cycle(package: str) -> list[str]:
+    """Return a shortest import cycle through a package, empty if there is none."""
     chains = [[package]]
     seen: set[str] = set()
     for chain in chains:
@@ -54,15 +54,15 @@
     return []
 
 
-class TestCircle:
-    """Packages that import each other can't be read, tested or changed one by one.
+class TestImportCycles:
+    """Guards against packages that can't be read, tested or changed independently.
 
-    A newcomer meets names under TYPE_CHECKING and imports within functions, which are
-    there only because the module that is asked for is still being loaded.
+    Packages that import each other need imports under TYPE_CHECKING and within
+    functions, only since the imported module is not fully loaded yet.
     """
 
     @pytest.mark.parametrize("package", ["admission", "control", "interfaces"])
-    def test_package_does_not_come_back_to_itself(self, package: str) -> None:
+    def test_package_is_in_no_cycle(self, package: str) -> None:
         assert (SOURCE / package / "__init__.py").is_file()
         assert packages_imported(package)
-        assert not chain_back_to(package)
+        assert not shortest_cycle(package)
--- a/tests/packaging/test_pages.py
+++ b/tests/packaging/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages say what the code does, and lead where they say."""
+"""Generated pages are current, and links in pages are valid."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class TestGeneratedPages:
-    """An operator looks up an error id or a key and must find the one in force.
+    """Guards against pages that list outdated error ids or keys.
 
-    A key is added or renamed, the page keeps the old one, and the remedy that the
-    page names ends in "There is no such key."
+    If a key is renamed and the page keeps the old one, an operator who follows the page
+    gets the error "There is no such key."
     """
 
     @pytest.mark.parametrize("name", sorted(pages()))
@@ -31,7 +31,7 @@
     @pytest.mark.parametrize(
         "page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix()
     )
-    def test_lead_to_a_file(self, page: Path) -> None:
+    def test_targets_exist(self, page: Path) -> None:
         targets = LINK.findall(page.read_text())
         local = [target for target in targets if "://" not in target]
         missing = [target for target in local if not (page.parent / target).exists()]
--- a/tests/tools/test_troubles.py
+++ b/tests/tools/test_troubles.py
@@ -1,4 +1,4 @@
-"""Days with one kind of trouble each: their content, their plays, and the table."""
+"""Days with one kind of trouble each: their files, their plays, and the table."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
 closing = true
 """
 
-# Stands for the program that plays days: it counts its calls, and answers by the day's
-# file: a broken rule for those with `dark`, no result for those with `core`.
+# A fake of the program that plays days. It records its calls; its result depends on the
+# day's name: a broken rule for days with `dark`, no result for days with `core`.
 PROGRAM = """#!{python}
 import json, sys
 from pathlib import Path
@@ -98,7 +98,7 @@
 
 @pytest.fixture
 def repository(tmp_path: Path) -> Path:
-    """Return a repository with one committed file and the libraries of a build."""
+    """Return a repository with one committed file and a build's libraries."""
     root = tmp_path / "repository"
     root.mkdir()
     (root / "committed").write_text("as committed")
@@ -131,7 +131,7 @@
 
 class TestKinds:
     def test_each_variant_is_a_trouble(self, kinds: Path) -> None:
-        names = [(one.name, one.variant) for one in read_kinds(kinds)]
+        names = [(trouble.name, trouble.variant) for trouble in read_kinds(kinds)]
         assert names == [
             ("crash", ""),
             ("crash", "dark cold"),
@@ -140,7 +140,7 @@
             ("blackout", ""),
         ]
 
-    def test_unknown_key_is_named(self, kinds: Path) -> None:
+    def test_error_names_the_unknown_key(self, kinds: Path) -> None:
         kinds.write_text('[[kind]]\nname = "crash"\nvariant = "dark"\n')
         with pytest.raises(KindsError, match="'variant'"):
             read_kinds(kinds)
@@ -150,19 +150,19 @@
         with pytest.raises(KindsError, match="no name"):
             read_kinds(kinds)
 
-    def test_same_variant_twice_is_refused(self, kinds: Path) -> None:
+    def test_duplicate_variant_is_refused(self, kinds: Path) -> None:
         kinds.write_text('[[kind]]\nname = "crash"\n[[kind]]\nname = "crash"\n')
         with pytest.raises(KindsError, match="twice"):
             read_kinds(kinds)
 
-    def test_other_toml_is_refused(self, kinds: Path) -> None:
+    def test_file_without_kinds_is_refused(self, kinds: Path) -> None:
         kinds.write_text("name = 1\n")
         with pytest.raises(KindsError, match="kind"):
             read_kinds(kinds)
 
 
 class TestDays:
-    def test_committed_table_gives_days_with_names_of_their_own(self) -> None:
+    def test_days_of_the_committed_kinds_have_unique_names(self) -> None:
         days = list(days_of(read_kinds(KINDS)))
         assert len({day.name for day in days}) == len(days)
         for day in days:
@@ -178,13 +178,13 @@
         assert [strike.pop("at") for strike in strikes] == [4.0, 8.5]
         assert strikes[0] == strikes[1]
 
-    def test_planned_work_stands_in_the_plan(self) -> None:
+    def test_planned_work_is_in_the_plan(self) -> None:
         once, _ = days_of([Trouble("rollout", planned=True)])
         content = content_of(once)
         assert content["faults"] == []
         assert content["plan"][-1] == {"at": 4.0, "kind": "rollout"}
 
-    def test_what_strikes_at_the_end_strikes_there_alone(self) -> None:
+    def test_closing_trouble_strikes_only_at_the_end(self) -> None:
         (day,) = days_of([Trouble("blackout", closing=True)])
         content = content_of(day)
         assert content["closing"] == {"kind": "blackout", "down_s": 1.0}
@@ -192,7 +192,7 @@
         assert {entry["kind"] for entry in content["plan"]} == {"config_change"}
 
     def test_first_variants_come_first(self, kinds: Path) -> None:
-        """Plays that are cut short have seen each kind."""
+        """An interrupted run has then played each kind."""
         names = [day.name for day in days_of(read_kinds(kinds)) if day.strikes == 1]
         assert names == [
             "crash-once",
@@ -209,7 +209,7 @@
 
 
 class TestPlayer:
-    def test_broken_rule_is_kept_with_its_seed(self, player: Player) -> None:
+    def test_broken_rule_is_recorded_with_its_seed(self, player: Player) -> None:
         days = days_of([Trouble("crash", "dark")])
         player.play_all(days, [Path("north.toml")], [7])
         plays = read_plays(player.results)
@@ -229,34 +229,36 @@
             ("crash-twice", "south"),
         ]
 
-    def test_stopped_run_goes_on_with_what_is_left(self, player: Player) -> None:
+    def test_stopped_run_continues_with_the_remaining_days(
+        self, player: Player
+    ) -> None:
         once, twice = days_of([Trouble("crash")])
         player.play_all([once], [Path("north.toml")], [1])
         player.play_all([once, twice], [Path("north.toml")], [1])
         assert len(calls_of(player.copies[0])) == 2
         assert len(read_plays(player.results)) == 2
 
-    def test_day_without_a_result_says_why(self, player: Player) -> None:
+    def test_day_without_a_result_has_the_reason(self, player: Player) -> None:
         player.play_all(days_of([Trouble("crash", on="core")]), [Path("n.toml")], [1])
         assert {play.not_played for play in read_plays(player.results)} == {
             "no such host here"
         }
 
-    def test_entry_that_is_not_there_is_an_error(
+    def test_missing_journal_entry_is_an_error(
         self, player: Player, program: Path
     ) -> None:
         program.write_text("#!/bin/sh\necho snapshot 0abc\n")
         with pytest.raises(PlayError, match="has no entry 0abc"):
             player.play_all(days_of([Trouble("crash")]), [Path("n.toml")], [1])
 
-    def test_entries_are_brought_home(self, player: Player) -> None:
+    def test_journal_entries_are_copied_to_the_repository(self, player: Player) -> None:
         player.play_all(days_of([Trouble("crash")]), [Path("n.toml")], [1])
         assert len(list((player.root / "journal").iterdir())) == 2
 
     def test_copy_has_one_play_at_a_time(
         self, player: Player, tmp_path: Path, program: Path
     ) -> None:
-        """The program fails where another one runs in its folder."""
+        """The program fails if another one runs in the same folder."""
         program.write_text(
             program.read_text().replace(
                 "day =",
@@ -267,13 +269,17 @@
         )
         second = tmp_path / "copy-2"
         second.mkdir()
-        busy = replace(player, copies=(*player.copies, second))
-        busy.play_all(days_of([Trouble("crash")]), [Path("n.toml")], [1, 2, 3])
+        concurrent_player = replace(player, copies=(*player.copies, second))
+        concurrent_player.play_all(
+            days_of([Trouble("crash")]), [Path("n.toml")], [1, 2, 3]
+        )
         plays = read_plays(player.results)
         assert [play.not_played for play in plays] == [""] * 6
-        assert all(calls_of(copy) for copy in busy.copies)
+        assert all(calls_of(copy) for copy in concurrent_player.copies)
 
-    def test_invalid_day_keeps_its_fault(self, player: Player, program: Path) -> None:
+    def test_fault_of_an_invalid_day_is_recorded(
+        self, player: Player, program: Path
+    ) -> None:
         program.write_text(
             program.read_text().replace('"fault": None', '"fault": "too slow"')
         )
@@ -282,7 +288,7 @@
 
 
 class TestCopies:
-    def test_hold_what_is_committed_and_the_libraries(
+    def test_contain_the_committed_files_and_the_libraries(
         self, repository: Path, tmp_path: Path
     ) -> None:
         (repository / "committed").write_text("changed since")
@@ -297,7 +303,7 @@
         assert copies[0] == copy
         assert not (copy / "left").exists()
 
-    def test_journal_keeps_what_it_has(self, tmp_path: Path) -> None:
+    def test_existing_journal_entries_are_not_overwritten(self, tmp_path: Path) -> None:
         copy, root = tmp_path / "copy", tmp_path / "root"
         for folder in (copy / "journal" / "blobs", root / "journal"):
             folder.mkdir(parents=True)
@@ -310,7 +316,7 @@
 
 
 class TestTable:
-    def test_row_counts_plays_and_names_what_broke(self) -> None:
+    def test_row_counts_plays_and_names_broken_rules(self) -> None:
         plays = [
             play_of(),
             play_of(site="south", rules=("BUDGET", "LOST")),
@@ -331,7 +337,7 @@
             ["| `rollout`", "plain"],
         ]
 
-    def test_clean_row(self) -> None:
+    def test_row_without_broken_rules(self) -> None:
         assert table_of([play_of(variant="dark")]).endswith(
             "| `crash` | `dark` | 1, 0 | none |"
         )
@@ -345,7 +351,9 @@
 
 
 class TestCommand:
-    def test_write_gives_a_file_for_each_day(self, kinds: Path, tmp_path: Path) -> None:
+    def test_write_creates_a_file_for_each_day(
+        self, kinds: Path, tmp_path: Path
+    ) -> None:
         folder = tmp_path / "out"
         result = CliRunner().invoke(main, ["--kinds", str(kinds), "write", str(folder)])
         assert result.exit_code == 0, result.output
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -26,18 +26,18 @@
 
 def required_names(package: str) -> set[str]:
     """Return the names of the package's distribution and its runtime dependencies."""
-    found: set[str] = set()
-    waiting = [package]
-    while waiting:
-        name = waiting.pop()
-        if name in found or not _is_installed(name):
+    required: set[str] = set()
+    pending_names = [package]
+    while pending_names:
+        name = pending_names.pop()
+        if name in required or not _is_installed(name):
             continue
-        found.add(name)
+        required.add(name)
         for requirement in metadata.requires(name) or ():
             match = _REQUIREMENT_NAME.match(requirement)
             if match and not _OPTIONAL.search(requirement):
-                waiting.append(match.group().lower().replace("_", "-"))
-    return found
+                pending_names.append(match.group().lower().replace("_", "-"))
+    return required
 
 
 def _is_installed(name: str) -> bool:
@@ -54,9 +54,9 @@
         source = Path(str(file.locate()))
         if ".." in file.parts or file.suffix == ".pyc" or not source.is_file():
             continue
-        copied = target / str(file)
-        copied.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copyfile(source, copied)
+        target_file = target / str(file)
+        target_file.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copyfile(source, target_file)
 
 
 def build(output: Path) -> None:
--- a/tools/data_classes.py
+++ b/tools/data_classes.py
@@ -65,14 +65,14 @@
     if detail.description:
         yield detail.description
         return
-    words = {
+    label_by_bound = {
         "ge": "at least",
         "gt": "above",
         "le": "at most",
         "min_length": "length at least",
     }
     for bound in detail.metadata:
-        for key, word in words.items():
+        for key, word in label_by_bound.items():
             if getattr(bound, key, None) is not None:
                 yield f"{word} {getattr(bound, key)}"
 
--- a/tools/generate_docs.py
+++ b/tools/generate_docs.py
@@ -1,6 +1,6 @@
-"""Write the pages of docs/reference/ that come from the code: `make docs`.
+"""Generate the pages of docs/reference/ from the code: `make docs`.
 
-The pages are committed; tests/packaging/test_pages.py fails when they are not current.
+The pages are committed; tests/packaging/test_pages.py fails if they are outdated.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def pages() -> dict[str, str]:
-    """Return the text of every generated page by its file name."""
+    """Return the text of each generated page by its file name."""
     return {
         "settings.md": settings_page(),
         "declaration.md": declaration_page(),
@@ -60,19 +60,19 @@
 
 
 def settings_page() -> str:
-    """Return the page of each kind of settings file."""
+    """Return the page about all kinds of settings files."""
     parts = [
         HEAD,
         "# Settings\n",
-        "Each process reads one TOML file, given by `--settings`. It is checked whole "
-        "before anything opens: each error names file, key, what is wrong and the "
-        "remedy, and an unknown key names the nearest known one. Check a file without "
-        "starting anything by `jujubeslip check --kind entry FILE`, `--kind "
-        "forward` or `--kind control`. Addresses are `IP:port`; names have up to 63 "
-        f"{NAME_PATTERN}. Times are in milliseconds, sizes in bytes. Whole examples "
-        "stand in `examples/`.\n",
-        "A process reads its settings at start only; restart it gracefully (SIGTERM) "
-        "to change them.\n",
+        "Each process reads one TOML file, given by `--settings`. The whole file is "
+        "validated before the process opens any address: each error names the file, "
+        "the key, the problem and the remedy, and for an unknown key the most similar "
+        "known one. To check a file without starting a process, run `jujubeslip check "
+        "--kind entry FILE`, `--kind forward` or `--kind control`. Addresses are "
+        f"`IP:port`; names have up to 63 {NAME_PATTERN}. Times are in milliseconds, "
+        "sizes in bytes. `examples/` contains complete files.\n",
+        "A process reads its settings only at its start; to change them, restart it "
+        "gracefully (SIGTERM).\n",
     ]
     parts.append(_table("Entry host", EntrySettings))
     parts.append(_table("Forwarding host", ForwardSettings))
@@ -85,13 +85,13 @@
 
 
 def declaration_page() -> str:
-    """Return the page of the declaration."""
+    """Return the page about the declaration."""
     parts = [
         HEAD,
         "# The declaration\n",
-        "What operators keep in version control and put in force by `jujubeslip "
-        "apply`. `jujubeslip check FILE` finds what is wrong with it first. How rules "
-        "decide is told in [topics/rules](../topics/rules.md).\n",
+        "Operators keep the declaration in version control and put it in force by "
+        "`jujubeslip apply`; `jujubeslip check FILE` finds its errors before that. "
+        "[topics/rules](../topics/rules.md) describes how rules decide.\n",
     ]
     for title, kind in (
         ("Top level", Declaration),
@@ -123,7 +123,7 @@
 
 
 def cli_page() -> str:
-    """Return the page of the commands, from their own help texts."""
+    """Return the page about the commands, from their help texts."""
     context = click.Context(command_line, info_name="jujubeslip")
     parts = [HEAD, "# The command line\n", _help_block(context)]
     assert isinstance(command_line, click.Group)
@@ -146,27 +146,27 @@
     return f"```text\n{context.command.get_help(context)}\n```\n"
 
 
-# What the source says in calls and classes
+# Calls and classes in the source code
 
 
 def errors_page() -> str:
-    """Return the page of all error ids."""
+    """Return the page about all error ids."""
     parts = [
         HEAD,
         "# Errors\n",
         "Every error has a stable id, a message and a remedy. A refusal to a client "
-        "says besides whether the request `ran` (`no`: surely not; `unknown`: it may "
-        "have) and, in `Retry-After`, when to ask again; "
-        "[topics/outcomes](../topics/outcomes.md) tells what that means. `…` stands "
-        "for what differs from case to case.\n",
+        "also contains whether the request `ran` (`no`: certainly not; `unknown`: it "
+        "may have run) and, in `Retry-After`, when to retry; "
+        "[topics/outcomes](../topics/outcomes.md) describes the consequences. `…` "
+        "stands for text that varies.\n",
         "## Refusals to clients and endpoints\n",
         "| id | status | ran | message | remedy |",
         "|---|---|---|---|---|",
         *sorted(set(_refusal_rows())),
         "",
-        "The ids of the next table with `endpoint_` and `answer_cut` reach clients "
-        "too: status 502, and `ran: unknown` unless the endpoint surely did not run "
-        "it.\n",
+        "The ids of the next table that begin with `endpoint_`, and `answer_cut`, also "
+        "reach clients: with status 502, and with `ran: unknown` unless the endpoint "
+        "certainly did not run the request.\n",
         "## Kinds of error\n",
         "| id | meaning | remedy |",
         "|---|---|---|",
@@ -193,7 +193,7 @@
             f"`{error_id}`",
             ast.unparse(status) if status else "503",
             ast.unparse(ran).removeprefix("Ran.").lower() if ran else "no",
-            text_of(argument_of(call, 1, "message")) or "says what is wrong",
+            text_of(argument_of(call, 1, "message")) or "describes the problem",
             text_of(argument_of(call, 9, "remedy")) or default_remedy,
         )
 
@@ -237,13 +237,13 @@
         error_id = text_of(argument_of(call, 0, "error_id"))
         if not error_id:
             continue
-        message = text_of(argument_of(call, 1, "message")) or "says what is wrong"
-        remedy = text_of(argument_of(call, 2, "remedy")) or "as in its message"
+        message = text_of(argument_of(call, 1, "message")) or "describes the problem"
+        remedy = text_of(argument_of(call, 2, "remedy")) or "see the message"
         yield _row(f"`{error_id}`", message, remedy)
 
 
 def _checks_table() -> str:
-    rows = ["## What `check` finds besides\n"]
+    rows = ["## Messages of `check`\n"]
     rows += ["| id | level | message | remedy |", "|---|---|---|---|"]
     found = set()
     for _, call in calls_of("CheckMessage"):
@@ -258,7 +258,7 @@
 
 
 def metrics_page() -> str:
-    """Return the page of the metrics."""
+    """Return the page about the metrics."""
     rows = []
     for _, call in calls_of(
         "create_counter", "create_histogram", "create_up_down_counter", "create_gauge",
@@ -276,11 +276,11 @@
     parts = [
         HEAD,
         "# Metrics\n",
-        "Served as text at `metrics_address` of the settings, where dots become "
-        "underscores, units are added, and counters end in `_total`. Also exported by "
-        "OTLP over HTTP to `otlp_endpoint`, each `export_interval_ms`, with the "
-        "resource attributes `service.name`, `host.id` and "
-        "`cloud.availability_zone`.\n",
+        "Metrics are served as text at `metrics_address` of the settings; there, dots "
+        "become underscores, units are appended, and counters end in `_total`. They "
+        "are also exported by OTLP over HTTP to `otlp_endpoint`, every "
+        "`export_interval_ms`, with the resource attributes `service.name`, `host.id` "
+        "and `cloud.availability_zone`.\n",
         "| name | kind | unit | meaning |",
         "|---|---|---|---|",
         *sorted(set(rows)),
@@ -291,16 +291,16 @@
 
 SPAN_MEANINGS = {
     "request": "a client's request, from its arrival to the end of its answer",
-    "reserve": "the wait for endpoints, granted by their home",
-    "prefill": "the prompt's computation at a prefill engine",
-    "transfer": "the KV cache's way to a decode engine",
+    "reserve": "the wait for a grant of endpoints by their home",
+    "prefill": "the computation of the prompt at a prefill engine",
+    "transfer": "the transfer of the KV cache to a decode engine",
     "decode": "the stream of tokens from a decode engine",
-    "call": "a plain service's call",
+    "call": "the call of a plain service",
 }
 
 
 def spans_page() -> str:
-    """Return the page of the spans."""
+    """Return the page about the spans."""
     names: dict[str, set[str]] = {}
     for path, call in calls_of("start_as_current_span", "start_span"):
         name = text_of(call.args[0])
@@ -315,9 +315,10 @@
     parts = [
         HEAD,
         "# Spans\n",
-        "One trace for each request, a span for each hop. A `traceparent` header of "
-        "the client's request is the parent; engines get one in turn. "
-        "[how-to/read-a-trace](../how-to/read-a-trace.md) goes through one.\n",
+        "Each request has one trace, with a span for each hop. A `traceparent` header "
+        "of the client's request sets the parent; requests to engines have such a "
+        "header, too. [how-to/read-a-trace](../how-to/read-a-trace.md) explains an "
+        "example.\n",
         "| name | covers | made in |",
         "|---|---|---|",
         *rows,
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,8 @@
-"""Print the pytest options that pass over just the tests listed in KNOWN-RED.txt.
+"""Print the pytest options that deselect exactly the tests listed in KNOWN-RED.txt.
 
-Each line of that file is `TEST; CAUSE; ISSUE`, TEST being a pytest node id that no
-other line names. The list goes to standard error, so that nobody takes a passed-over
-test for a green one; the options go to standard output.
+Each line of that file is `TEST; CAUSE; ISSUE`, where TEST is a pytest node id that no
+other line contains. The list is printed to standard error, so that nobody mistakes a
+deselected test for a passed one; the options are printed to standard output.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class KnownRedError(Exception):
-    """A KNOWN-RED.txt that can't be used, with what to do."""
+    """KNOWN-RED.txt is invalid; the message contains the remedy."""
 
 
 def read_known_red(path: Path) -> tuple[str, ...]:
-    """Return the node ids that the file lists; none if there is no file."""
+    """Return the node ids of the file; none if the file doesn't exist."""
     if not path.exists():
         return ()
     lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -50,13 +50,14 @@
         tests = read_known_red(path)
     except KnownRedError as error:
         print(error, file=sys.stderr)
-        # An option that pytest does not know ends the run, since the status of a
-        # command substitution is lost.
+        # The shell ignores the exit status of a command substitution. An option that
+        # pytest doesn't know makes the run fail.
         print("--known-red-is-invalid")
         return 1
     for test in tests:
-        print(f"KNOWN RED, passed over: {test}", file=sys.stderr)
-    # The shell splits what a command substitution gives, and leaves quotes in it.
+        print(f"KNOWN RED, deselected: {test}", file=sys.stderr)
+    # The shell splits the output of a command substitution at spaces, and doesn't
+    # remove quotes.
     print(" ".join(f"--deselect={test}" for test in tests))
     return 0
 
--- a/tools/logs_page.py
+++ b/tools/logs_page.py
@@ -1,4 +1,4 @@
-"""The page of the lines that processes write, read from the calls that write them."""
+"""The page about log lines, generated from the logger calls in the source code."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 INTRODUCTION = """# Log lines
 
 A line is a JSON object with `time`, `level`, `logger`, `message`, and the fields below.
-Messages don't vary: they name the kind of line. A host writes at most 100 lines of a
-kind in a second, warnings and errors apart; the next one has `left_out_before`. Where
-nobody reads the output, lines are dropped, and the next one has `dropped_before`.
-`jujubeslip trace` puts the lines about one request in order.
+Messages are constant: they identify the kind of line. A host writes at most 100 lines
+of a kind in a second, except for warnings and errors; the next line of the kind has the
+number of suppressed lines in `left_out_before`. While the output stream blocks since
+nobody reads it, lines are dropped; the next line has their number in `dropped_before`.
+`jujubeslip trace` prints the lines about one request in order.
 """
 
 
 @dataclass(frozen=True)
 class LineKind:
-    """One kind of line."""
+    """One kind of log line, as one call writes it."""
 
     message: str
     level: str
@@ -31,7 +32,7 @@
 
 
 def logs_page(head: str) -> str:
-    """Return the page, with its first line."""
+    """Return the page, which begins with `head`."""
     kinds = sorted(set(_kinds()), key=lambda kind: (kind.message, kind.module))
     rows = [_row(kind) for kind in kinds]
     table = ["| message | level | written by | fields |", "|---|---|---|---|", *rows]
@@ -77,7 +78,7 @@
 
 
 def _keys_by_name(function: ast.FunctionDef) -> dict[str, set[str]]:
-    """Return the keys of each dictionary that the function fills, by its name."""
+    """Return the keys of each dictionary in the function, by the variable's name."""
     keys_by_name: dict[str, set[str]] = {}
     for node in ast.walk(function):
         if isinstance(node, ast.AnnAssign):
--- a/tools/source.py
+++ b/tools/source.py
@@ -1,4 +1,4 @@
-"""What the source code says in its calls and classes, read without running it."""
+"""Access to the syntax trees of the source code, without importing it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def source_trees() -> Iterator[tuple[Path, ast.Module]]:
-    """Yield each module of the source, without the generated code."""
+    """Yield the path and syntax tree of each module, except generated code."""
     for path in sorted(SOURCE.rglob("*.py")):
         if "gen" not in path.relative_to(SOURCE).parts:
             yield path, ast.parse(path.read_text())
@@ -32,7 +32,7 @@
 
 
 def text_of(node: ast.expr | None) -> str:
-    """Return a text constant; parts that vary are shown as `…`."""
+    """Return the text of a string or f-string, with `…` for each placeholder."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return node.value
     if isinstance(node, ast.JoinedStr):
--- a/tools/troubles/__init__.py
+++ b/tools/troubles/__init__.py
@@ -1,8 +1,8 @@
-"""Days with one kind of trouble each: written from a table, played, and listed.
+"""Generates, plays and tabulates days that each have one kind of trouble.
 
-`python -m tools.troubles write DIR` writes a day file for each kind and variant, once
-and twice over; `play` plays them on sites and keeps what each play gave; `table` prints
-that as a table. The table of kinds is `kinds.toml` beside this module.
+`python -m tools.troubles write DIR` writes a day file for each kind and variant, with
+one strike and with two; `play` plays the days on sites and records the result of each
+play; `table` prints the results. `kinds.toml` in this folder defines the kinds.
 """
 
 from tools.troubles._copies import copy_journal_entries, make_copies, play_in_copies
--- a/tools/troubles/__main__.py
+++ b/tools/troubles/__main__.py
@@ -1,4 +1,4 @@
-"""Write, play and list days with one kind of trouble each."""
+"""Write, play and tabulate days that each have one kind of trouble."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     table_of,
 )
 
-# Plays at once; each has some ten processes, and takes about one core.
+# Number of concurrent plays; each has some ten processes and uses about one core.
 DEFAULT_JOBS = 6
 
 
@@ -26,7 +26,7 @@
 @click.option("--kinds", default=KINDS, type=click.Path(path_type=Path, exists=True))
 @click.pass_context
 def main(context: click.Context, kinds: Path) -> None:
-    """Read the table of kinds."""
+    """Read the kinds of trouble."""
     try:
         context.obj = tuple(days_of(read_kinds(kinds)))
     except KindsError as error:
@@ -47,8 +47,10 @@
 @click.argument("program", type=click.Path(path_type=Path, exists=True))
 @click.argument("sites", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--seed", "seeds", multiple=True, default=[1], show_default=True)
-@click.option("--jobs", default=DEFAULT_JOBS, show_default=True, help="Plays at once.")
-@click.option("--only", default="", help="Days whose names begin so.")
+@click.option(
+    "--jobs", default=DEFAULT_JOBS, show_default=True, help="Concurrent plays."
+)
+@click.option("--only", default="", help="Prefix of the names of the days to play.")
 @click.option(
     "--directory",
     default=Path("target/troubles"),
@@ -68,8 +70,8 @@
 ) -> None:
     """Play all days on SITES with PROGRAM, then print the table.
 
-    Run it at the root of the repository; what is committed there is played. Days that
-    have a result in the directory are left out, so that a run that was stopped goes on.
+    Run it at the root of the repository: it plays the commit that is checked out there.
+    Days with a result in the directory are skipped, so that a stopped run continues.
     """
     days = [day for day in context.obj if day.name.startswith(only)]
     root = Path.cwd()
--- a/tools/troubles/_copies.py
+++ b/tools/troubles/_copies.py
@@ -1,7 +1,7 @@
-"""Copies of the repository to play in, one for each play at once.
+"""Copies of the repository, one for each concurrent play.
 
-A play builds the program into the repository that it runs in. Two plays in one
-repository, and a process of one that starts while the other builds, ends at once: its
+A play builds the program into the repository that it runs in. If two plays share a
+repository, a process of one that starts while the other builds ends at once, since its
 modules are missing.
 """
 
@@ -16,16 +16,16 @@
 from threading import Lock
 from typing import TypeVar
 
-Wanted = TypeVar("Wanted")
+Item = TypeVar("Item")
 Result = TypeVar("Result")
 
-# The program's libraries; a build that finds them installs none.
+# The program's libraries; a build that finds them doesn't install them again.
 LIBRARIES = Path("target") / "deps"
 JOURNAL = Path("journal")
 
 
 def make_copies(root: Path, directory: Path, count: int) -> tuple[Path, ...]:
-    """Clone what is committed in the repository, in place of earlier copies."""
+    """Clone the committed state of the repository, and replace earlier copies."""
     copies = tuple(directory / str(number) for number in range(1, count + 1))
     for copy in copies:
         shutil.rmtree(copy, ignore_errors=True)
@@ -37,7 +37,7 @@
 
 
 def copy_journal_entries(copy: Path, root: Path) -> None:
-    """Copy the journal's new entries to the repository, with what they refer to."""
+    """Copy new journal entries, and the files they refer to, to the repository."""
     for path in (copy / JOURNAL).rglob("*"):
         target = root / path.relative_to(copy)
         if path.is_file() and not target.exists():
@@ -47,30 +47,30 @@
 
 def play_in_copies(
     copies: Sequence[Path],
-    wanted: Iterable[Wanted],
-    play: Callable[[Path, Wanted], Result],
+    items: Iterable[Item],
+    play: Callable[[Path, Item], Result],
     results: Path,
     line_of: Callable[[Result], str],
 ) -> tuple[Result, ...]:
-    """Play all that is wanted, one play at a time in each copy.
+    """Make the requested plays, one play at a time in each copy.
 
-    Each result is added to the file as a line at once, so that a run that was cut can
-    go on.
+    Each result is appended to the file as soon as its play ends, so that an interrupted
+    run can continue.
     """
-    free: SimpleQueue[Path] = SimpleQueue()
+    free_copies: SimpleQueue[Path] = SimpleQueue()
     for copy in copies:
-        free.put(copy)
+        free_copies.put(copy)
     lock = Lock()
 
-    def played(one: Wanted) -> Result:
-        copy = free.get()
+    def run_item(item: Item) -> Result:
+        copy = free_copies.get()
         try:
-            result = play(copy, one)
+            result = play(copy, item)
         finally:
-            free.put(copy)
+            free_copies.put(copy)
         with lock, results.open("a") as file:
             file.write(line_of(result) + "\n")
         return result
 
     with ThreadPoolExecutor(len(copies)) as executor:
-        return tuple(executor.map(played, wanted))
+        return tuple(executor.map(run_item, items))
--- a/tools/troubles/_days.py
+++ b/tools/troubles/_days.py
@@ -1,4 +1,4 @@
-"""Day files with one kind of trouble, once or twice over."""
+"""Day files with one kind of trouble, which strikes once or twice."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 
 from tools.troubles._kinds import Trouble
 
-# Seconds from the start of traffic. The second strike comes before a process that the
-# first one ended has been back for the seconds in which a system counts as unsettled.
-STRIKES = (4.0, 8.5)
+# Times of the strikes, in seconds from the start of traffic. The second strike comes
+# while the system still counts as unsettled after the restart of a process that the
+# first one ended.
+STRIKE_TIMES = (4.0, 8.5)
 LENGTH_SECONDS = 20.0
-# What strikes at the end needs traffic after it, until the longest recovery is over.
-CLOSING_DOWN_SECONDS = 1.0
-# A configuration before the trouble and two after it show whether changes still come
-# through; without them a day could not show a stale configuration.
-CHANGES = (1.0, 6.5, 14.0)
+# Downtime of a strike at the end of a day; traffic continues after it until the longest
+# recovery is over.
+CLOSING_DOWNTIME_SECONDS = 1.0
+# Times of configuration changes: one before the trouble and two after it. They show
+# whether changes still take effect; without them a day could not show a stale
+# configuration.
+CONFIGURATION_CHANGE_TIMES = (1.0, 6.5, 14.0)
 
 
 @dataclass(frozen=True)
 class Day:
-    """A day of one trouble."""
+    """A day with one trouble, which strikes once or twice."""
 
     trouble: Trouble
     strikes: int
@@ -37,49 +40,57 @@
 
     @property
     def text(self) -> str:
-        """The day file."""
+        """The content of the day file."""
         lines = ["[[day]]", f'name = "{self.name}"', f"length_s = {LENGTH_SECONDS}"]
         if self.trouble.closing:
-            lines.append(f"closing = {_inline(self._closing())}")
-        lines += _section("plan", [*_changes(), *self._entries(planned=True)])
+            lines.append(f"closing = {_inline_table(self._closing())}")
+        lines += _section(
+            "plan", [*_configuration_changes(), *self._entries(planned=True)]
+        )
         lines += _section("faults", self._entries(planned=False))
         return "\n".join([*lines, ""])
 
     def _closing(self) -> dict[str, Any]:
-        return _entry(self.trouble) | {"down_s": CLOSING_DOWN_SECONDS}
+        return _entry(self.trouble) | {"down_s": CLOSING_DOWNTIME_SECONDS}
 
     def _entries(self, *, planned: bool) -> list[dict[str, Any]]:
         if self.trouble.closing or self.trouble.planned != planned:
             return []
-        strikes = STRIKES[: self.strikes]
+        strikes = STRIKE_TIMES[: self.strikes]
         return [{"at": at} | _entry(self.trouble) for at in strikes]
 
 
 def days_of(troubles: Iterable[Trouble]) -> Iterator[Day]:
-    """Yield the days of each trouble: alone, and twice over where that can be.
+    """Yield the days of each trouble, with one strike and if possible with two.
 
-    First variants come first, so that plays that are cut short have seen each kind.
+    The first variants of all kinds come first, so that an interrupted run has played
+    each kind.
     """
-    for trouble in sorted(troubles, key=lambda one: one.rank):
+    for trouble in sorted(troubles, key=lambda trouble: trouble.rank):
         yield Day(trouble, 1)
         if not trouble.closing:
             yield Day(trouble, 2)
 
 
-def _changes() -> list[dict[str, Any]]:
-    return [{"at": at, "kind": "config_change", "how": "idle"} for at in CHANGES]
+def _configuration_changes() -> list[dict[str, Any]]:
+    return [
+        {"at": at, "kind": "config_change", "how": "idle"}
+        for at in CONFIGURATION_CHANGE_TIMES
+    ]
 
 
 def _entry(trouble: Trouble) -> dict[str, Any]:
-    named = {"kind": trouble.kind, "on": trouble.on, "how": trouble.variant}
-    return {key: value for key, value in named.items() if value} | dict(trouble.fields)
+    basic_fields = {"kind": trouble.kind, "on": trouble.on, "how": trouble.variant}
+    return {key: value for key, value in basic_fields.items() if value} | dict(
+        trouble.fields
+    )
 
 
 def _section(name: str, entries: list[dict[str, Any]]) -> list[str]:
-    return [f"{name} = [", *(f"  {_inline(entry)}," for entry in entries), "]"]
+    return [f"{name} = [", *(f"  {_inline_table(entry)}," for entry in entries), "]"]
 
 
-def _inline(entry: dict[str, Any]) -> str:
-    # JSON's strings, numbers and truth values are TOML's, too.
+def _inline_table(entry: dict[str, Any]) -> str:
+    # JSON strings, numbers and booleans are also valid TOML.
     pairs = ", ".join(f"{key} = {json.dumps(value)}" for key, value in entry.items())
     return f"{{ {pairs} }}"
--- a/tools/troubles/_kinds.py
+++ b/tools/troubles/_kinds.py
@@ -1,4 +1,4 @@
-"""The table of kinds of trouble."""
+"""Reads the kinds of trouble and their variants from `kinds.toml`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class KindsError(Exception):
-    """A table of kinds that can't be used, with what to do."""
+    """The file of kinds is invalid; the message contains the remedy."""
 
 
 @dataclass(frozen=True)
@@ -21,18 +21,18 @@
 
     kind: str
     variant: str = ""
-    # The class of hosts that it strikes; empty for the usual one.
+    # The class of hosts that it affects; empty for the default class.
     on: str = ""
     planned: bool = False
-    # Whether it strikes at the end of a day, and only there.
+    # Whether it strikes only at the end of a day.
     closing: bool = False
     fields: tuple[tuple[str, Any], ...] = ()
-    # Its place among the variants of its kind.
+    # Its position among the variants of its kind.
     rank: int = 0
 
     @property
     def name(self) -> str:
-        """The kind and the class of hosts, as the table of plays shows them."""
+        """The kind and the class of hosts, as in the table of plays."""
         return f"{self.kind} ({self.on})" if self.on else self.kind
 
 
@@ -42,11 +42,11 @@
         entries = tomllib.loads(path.read_text())["kind"]
     except (tomllib.TOMLDecodeError, KeyError) as error:
         raise KindsError(
-            f"{path.name}: write a list of [[kind]] ({error!r})."
+            f"{path.name}: the file is no list of [[kind]] tables ({error!r})."
         ) from None
     troubles = [trouble for entry in entries for trouble in _variants(path, entry)]
-    if len({(one.name, one.variant) for one in troubles}) < len(troubles):
-        raise KindsError(f"{path.name}: a variant stands there twice; remove one.")
+    if len({(trouble.name, trouble.variant) for trouble in troubles}) < len(troubles):
+        raise KindsError(f"{path.name}: a variant is listed twice; remove one.")
     return tuple(troubles)
 
 
@@ -54,8 +54,8 @@
     unknown = sorted(set(entry) - KEYS)
     if unknown or "name" not in entry:
         raise KindsError(
-            f"{path.name}: an entry has a name and keys of {sorted(KEYS)}, "
-            f"not {unknown or 'no name'}."
+            f"{path.name}: an entry has a name and may have keys of {sorted(KEYS)}, "
+            f"but this one has {unknown or 'no name'}."
         )
     return [
         Trouble(
--- a/tools/troubles/_plays.py
+++ b/tools/troubles/_plays.py
@@ -1,4 +1,4 @@
-"""Playing days, and what each play gave."""
+"""Plays of days, and the result of each play."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from tools.troubles._copies import JOURNAL, copy_journal_entries, play_in_copies
 from tools.troubles._days import Day
 
-# Where a play's report names its entry in the journal.
+# The line of a play's report that contains the id of its journal entry.
 ENTRY_PATTERN = re.compile(r"^snapshot ([0-9a-f]+)$", re.MULTILINE)
 
 
 class PlayError(Exception):
-    """A play that gave no result, with what to look at."""
+    """A play has no result; the message says where to look for the reason."""
 
 
 @dataclass(frozen=True)
 class Play:
-    """What one play of a day on a site gave."""
+    """The result of one play of a day on a site."""
 
     site: str
     day: str
@@ -33,50 +33,50 @@
     seed: int
     # Names of the rules that were broken.
     rules: tuple[str, ...] = ()
-    # What made the day invalid, such as processes that ended by themselves.
+    # Why the day is invalid, such as processes that ended unexpectedly.
     fault: str = ""
     worth: float | None = None
-    # Why there is no result; the day doesn't fit the site, for one.
+    # Why there is no result, for example since the day doesn't fit the site.
     not_played: str = ""
 
     @property
     def key(self) -> tuple[str, str, int]:
-        """What tells this play from others."""
+        """The key that identifies this play."""
         return (self.site, self.day, self.seed)
 
 
 @dataclass(frozen=True)
 class Player:
-    """Plays days with a given program, and keeps each result as a line of a file."""
+    """Plays days with a given program, and writes each result as a line of a file."""
 
     program: Path
-    # The repository whose journal takes the entries.
+    # The repository whose journal receives the entries.
     root: Path
-    # Copies of it to play in, one for each play at once.
+    # Copies of the repository, one for each concurrent play.
     copies: tuple[Path, ...]
-    # Where day files, reports and results go.
+    # The folder of day files, reports and results.
     directory: Path
 
     @property
     def results(self) -> Path:
-        """The file with a line for each play."""
+        """Path of the file with a line for each play."""
         return self.directory / "results.jsonl"
 
     def play_all(
         self, days: Iterable[Day], sites: Iterable[Path], seeds: Iterable[int]
     ) -> tuple[Play, ...]:
-        """Play each day on each site with each seed, but for what has its result."""
-        known = {play.key for play in read_plays(self.results)}
+        """Play each day on each site with each seed, except plays with a result."""
+        completed_keys = {play.key for play in read_plays(self.results)}
         self.directory.mkdir(parents=True, exist_ok=True)
-        wanted = [
+        pending = [
             (day, site, seed)
             for seed, day, site in product(seeds, days, sites)
-            if (site.stem, day.name, seed) not in known
+            if (site.stem, day.name, seed) not in completed_keys
         ]
         return play_in_copies(
             self.copies,
-            wanted,
-            lambda copy, one: self._play(copy, *one),
+            pending,
+            lambda copy, item: self._play(copy, *item),
             self.results,
             lambda play: json.dumps(asdict(play)),
         )
@@ -86,7 +86,7 @@
         file.write_text(day.text)
         command = [str(self.program), "run", str(site), str(file), "--seed", str(seed)]
         command += ["--why", f"each kind of trouble by itself: {day.name}"]
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=copy,
             stdout=subprocess.PIPE,
@@ -94,7 +94,7 @@
             text=True,
         )
         report = self.directory / f"{day.name}-{site.stem}-{seed}.txt"
-        report.write_text(done.stdout)
+        report.write_text(completed.stdout)
         copy_journal_entries(copy, self.root)
         play = Play(
             site=site.stem,
@@ -104,11 +104,11 @@
             strikes=day.strikes,
             seed=seed,
         )
-        return _with_result(play, done.stdout, copy / JOURNAL)
+        return _with_result(play, completed.stdout, copy / JOURNAL)
 
 
 def read_plays(results: Path) -> tuple[Play, ...]:
-    """Return the plays that the file lists; none if there is no file."""
+    """Return the plays of the file; none if the file doesn't exist."""
     if not results.exists():
         return ()
     lines = [json.loads(line) for line in results.read_text().splitlines()]
@@ -116,13 +116,13 @@
 
 
 def _with_result(play: Play, report: str, journal: Path) -> Play:
-    """Return the play with what its journal entry says."""
-    found = ENTRY_PATTERN.search(report)
-    if not found:
+    """Return the play with the result from its journal entry."""
+    match = ENTRY_PATTERN.search(report)
+    if not match:
         return replace(play, not_played=_last_line(report))
-    entries = list(journal.glob(f"*-{found[1]}.json"))
+    entries = list(journal.glob(f"*-{match[1]}.json"))
     if not entries:
-        raise PlayError(f"{journal} has no entry {found[1]}; see the play's report.")
+        raise PlayError(f"{journal} has no entry {match[1]}; see the play's report.")
     entry = json.loads(entries[0].read_text())
     if not entry["days"]:
         return replace(play, not_played=entry["error"] or _last_line(report))
--- a/tools/troubles/_table.py
+++ b/tools/troubles/_table.py
@@ -1,4 +1,4 @@
-"""The table of plays, a row for each kind and variant."""
+"""The table of plays, with a row for each kind and variant."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tools.troubles._plays import Play
 
 HEAD = (
-    "| kind | variant | days played: once, twice over | rules broken, with seed |",
+    "| kind | variant | days played: one strike, two | rules broken, with seed |",
     "|---|---|---|---|",
 )
 
