--- a/tests/tools/test_losses.py
+++ b/tests/tools/test_losses.py
@@ -42,7 +42,7 @@
         assert cause({}) is None
 
     @pytest.mark.parametrize(
-        ("change", "found"),
+        ("change", "expected"),
         [
             ({"came_back": True}, Cause.CLIENT_RETRIED),
             ({"longest_gap_ms": 400}, Cause.LONG_PAUSE),
