--- a/src/jujubeslip/tracing/_causes.py
+++ b/src/jujubeslip/tracing/_causes.py
@@ -15,7 +15,7 @@
 BACKOFF_MESSAGE = "request refused during backoff"
 QUARANTINE_MESSAGE = "request quarantined"
 INTERRUPTION_MESSAGE = "run cut off"
-_STEP = re.compile(r"(?P<ms>\d+) ms (?P<endpoint>\S+): (?P<what>.*)")
+_STEP = re.compile(r"(?P<ms>\d+) ms (?P<endpoint>\S+): (?P<result>.*)")
 
 CauseFunction = Callable[[RequestEnd, Sequence[Line]], str]
 
@@ -222,16 +222,16 @@
         if match is None:
             continue
         elapsed = int(match["ms"])
-        waits.append((elapsed - previous, match["what"]))
+        waits.append((elapsed - previous, match["result"]))
         previous = elapsed
-    return max(waits, default=(0, "the request came"))
+    return max(waits, default=(0, "the request arrived"))
 
 
 def _failed_step(end: RequestEnd) -> tuple[str, str]:
     for step in reversed(end.steps):
         match = _STEP.match(step)
-        if match is not None and "ran=True" in match["what"]:
-            return match["endpoint"], match["what"].split()[0]
+        if match is not None and "ran=True" in match["result"]:
+            return match["endpoint"], match["result"].split()[0]
     return "-", "no answer"
 
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -84,8 +84,8 @@
 
     def test_address_in_use_is_1_with_a_remedy(self, tmp_path: Path) -> None:
         """Guards against a second start of a host that fails without the reason."""
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            address = "{}:{}".format(*taken.getsockname())
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            address = "{}:{}".format(*listener.getsockname())
             text = (EXAMPLES / "northvane" / "entry-1.toml").read_text()
             path = tmp_path / "entry.toml"
             path.write_text(
--- a/tests/cli/test_early_reload.py
+++ b/tests/cli/test_early_reload.py
@@ -11,7 +11,7 @@
 PROBE = """
 import signal, sys
 
-# As a terminal starts it: whoever runs the tests may have told them to ignore this.
+# Resets to the default, as in a terminal: the test run may ignore this signal.
 signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 class Finder:
--- a/tools/ablation/_plays.py
+++ b/tools/ablation/_plays.py
@@ -108,7 +108,7 @@
     def _row(self, report: Path, site: Path, day: str, seed: int) -> Row:
         report_fields = json.loads(report.read_text()) if report.exists() else {}
         total = report_fields.get("all", {})
-        prices = {what: price for what, _, price in report_fields.get("prices", ())}
+        prices = {label: price for label, _, price in report_fields.get("prices", ())}
         return Row(
             way=self.policy.name,
             revision=self.revision,
--- a/tools/ablation/_table.py
+++ b/tools/ablation/_table.py
@@ -21,15 +21,16 @@
     deviation is the standard deviation of this mean. A difference of less than two
     deviations is not significant.
     """
-    rows_by_way: dict[str, list[Row]] = {}
+    rows_by_policy: dict[str, list[Row]] = {}
     for row in rows:
         if row.worth is not None:
-            rows_by_way.setdefault(f"{row.way} {row.revision}", []).append(row)
-    if not rows_by_way:
+            rows_by_policy.setdefault(f"{row.way} {row.revision}", []).append(row)
+    if not rows_by_policy:
         return "\n".join(HEAD)
-    baseline = next(iter(rows_by_way.values()))
+    baseline = next(iter(rows_by_policy.values()))
     lines = [
-        _line(name, policy_rows, baseline) for name, policy_rows in rows_by_way.items()
+        _line(name, policy_rows, baseline)
+        for name, policy_rows in rows_by_policy.items()
     ]
     return "\n".join([*HEAD, *lines])
 
