--- a/src/jujubeslip/cli/_replica_commands.py
+++ b/src/jujubeslip/cli/_replica_commands.py
@@ -67,7 +67,7 @@
 )
 @json_option
 def recover_replica(settings_path: Path, confirm: bool, as_json: bool) -> None:
-    """Continue alone from this data folder, after a majority was lost permanently.
+    """Recover as a single replica from this data folder after a permanent quorum loss.
 
     Stop the process first. Without --confirm nothing changes: compare last_term, then
     last_index, of all surviving hosts, and recover the highest. Entries that only the
