--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,10 @@
-"""Build dist/jujubeslip: one file that runs on a machine with Python 3.11 alone.
+"""Build dist/jujubeslip: a single file that requires only Python 3.11 to run.
 
-The packages are taken from the virtual environment that runs this program, so the
-file holds just what the tests ran with, and the build needs no network. The file
-unpacks itself once into a folder (SHIV_ROOT, else ~/.cache/jujubeslip); it is built
-without `--compile-pyc`, which would compile in processes of its own at first start.
+The packages are copied from the virtual environment that runs this program, so the
+file contains exactly the versions that the tests used, and the build needs no network.
+The file unpacks itself once into a folder (SHIV_ROOT, by default ~/.cache/jujubeslip).
+It is built without `--compile-pyc`, which would start additional processes to compile
+at the first start.
 """
 
 from __future__ import annotations
@@ -24,19 +25,19 @@
 
 
 def required_names(package: str) -> set[str]:
-    """Return the names of all distributions that the package needs to run."""
-    found: set[str] = set()
-    waiting = [package]
-    while waiting:
-        name = waiting.pop()
-        if name in found or not _is_installed(name):
+    """Return the names of the package's distribution and its runtime dependencies."""
+    required: set[str] = set()
+    pending_names = [package]
+    while pending_names:
+        name = pending_names.pop()
+        if name in required or not _is_installed(name):
             continue
-        found.add(name)
+        required.add(name)
         for requirement in metadata.requires(name) or ():
             match = _REQUIREMENT_NAME.match(requirement)
             if match and not _OPTIONAL.search(requirement):
-                waiting.append(match.group().lower().replace("_", "-"))
-    return found
+                pending_names.append(match.group().lower().replace("_", "-"))
+    return required
 
 
 def _is_installed(name: str) -> bool:
@@ -48,18 +49,18 @@
 
 
 def copy_distribution(name: str, target: Path) -> None:
-    """Copy a distribution's files, but for its programs, into the target folder."""
+    """Copy a distribution's files, except its programs, into the target folder."""
     for file in metadata.files(name) or ():
         source = Path(str(file.locate()))
         if ".." in file.parts or file.suffix == ".pyc" or not source.is_file():
             continue
-        copied = target / str(file)
-        copied.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copyfile(source, copied)
+        target_file = target / str(file)
+        target_file.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copyfile(source, target_file)
 
 
 def build(output: Path) -> None:
-    """Write the single file."""
+    """Build the single file at the output path."""
     with tempfile.TemporaryDirectory() as folder:
         site_packages = Path(folder) / "site-packages"
         for name in sorted(required_names(PACKAGE) - {PACKAGE}):
@@ -84,7 +85,7 @@
 
 
 def main() -> int:
-    """Build the file and print where it is; return an exit status."""
+    """Build the file and print its path and size; return an exit status."""
     output = Path(sys.argv[1]).resolve() if len(sys.argv) > 1 else OUTPUT
     build(output)
     print(f"{output} ({output.stat().st_size / 1e6:.1f} MB)")
--- a/tools/troubles/__init__.py
+++ b/tools/troubles/__init__.py
@@ -1,11 +1,11 @@
-"""Days with one kind of trouble each: written from a table, played, and listed.
+"""Generates, plays and tabulates days that each have one kind of trouble.
 
-`python -m tools.troubles write DIR` writes a day file for each kind and variant, once
-and twice over; `play` plays them on sites and keeps what each play gave; `table` prints
-that as a table. The table of kinds is `kinds.toml` beside this module.
+`python -m tools.troubles write DIR` writes a day file for each kind and variant, with
+one strike and with two; `play` plays the days on sites and records the result of each
+play; `table` prints the results. `kinds.toml` in this folder defines the kinds.
 """
 
-from tools.troubles._copies import bring_journal, make_copies, play_in_copies
+from tools.troubles._copies import copy_journal_entries, make_copies, play_in_copies
 from tools.troubles._days import Day, days_of
 from tools.troubles._kinds import KINDS, KindsError, Trouble, read_kinds
 from tools.troubles._plays import Play, Player, PlayError, read_plays
@@ -19,7 +19,7 @@
     "PlayError",
     "Player",
     "Trouble",
-    "bring_journal",
+    "copy_journal_entries",
     "days_of",
     "make_copies",
     "play_in_copies",
