--- a/bench/capacity/requests.py
+++ b/bench/capacity/requests.py
@@ -104,7 +104,7 @@
         answers = callers.map(
             lambda _: ask(address, "summaries", message), range(count)
         )
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
 
 
 if __name__ == "__main__":
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -15,7 +15,7 @@
 
 from tests.fakes.client import OpenCall, ask
 from tests.fakes.cluster import Cluster, Setting
-from tests.fakes.collector import Collector, SeenSpan
+from tests.fakes.collector import Collector, ReceivedSpan
 from tests.fakes.processes import wait_until
 from tests.fakes.scenarios import small_system
 
@@ -104,7 +104,7 @@
             _print_trace(request, (s for name in HOPS for s in collector.spans(name)))
 
 
-def _print_trace(request: SeenSpan, spans: Iterable[SeenSpan]) -> None:
+def _print_trace(request: ReceivedSpan, spans: Iterable[ReceivedSpan]) -> None:
     print(f"  trace {request.trace_id}")
     own = [span for span in spans if span.trace_id == request.trace_id]
     for span in sorted(own, key=lambda item: item.start_ns):
--- a/bench/restarts.py
+++ b/bench/restarts.py
@@ -165,7 +165,7 @@
         for _ in range(restarts):
             time.sleep(SETTLE_SECONDS)
             if case.was_leaving:
-                system.beat(worker, "draining")
+                system.heartbeat(worker, "draining")
             killed = time.monotonic()
             worker = system.restart(worker, same_address=case.same_address)
             announced = time.monotonic()
@@ -180,7 +180,7 @@
     vain = count_vain(sent_in_vain(system, worker.worker_id), sent, gone)
     for item in (stays, worker):
         system.withdraw(item)
-        system.beat(item, "draining")
+        system.heartbeat(item, "draining")
         item.close()
     return Measured(seconds, missed, *vain)
 
--- a/soak/_endpoints.py
+++ b/soak/_endpoints.py
@@ -157,7 +157,7 @@
             crashes_on=FATAL_BODY,
             on_crash=self._crash_by_request,
             runs=_RunLog(self, endpoint_id),
-            gone_clients=_DisconnectLog(self.observations),
+            disconnected_clients=_DisconnectLog(self.observations),
             arrivals=_ArrivalLog(self, endpoint_id),
         )
         self.observations.answer_by_endpoint[endpoint_id] = answer
@@ -184,7 +184,7 @@
         """Announce the endpoint until the soak ends."""
         while not self._system.stopping.wait(ANNOUNCE_INTERVAL_SECONDS):
             if not self._silenced.is_set():
-                self._send_announcement(self.worker.beat())
+                self._send_announcement(self.worker.heartbeat())
 
     def crash(self, seconds: float) -> None:
         """End without a notice; start again after these seconds."""
@@ -215,8 +215,8 @@
         """
         self._silenced.set()
         worker = self.worker
-        earlier = worker.beat()
-        draining = worker.beat("draining")
+        earlier = worker.heartbeat()
+        draining = worker.heartbeat("draining")
         manner = self._rng.choice(("draining", "DELETE"))
         deadline = time.monotonic() + LEAVE_RETRY_SECONDS
         control = ""
--- a/src/jujubeslip/control/_meters.py
+++ b/src/jujubeslip/control/_meters.py
@@ -11,7 +11,7 @@
 from jujubeslip.control._replica import Replica
 from jujubeslip.discovery import EndpointRegistry
 from jujubeslip.quarantine import CrashRegistry
-from jujubeslip.telemetry import observed
+from jujubeslip.telemetry import gauge_callback
 
 
 def observe_replica(
@@ -21,33 +21,33 @@
     meter = metrics.get_meter("jujubeslip.control")
     meter.create_observable_gauge(
         "jujubeslip.control.leads",
-        [observed(lambda: int(replica.fence() is not None))],
+        [gauge_callback(lambda: int(replica.fence() is not None))],
         description="1 while this replica leads and its lease is valid, else 0.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.term",
-        [observed(lambda: replica.term)],
+        [gauge_callback(lambda: replica.term)],
         description="Term of the replicated log; each leader has its own.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.commit_index",
-        [observed(lambda: replica.commit_index)],
+        [gauge_callback(lambda: replica.commit_index)],
         description="Index of the newest log entry that a majority has synced.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.configuration_version",
-        [observed(lambda: replica.machine.configurations.current.revision)],
+        [gauge_callback(lambda: replica.machine.configurations.current.revision)],
         description="Version of the configuration applied on this host.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.failed",
-        [observed(lambda: int(bool(replica.failure)))],
+        [gauge_callback(lambda: int(bool(replica.failure)))],
         description="1 once a write failed and this replica confirms nothing more.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.control.quarantined_contents",
-        [observed(lambda: len(crash_registry.quarantined_contents()))],
+        [gauge_callback(lambda: len(crash_registry.quarantined_contents()))],
         description="Quarantined contents of requests, which crash endpoints.",
     )
 
--- a/src/jujubeslip/forwarding/_meters.py
+++ b/src/jujubeslip/forwarding/_meters.py
@@ -11,7 +11,7 @@
 from jujubeslip.forwarding._models import Attempts, ForwardContext
 from jujubeslip.kernel import steady_seconds
 from jujubeslip.routes import RouteKind
-from jujubeslip.telemetry import MILLISECOND_BUCKETS, observed
+from jujubeslip.telemetry import MILLISECOND_BUCKETS, gauge_callback
 
 # Maximum number of accounts with their own metric labels. Labels are never removed, and
 # configurations may add new accounts for years.
@@ -142,45 +142,45 @@
     meter = metrics.get_meter("jujubeslip.forwarding")
     meter.create_observable_gauge(
         "jujubeslip.forward.open_requests",
-        [observed(lambda: read().open_requests)],
+        [gauge_callback(lambda: read().open_requests)],
         description="Requests that are being served.",
     )
     meter.create_observable_gauge(
         "jujubeslip.forward.idle_connections",
-        [observed(lambda: read().idle_connections)],
+        [gauge_callback(lambda: read().idle_connections)],
         description="Idle connections to endpoints.",
     )
     meter.create_observable_gauge(
         "jujubeslip.forward.control_hosts",
-        [observed(lambda: read().control_hosts)],
+        [gauge_callback(lambda: read().control_hosts)],
         description="Control hosts that answered when last asked.",
     )
     meter.create_observable_gauge(
         "jujubeslip.forward.configuration_version",
-        [observed(lambda: read().configuration_version)],
+        [gauge_callback(lambda: read().configuration_version)],
         description="Version of the configuration in force.",
     )
     meter.create_observable_gauge(
         "jujubeslip.forward.configuration_age_seconds",
-        [observed(lambda: read().configuration_age_seconds)],
+        [gauge_callback(lambda: read().configuration_age_seconds)],
         description="How long that version has been in force here.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.forward.quarantined_contents",
-        [observed(lambda: read().quarantined_contents)],
+        [gauge_callback(lambda: read().quarantined_contents)],
         description="Contents of requests that are held back, as they crash endpoints.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.forward.limited_endpoints",
-        [observed(lambda: read().limited_endpoints)],
+        [gauge_callback(lambda: read().limited_endpoints)],
         description="Endpoints that have named a limit of requests a second.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.forward.held_endpoints",
-        [observed(lambda: read().held_endpoints)],
+        [gauge_callback(lambda: read().held_endpoints)],
         description="Endpoints that are in backoff, or have said that they leave.",
     )
 
--- a/src/jujubeslip/telemetry/__init__.py
+++ b/src/jujubeslip/telemetry/__init__.py
@@ -1,7 +1,7 @@
 """Structured logs, OpenTelemetry metrics, and trace spans for each hop of a request."""
 
 from jujubeslip.telemetry._logs import configure_logging
-from jujubeslip.telemetry._meters import MILLISECOND_BUCKETS, Meters, observed
+from jujubeslip.telemetry._meters import MILLISECOND_BUCKETS, Meters, gauge_callback
 from jujubeslip.telemetry._metrics_server import serve_metrics
 from jujubeslip.telemetry._setup import Telemetry, configure_telemetry
 from jujubeslip.telemetry._spans import (
@@ -18,7 +18,7 @@
     "configure_telemetry",
     "context_from_traceparent",
     "current_traceparent",
-    "observed",
+    "gauge_callback",
     "serve_metrics",
     "tracer",
 ]
--- a/src/jujubeslip/telemetry/_meters.py
+++ b/src/jujubeslip/telemetry/_meters.py
@@ -10,7 +10,7 @@
 MILLISECOND_BUCKETS = (5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 30000)
 
 
-def observed(
+def gauge_callback(
     value: Callable[[], float],
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     """Return a callback for an observable gauge that has a single value."""
--- a/tests/admission/test_engine_report_poller.py
+++ b/tests/admission/test_engine_report_poller.py
@@ -170,7 +170,7 @@
             notices.record_internal_answer(polled, refusal)
             for _ in range(3):
                 poller._poll()
-            assert worker.questions == []
+            assert worker.system_calls == []
             time.sleep(0.35)
             poller._poll()
-            assert worker.questions == ["report"]
+            assert worker.system_calls == ["report"]
--- a/tests/admission/test_engine_restarts.py
+++ b/tests/admission/test_engine_restarts.py
@@ -144,7 +144,7 @@
             )
             thread = threading.Thread(target=poller.run)
             thread.start()
-            wait_until(lambda: worker.questions.count("report") > 1, "it is asked")
+            wait_until(lambda: worker.system_calls.count("report") > 1, "it is asked")
             poller.stop()
             thread.join()
         assert bool(reports_taken) is (reports != SECOND)
--- a/tests/cli/test_trace_command.py
+++ b/tests/cli/test_trace_command.py
@@ -151,7 +151,7 @@
         wait_for_grants(system, engines)
         engines.decode_engine.faults.lapse = 1
         engines.decode_engine.run_seconds = 0.5
-        assert ask_stream(system).whole
+        assert ask_stream(system).complete
         text = trace(system, tmp_path)
         engines.leave()
         assert "cause: Answered whole, late: its first event came after" in text
--- a/tests/endpoints/test_leaving.py
+++ b/tests/endpoints/test_leaving.py
@@ -66,7 +66,7 @@
         proxy.heal()
     for host in cluster.entry_ids:
         cluster.process_by_name[host].signal(signal.SIGCONT)
-    cluster.order_faults("prefill-1", resume_phase="prefill")
+    cluster.set_faults("prefill-1", resume_phase="prefill")
     cluster.wait_endpoints_usable()
 
 
@@ -101,7 +101,7 @@
         for future in self._futures:
             future.result()
         assert self.answers
-        failed = [answer for answer in self.answers if not answer.whole]
+        failed = [answer for answer in self.answers if not answer.complete]
         assert [answer for answer in failed if answer.ran not in self._allowed] == []
 
     def _run(self, number: int) -> None:
@@ -278,19 +278,19 @@
             lambda: cluster.entry_status(home).pools[0].usable_endpoints == usable,
             "the engine is usable",
         )
-        cluster.order_faults("prefill-1", pause_phase="prefill")
+        cluster.set_faults("prefill-1", pause_phase="prefill")
         calls = [open_call(cluster, other, f"held-{number}") for number in range(2)]
         wait_until(lambda: cluster.held("prefill-1"), "a request is in prefill")
         process = cluster.process_by_name[other]
         process.signal(signal.SIGSTOP)
         leaving.leave()
-        cluster.order_faults("prefill-1", resume_phase="prefill")
+        cluster.set_faults("prefill-1", resume_phase="prefill")
         leaving.check_no_late_work()
         process.signal(signal.SIGCONT)
         for call in calls:
             # A resumed host knows no other host for a moment and may refuse requests.
             answer = call.answer()
-            assert answer.whole or answer.ran == "no", answer
+            assert answer.complete or answer.ran == "no", answer
         assert leaving.runs() == [[]]
 
 
--- a/tests/entry/test_invalid_input.py
+++ b/tests/entry/test_invalid_input.py
@@ -140,14 +140,14 @@
         assert_complete(ask(address, SERVICE, model_message(), headers))
 
     def test_affects_no_stream_and_reaches_no_endpoint(self, cluster: Cluster) -> None:
-        cluster.order_faults("prefill-1", pause_phase="prefill")
+        cluster.set_faults("prefill-1", pause_phase="prefill")
         call = open_call(cluster, "entry-1", "beside")
         wait_in_phase(cluster, "beside", "prefill")
         before = self._runs(cluster)
         for content in (b"{", body(max_tokens=10**30), body(unknown=1)):
             send(cluster, content)
         assert self._runs(cluster) == before
-        cluster.order_faults("prefill-1", resume_phase="prefill")
+        cluster.set_faults("prefill-1", resume_phase="prefill")
         assert_complete(call.answer())
         check_unaffected(cluster)
 
--- a/tests/entry/test_planned_stops.py
+++ b/tests/entry/test_planned_stops.py
@@ -128,7 +128,7 @@
         )
         assert (status, error["error_id"], error["ran"]) == (503, "stopping", "no")
         message = model_message(DECODE_GATE_TOKENS)
-        assert ask(cluster.client_address(other), SERVICE, message).whole
+        assert ask(cluster.client_address(other), SERVICE, message).complete
         process.terminate()
         seen = cluster.entry_status(host)
         assert (seen.stopping, seen.open_requests) == (True, len(streams))
@@ -151,14 +151,14 @@
         self, cluster: Cluster, hosts: tuple[str, str, str]
     ) -> None:
         _, host, _ = hosts
-        cluster.order_faults("plain-1", pause_phase="after")
+        cluster.set_faults("plain-1", pause_phase="after")
         message = {"text": "x" * 1_000_000, "repeatable": False}
         future = in_background(open_call(cluster, host, "one", message, PLAIN).answer)
         cluster.wait_at_gate("plain-1", "after")
         process = cluster.process_by_name[host]
         process.terminate()
         wait_refused(cluster, host)
-        cluster.order_faults("plain-1", resume_phase="after")
+        cluster.set_faults("plain-1", resume_phase="after")
         answer = future.result()
         assert (answer.status, len(answer.body) > 1_000_000) == (200, True)
         assert process.wait() == 0
@@ -281,7 +281,7 @@
         _, host, _ = hosts
         pause(cluster, "decode")
         (stream,) = open_streams(cluster, host, "begun", 1)
-        cluster.order_faults("plain-1", pause_phase="before")
+        cluster.set_faults("plain-1", pause_phase="before")
         running = self._confirmation(cluster, host, "shift-7")
         cluster.wait_at_gate("plain-1", "before")
         waiting = self._confirmation(cluster, host, "shift-8")
@@ -297,11 +297,11 @@
         assert self._drain(cluster, host).wait() == 0
         assert process.wait() == 0
         answer = stream.result()
-        assert (answer.status, answer.whole, answer.tokens) == (200, False, 3)
+        assert (answer.status, answer.complete, answer.tokens) == (200, False, 3)
         self._check(answer, "unknown")
         self._check(running.result(), "unknown")
         self._check(waiting.result(), "no")
-        cluster.order_faults("plain-1", resume_phase="before")
+        cluster.set_faults("plain-1", resume_phase="before")
         runs = cluster.endpoint_call("plain-1", "GET", "/v1/records")["runs"]
         assert "shift-8" not in {run["idempotency_key"] for run in runs}
         for name, future in zip(names, early, strict=True):
--- a/tests/fakes/broken_fields.py
+++ b/tests/fakes/broken_fields.py
@@ -23,7 +23,7 @@
 # JSON can escape a lone surrogate, which cannot be encoded as UTF-8 or sent to a host.
 LONE_SURROGATE = b'{"service": "\\ud800"}'
 
-NO_NUMBER: tuple[Any, ...] = (
+INVALID_NUMBERS: tuple[Any, ...] = (
     "1",
     "",
     True,
@@ -40,7 +40,7 @@
     2**63,
     10**30,
 )
-NO_TEXT: tuple[Any, ...] = (
+INVALID_TEXTS: tuple[Any, ...] = (
     "",
     1,
     0,
@@ -52,11 +52,11 @@
     1.5,
     "x" * 3000,
 )
-NO_FLAG: tuple[Any, ...] = ("true", "", 0, 1, None, [], {}, 1.5)
-NO_LIST: tuple[Any, ...] = ("", "[]", 1, True, None, {}, [1], [None], [[]])
-UNKNOWN_WORD: tuple[Any, ...] = (*NO_TEXT, "Ready", "READY", "ready ", "unknown")
-NO_ADDRESS: tuple[Any, ...] = (
-    *NO_TEXT,
+INVALID_FLAGS: tuple[Any, ...] = ("true", "", 0, 1, None, [], {}, 1.5)
+INVALID_LISTS: tuple[Any, ...] = ("", "[]", 1, True, None, {}, [1], [None], [[]])
+INVALID_WORDS: tuple[Any, ...] = (*INVALID_TEXTS, "Ready", "READY", "ready ", "unknown")
+INVALID_ADDRESSES: tuple[Any, ...] = (
+    *INVALID_TEXTS,
     "10.0.0.1",
     "10.0.0.1:",
     ":80",
@@ -69,7 +69,7 @@
     "host.example:80",
 )
 # Bodies that are no JSON object with valid text.
-UNREADABLE: tuple[bytes, ...] = (
+UNREADABLE_BODIES: tuple[bytes, ...] = (
     b"",
     b"\xff\xfe\x00",
     b"null",
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class Break:
+class BrokenField:
     """One field with one invalid value."""
 
     path: tuple[str | int, ...]
@@ -115,18 +115,18 @@
         return json.dumps(broken).encode()
 
 
-def breaks(
+def broken_field_cases(
     values_by_path: dict[tuple[str | int, ...], tuple[Any, ...]],
     optional: frozenset[str] = frozenset(),
-) -> list[Break]:
+) -> list[BrokenField]:
     """Return each field with each value, and each required field left out."""
     found = [
-        Break(path, value)
+        BrokenField(path, value)
         for path, values in values_by_path.items()
         for value in values
     ]
     found += [
-        Break(path, MISSING)
+        BrokenField(path, MISSING)
         for path in values_by_path
         if isinstance(path[-1], str) and path[-1] not in optional
     ]
--- a/tests/fakes/client.py
+++ b/tests/fakes/client.py
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True)
 class ClientAnswer:
-    """A response as a client receives it; `whole` only with its end event."""
+    """A response as a client receives it; `complete` only with its end event."""
 
     status: int
     headers: dict[str, str]
     text: str
     tokens: int
-    whole: bool
+    complete: bool
     rule: str
     error: dict[str, Any]
     body: bytes
@@ -120,13 +120,13 @@
                 error = event.fields
     except (OSError, http.client.HTTPException):
         end = None
-    whole = end is not None and end["tokens"] == len(tokens)
+    complete = end is not None and end["tokens"] == len(tokens)
     return ClientAnswer(
         response.status,
         headers,
         "".join(tokens),
         len(tokens),
-        whole,
+        complete,
         end["rule"] if end else "",
         error,
         b"",
--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -316,7 +316,7 @@
             raise AssertionError(f"{endpoint_id} {path}: {status} {answer}")
         return answer
 
-    def order_faults(self, endpoint_id: str, **faults: Setting) -> None:
+    def set_faults(self, endpoint_id: str, **faults: Setting) -> None:
         """Set faults at a stand-in."""
         self.endpoint_call(endpoint_id, "POST", "/v1/admin/faults", dict(faults))
 
--- a/tests/fakes/collector.py
+++ b/tests/fakes/collector.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class SeenSpan:
+class ReceivedSpan:
     """A received span; identifiers in hexadecimal, times in nanoseconds."""
 
     name: str
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self._changed = threading.Condition()
-        self._spans: list[SeenSpan] = []
+        self._spans: list[ReceivedSpan] = []
         self._metrics: list[ReceivedMetric] = []
         handler = type("BoundHandler", (_CollectorHandler,), {"collector": self})
         self._server = listen("127.0.0.1:0", handler)
@@ -56,7 +56,7 @@
         self._server.shutdown()
         self._server.server_close()
 
-    def spans(self, name: str) -> tuple[SeenSpan, ...]:
+    def spans(self, name: str) -> tuple[ReceivedSpan, ...]:
         """Return the spans of a name, in order of arrival."""
         with self._changed:
             return tuple(span for span in self._spans if span.name == name)
@@ -73,7 +73,7 @@
 
     def wait_for_spans(
         self, name: str, count: int = 1, timeout: float = 20.0
-    ) -> tuple[SeenSpan, ...]:
+    ) -> tuple[ReceivedSpan, ...]:
         """Wait for `count` spans of a name and return them; raise on a timeout."""
         end = time.monotonic() + timeout
         with self._changed:
@@ -130,8 +130,8 @@
         return body
 
 
-def _read_span(span, service: str) -> SeenSpan:  # type: ignore[no-untyped-def]
-    return SeenSpan(
+def _read_span(span, service: str) -> ReceivedSpan:  # type: ignore[no-untyped-def]
+    return ReceivedSpan(
         span.name,
         service,
         span.trace_id.hex(),
--- a/tests/fakes/endpoint_holds.py
+++ b/tests/fakes/endpoint_holds.py
@@ -19,11 +19,11 @@
 # How many requests a host may send to an endpoint within a backoff that the endpoint
 # asked it for; those of the first SLACK_SECONDS are not counted.
 SLACK_SECONDS = 0.5
-MOST_IN_A_BACKOFF = 2
+MAXIMUM_IN_BACKOFF = 2
 # How long after it reported to leave an endpoint may still get requests, in seconds.
 DRAIN_SECONDS = 2.0
 # A request that is known to be unservable is refused within this time, in seconds.
-AT_ONCE_SECONDS = 0.4
+IMMEDIATE_REFUSAL_SECONDS = 0.4
 PAUSE_SECONDS = 0.05
 
 
@@ -47,7 +47,7 @@
 
 
 @contextmanager
-def cut_off(system: PlatformSystem) -> Iterator[None]:
+def partitioned(system: PlatformSystem) -> Iterator[None]:
     """Partition all control hosts but one from the entry hosts."""
     for proxy in system.proxies[1:]:
         proxy.cut()
@@ -60,7 +60,7 @@
 
 
 Situation = Callable[[PlatformSystem], AbstractContextManager[None]]
-SITUATIONS: tuple[Situation, ...] = (with_leader, without_leader, cut_off)
+SITUATIONS: tuple[Situation, ...] = (with_leader, without_leader, partitioned)
 
 
 @dataclass(frozen=True)
@@ -123,7 +123,7 @@
     return found
 
 
-def most_in_a_backoff(worker: PlatformWorker) -> int:
+def maximum_in_backoff(worker: PlatformWorker) -> int:
     """Return the maximum number of requests of one host within one backoff."""
     maximum = 0
     for arrivals in by_sender(worker).values():
@@ -135,7 +135,7 @@
     return maximum
 
 
-def late_after_leaving(worker: PlatformWorker) -> int:
+def count_late_after_leaving(worker: PlatformWorker) -> int:
     """Return how many requests came too long after the worker reported to leave."""
     late = 0
     for arrivals in by_sender(worker).values():
@@ -172,7 +172,7 @@
         yield later
     finally:
         system.withdraw(later)
-        system.beat(later, "draining")
+        system.heartbeat(later, "draining")
         later.close()
         system.add(worker)
 
@@ -182,15 +182,15 @@
     worker.backoff = "3"
 
 
-def say_leaving(worker: PlatformWorker) -> None:
+def report_leaving(worker: PlatformWorker) -> None:
     """Make the worker report in responses that it leaves, while it keeps serving."""
     worker.leaves = True
 
 
-def is_spared(worker: PlatformWorker) -> bool:
+def obeys_notices(worker: PlatformWorker) -> bool:
     """Return whether hosts obeyed the worker's notices, of which there was one."""
     notice = any(
         arrival.backoff or arrival.reported_leaving for arrival in worker.arrivals
     )
-    few = most_in_a_backoff(worker) <= MOST_IN_A_BACKOFF
-    return notice and few and late_after_leaving(worker) == 0
+    few = maximum_in_backoff(worker) <= MAXIMUM_IN_BACKOFF
+    return notice and few and count_late_after_leaving(worker) == 0
--- a/tests/fakes/platform_system.py
+++ b/tests/fakes/platform_system.py
@@ -18,7 +18,7 @@
 from tests.fakes.processes import ManagedProcess, free_address, wait_until
 
 HOST = "boards.example"
-BEAT_SECONDS = 0.3
+HEARTBEAT_SECONDS = 0.3
 SECRET = "between-hosts-of-one-test"
 
 
@@ -78,12 +78,12 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """A response as a client receives it; `whole` if its end arrived."""
+    """A response as a client receives it; `complete` if its end arrived."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Host:
@@ -232,30 +232,37 @@
         status, content = self._call(control, "GET", "/config", None, 3.0)
         return status, json.loads(content) if content else None
 
-    def beat(
+    def heartbeat(
         self, worker: PlatformWorker, state: str = "ready", control: int = 0
     ) -> int:
         """Announce a worker once; return the status."""
-        return self.tell(worker.worker_id, worker.beat(state), control)
+        return self.send_announcement(
+            worker.worker_id, worker.heartbeat(state), control
+        )
 
-    def tell(self, worker_id: str, beat: dict[str, Any], control: int = 0) -> int:
+    def send_announcement(
+        self, worker_id: str, heartbeat: dict[str, Any], control: int = 0
+    ) -> int:
         """Send an announcement, which may be an old one; return the status."""
         path = f"/instances/{worker_id}"
-        return self._call(control, "PUT", path, json.dumps(beat).encode(), 3.0)[0] or 0
+        return (
+            self._call(control, "PUT", path, json.dumps(heartbeat).encode(), 3.0)[0]
+            or 0
+        )
 
     def leave(
-        self, worker: PlatformWorker, control: int = 0, tells_start: bool = False
+        self, worker: PlatformWorker, control: int = 0, includes_start: bool = False
     ) -> int:
         """Announce the removal of a worker; return the status."""
         path = f"/instances/{worker.worker_id}"
-        body = json.dumps(worker.start_fields()).encode() if tells_start else None
+        body = json.dumps(worker.start_fields()).encode() if includes_start else None
         return self._call(control, "DELETE", path, body, 3.0)[0] or 0
 
     def add(self, worker: PlatformWorker, control: int = 0) -> PlatformWorker:
         """Announce a worker repeatedly from now on, and close it at the end."""
         self._workers.append(worker)
         wait_until(
-            lambda: self.beat(worker, control=control) == 200,
+            lambda: self.heartbeat(worker, control=control) == 200,
             f"{worker.worker_id} announced",
         )
         return worker
@@ -264,17 +271,17 @@
         """Kill a worker, and announce and return its next start."""
         self.withdraw(worker)
         started_at_ms = (worker.started_at_ms or 0) + 5000
-        return self.add(worker.killed_and_back(started_at_ms, **changed))
+        return self.add(worker.kill_and_restart(started_at_ms, **changed))
 
     def withdraw(self, worker: PlatformWorker) -> None:
         """Stop announcing a worker."""
         self._workers.remove(worker)
 
     def _announce(self) -> None:
-        while not self._stopped.wait(BEAT_SECONDS):
+        while not self._stopped.wait(HEARTBEAT_SECONDS):
             for worker in list(self._workers):
                 for control in range(len(self.controls)):
-                    if self.beat(worker, control=control) == 200:
+                    if self.heartbeat(worker, control=control) == 200:
                         break
 
     def _call(
@@ -316,14 +323,14 @@
             connection.request(method, path, body, sent)
             response = connection.getresponse()
             parts: list[bytes] = []
-            whole = True
+            complete = True
             try:
                 while part := response.read1():
                     parts.append(part)
             except (OSError, http.client.HTTPException):
-                whole = False
+                complete = False
             names = {name.lower(): value for name, value in response.getheaders()}
-            return Reply(response.status, names, b"".join(parts), whole)
+            return Reply(response.status, names, b"".join(parts), complete)
         finally:
             connection.close()
 
--- a/tests/fakes/platform_worker.py
+++ b/tests/fakes/platform_worker.py
@@ -3,7 +3,7 @@
 It implements the protocol of the platform's workers: ids, refusals that say "not run",
 stages with handles, reservations, reports, event streams. A test sets faults through
 the attributes of `WorkerFaults`, and reads the requests that ran from `runs`.
-`killed_and_back` returns the next start of a worker, without the previous state.
+`kill_and_restart` returns the next start of a worker, without the previous state.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
     answer: bytes = b"answer"
     events: int = 5
     run_seconds: float = 0.0
-    read_seconds: float = 0.0
+    prefill_seconds: float = 0.0
     """The duration of a prefill for another worker."""
     capacity: int = 100_000
     started_at_ms: int | None = None
@@ -118,11 +118,11 @@
     """Called before the crash; if it returns false, only the request is lost."""
     faults: WorkerFaults = field(default_factory=WorkerFaults)
     runs: list[WorkerRun] = field(default_factory=list)
-    prompts_read: list[str] = field(default_factory=list)
-    prompt_headers: list[dict[str, str]] = field(default_factory=list)
+    prefilled_requests: list[str] = field(default_factory=list)
+    prefill_headers: list[dict[str, str]] = field(default_factory=list)
     """The headers of the prefill calls, in order."""
-    questions: list[str] = field(default_factory=list)
-    gone_clients: list[str] = field(default_factory=list)
+    system_calls: list[str] = field(default_factory=list)
+    disconnected_clients: list[str] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     """All reservations and requests, including those that it refused."""
 
@@ -178,7 +178,7 @@
                 sock.shutdown(socket.SHUT_RDWR)
         self.killed.set()
 
-    def killed_and_back(
+    def kill_and_restart(
         self,
         started_at_ms: int,
         same_address: bool = True,
@@ -195,7 +195,7 @@
             listens_at=self.address if same_address else "127.0.0.1:0",
         )
 
-    def beat(self, state: str = "ready") -> dict[str, Any]:
+    def heartbeat(self, state: str = "ready") -> dict[str, Any]:
         """Return the next announcement."""
         self.sequence += 1
         models = [{"name": "m", "version": 1, "adapters": []}]
@@ -260,16 +260,16 @@
             self.close_connection = True
 
     def _reserve(self, fields: dict[str, Any]) -> None:
-        self.worker.questions.append("reserve")
+        self.worker.system_calls.append("reserve")
         if self.worker.backoff or self.worker.faults.take("no_room"):
             self.reply(503, {}, self._notice_headers(is_refusal=True))
             return
-        name = f"r{len(self.worker.questions)}"
+        name = f"r{len(self.worker.system_calls)}"
         self.worker.reservations[name] = fields["tokens"]
         self.reply(200, {"hold": name}, self._notice_headers())
 
     def _report(self) -> None:
-        self.worker.questions.append("report")
+        self.worker.system_calls.append("report")
         used = sum(self.worker.reservations.values())
         self.reply(
             200,
@@ -290,7 +290,7 @@
     def _order(self, fields: dict[str, Any]) -> None:
         """Change the stage, unless one is in progress or `expect` does not match."""
         worker = self.worker
-        worker.questions.append("order")
+        worker.system_calls.append("order")
         if worker.is_switching or fields.get("expect", worker.orders) != worker.orders:
             self.reply(409, {})
             return
@@ -347,15 +347,15 @@
 
     def _prefill(self) -> None:
         request_id = self.headers.get("Request-Id", "")
-        self.worker.prompts_read.append(request_id)
-        self.worker.prompt_headers.append(dict(self.headers.items()))
+        self.worker.prefilled_requests.append(request_id)
+        self.worker.prefill_headers.append(dict(self.headers.items()))
         if self.worker.faults.take("lose"):
             self.close_connection = True
             return
         if self.worker.faults.take("hang"):
             self._hang(request_id)
             return
-        time.sleep(self.worker.read_seconds)
+        time.sleep(self.worker.prefill_seconds)
         self.reply(
             200,
             {"kvHandle": f"h-{request_id}", "tokens": 10, "version": 1},
@@ -376,7 +376,7 @@
         """Send no response until the client disconnects or the worker is closed."""
         while not self.worker.closed.wait(0.02):
             if not self.peer_is_open():
-                self.worker.gone_clients.append(request_id)
+                self.worker.disconnected_clients.append(request_id)
                 break
         self.close_connection = True
 
@@ -421,7 +421,7 @@
             self._stream(request_id)
         except OSError:
             if not self.worker.closed.is_set():
-                self.worker.gone_clients.append(request_id)
+                self.worker.disconnected_clients.append(request_id)
             raise
 
     def _stream(self, request_id: str) -> None:
@@ -449,7 +449,7 @@
                 due_at += worker.faults.pause_stream_seconds
                 worker.faults.pause_stream_seconds = 0.0
             if not self.peer_is_open():
-                worker.gone_clients.append(request_id)
+                worker.disconnected_clients.append(request_id)
                 self.close_connection = True
                 return
             # Scheduled by absolute times, so that a thread that wakes late catches up.
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -77,7 +77,7 @@
     return call_json(address, "GET", "/v1/status")[1]["held"]
 
 
-def order_faults(address: str, **faults: object) -> None:
+def set_faults(address: str, **faults: object) -> None:
     assert call_json(address, "POST", "/v1/admin/faults", faults)[0] == 200
 
 
@@ -114,7 +114,7 @@
         self, start_engine: StartEngine
     ) -> None:
         engine = start_engine("prefill")
-        order_faults(engine, pause_phase="prefill")
+        set_faults(engine, pause_phase="prefill")
         with ThreadPoolExecutor(2) as executor:
             running = executor.submit(prefill, engine, "running")
             wait_until(lambda: len(held(engine)) == 1, "the first is held")
@@ -155,7 +155,7 @@
     ) -> None:
         source, target = start_engine("prefill"), start_engine("decode")
         kv_id = prefill(source, "a")[1]["kv_id"]
-        order_faults(source, truncate_next_export=1)
+        set_faults(source, truncate_next_export=1)
         status, answer = import_cache(target, source, "a", kv_id)
         assert (status, answer["reason"]) == (502, "transfer_failed")
         assert held(target) == []
@@ -171,7 +171,7 @@
         source, target = start_engine("prefill"), start_engine("decode")
         kv_id = prefill(source, "a")[1]["kv_id"]
         import_cache(target, source, "a", kv_id)
-        order_faults(target, truncate_next_decode=1, truncate_after_tokens=4)
+        set_faults(target, truncate_next_decode=1, truncate_after_tokens=4)
         cut = decode(target, "a", kv_id, 0, 10)
         rest = decode(target, "a", kv_id, 4, 10)
         assert not any(line.get("end") for line in cut)
@@ -211,7 +211,7 @@
         source, target = start_engine("prefill"), start_engine("decode")
         kv_id = prefill(source, "a")[1]["kv_id"]
         import_cache(target, source, "a", kv_id)
-        order_faults(target, truncate_next_decode=1, truncate_after_tokens=1)
+        set_faults(target, truncate_next_decode=1, truncate_after_tokens=1)
         decode(target, "a", kv_id, 0, 10)
         assert [item["phase"] for item in held(target)] == ["decode"]
         call_json(target, "POST", "/v1/cancel", {"request_id": "a", "attempt": 1})
--- a/tests/fakes/test_platform_worker.py
+++ b/tests/fakes/test_platform_worker.py
@@ -58,4 +58,6 @@
             reset_on_close = struct.pack("ii", 1, 0)
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset_on_close)
             client.close()
-            wait_until(lambda: worker.gone_clients == ["request-1"], "it is noted")
+            wait_until(
+                lambda: worker.disconnected_clients == ["request-1"], "it is noted"
+            )
--- a/tests/forwarding/test_accounts.py
+++ b/tests/forwarding/test_accounts.py
@@ -75,7 +75,9 @@
     """Return the headers of every call to a worker for the last request."""
     request_id = system.last_request_id
     sent = [run.headers for worker in workers(system) for run in worker.runs]
-    sent += [headers for worker in workers(system) for headers in worker.prompt_headers]
+    sent += [
+        headers for worker in workers(system) for headers in worker.prefill_headers
+    ]
     return [
         {name.lower(): value for name, value in headers.items()}
         for headers in sent
--- a/tests/forwarding/test_crashing_requests.py
+++ b/tests/forwarding/test_crashing_requests.py
@@ -120,7 +120,7 @@
 
             wait_until(logged, "a line about the worker that loses answers")
             system.withdraw(worker)
-            system.beat(worker, "draining")
+            system.heartbeat(worker, "draining")
         found = [
             line
             for line in lines(system, 0, "run cut off")
@@ -278,7 +278,7 @@
         assert "request_quarantined" not in errors
         for entry in range(ENTRIES):
             wait_until(
-                lambda entry=entry: send(system, "/long/poll", b"p", entry).whole,  # type: ignore[misc]
+                lambda entry=entry: send(system, "/long/poll", b"p", entry).complete,  # type: ignore[misc]
                 "the stream is served",
             )
 
--- a/tests/forwarding/test_endpoint_holds.py
+++ b/tests/forwarding/test_endpoint_holds.py
@@ -12,23 +12,23 @@
 
 from jujubeslip.tracing import cause_of, lines_about
 from tests.fakes.endpoint_holds import (
-    AT_ONCE_SECONDS,
     DRAIN_SECONDS,
     ENTRIES,
-    MOST_IN_A_BACKOFF,
+    IMMEDIATE_REFUSAL_SECONDS,
+    MAXIMUM_IN_BACKOFF,
     SITUATIONS,
     Situation,
     ask,
     ask_for_backoff,
     by_sender,
-    cut_off,
-    is_spared,
-    late_after_leaving,
-    most_in_a_backoff,
+    count_late_after_leaving,
+    maximum_in_backoff,
+    obeys_notices,
     offer,
     offer_in,
+    partitioned,
+    report_leaving,
     restarted,
-    say_leaving,
     served_share,
     wait_used_again,
     without_leader,
@@ -80,11 +80,11 @@
             refusing.backoff = backoff
             replies = offer(system, target, 4.0)
             assert any(arrival.backoff for arrival in refusing.arrivals)
-            assert most_in_a_backoff(refusing) <= MOST_IN_A_BACKOFF
+            assert maximum_in_backoff(refusing) <= MAXIMUM_IN_BACKOFF
             assert served_share(replies) > 0.95
             assert len(free.arrivals) > 100
 
-    @pytest.mark.parametrize("situation", [without_leader, cut_off])
+    @pytest.mark.parametrize("situation", [without_leader, partitioned])
     def test_is_respected_without_a_leader(
         self, system: PlatformSystem, situation: Situation
     ) -> None:
@@ -92,7 +92,7 @@
             refusing.backoff = "3"
             replies = offer(system, "/safe/x", 4.0)
             assert any(arrival.backoff for arrival in refusing.arrivals)
-            assert most_in_a_backoff(refusing) <= MOST_IN_A_BACKOFF
+            assert maximum_in_backoff(refusing) <= MAXIMUM_IN_BACKOFF
             assert served_share(replies) > 0.95
 
     def test_ends_after_its_duration(self, system: PlatformSystem) -> None:
@@ -155,14 +155,16 @@
                 worker.backoff = "20"
             replies = offer_in(situation, system, target, 2.0)
             for worker in refusing:
-                assert most_in_a_backoff(worker) <= MOST_IN_A_BACKOFF
+                assert maximum_in_backoff(worker) <= MAXIMUM_IN_BACKOFF
             latest = replies[len(replies) // 2 :]
             assert {item.error for item in latest} == {"endpoint_backoff"}
             for item in latest:
                 refusal = json.loads(item.reply.body)
                 assert (item.reply.status, refusal["ran"]) == (503, "no")
                 assert 16 < float(item.reply.headers["retry-after"]) < 21
-            assert sorted(item.seconds for item in latest)[-3] < AT_ONCE_SECONDS
+            assert (
+                sorted(item.seconds for item in latest)[-3] < IMMEDIATE_REFUSAL_SECONDS
+            )
 
     def test_a_trace_names_them(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (worker,):
@@ -203,11 +205,11 @@
             replies = offer_in(situation, system, STREAM, 4.0)
             for worker in (refusing, refusing_prefill_engine):
                 assert any(arrival.backoff for arrival in worker.arrivals)
-                assert most_in_a_backoff(worker) <= MOST_IN_A_BACKOFF
+                assert maximum_in_backoff(worker) <= MAXIMUM_IN_BACKOFF
             assert served_share(replies) > 0.9
 
 
-@pytest.mark.parametrize("give_notice", [ask_for_backoff, say_leaving])
+@pytest.mark.parametrize("give_notice", [ask_for_backoff, report_leaving])
 class TestRequestsInProgress:
     """Guards against sends to an endpoint chosen or granted before its notice.
 
@@ -222,7 +224,7 @@
             failing.faults.fail = 1_000_000
             give_notice(held)
             offer(system, "/safe/x", 4.0)
-            assert is_spared(held)
+            assert obeys_notices(held)
 
     def test_those_that_wait_for_capacity(
         self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
@@ -235,7 +237,7 @@
                 time.sleep(1.0)
                 give_notice(held)
                 replies = offered.result()
-            assert is_spared(held)
+            assert obeys_notices(held)
             errors = {item.error for item in replies}
             assert errors <= {"", "endpoint_backoff", "no_room", "no_endpoint"}
 
@@ -247,14 +249,14 @@
             workers(system, 1, "model", "prefill") as (prefill_engine,),
         ):
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
-            prefill_engine.read_seconds = 0.8
+            prefill_engine.prefill_seconds = 0.8
             with ThreadPoolExecutor(1) as pool:
                 offered = pool.submit(offer, system, STREAM, 5.0, [0], 6)
                 time.sleep(1.0)
                 give_notice(held)
                 offered.result()
-            assert most_in_a_backoff(held) <= MOST_IN_A_BACKOFF
-            assert late_after_leaving(held) == 0
+            assert maximum_in_backoff(held) <= MAXIMUM_IN_BACKOFF
+            assert count_late_after_leaving(held) == 0
 
     def test_resumed_streams(
         self, system: PlatformSystem, give_notice: Callable[[PlatformWorker], None]
@@ -274,8 +276,8 @@
                 pool.submit(cut)
                 replies = offer(system, target, 4.0)
                 ended.set()
-            assert is_spared(held)
-            assert sum(item.reply.whole for item in replies) > 0.9 * len(replies)
+            assert obeys_notices(held)
+            assert sum(item.reply.complete for item in replies) > 0.9 * len(replies)
 
 
 class TestEndpointThatAnnouncesThatItLeaves:
@@ -291,7 +293,7 @@
             leaving.leaves = True
             replies = offer(system, target, DRAIN_SECONDS + 2.0)
             assert len(by_sender(leaving)) >= ENTRIES
-            assert late_after_leaving(leaving) == 0
+            assert count_late_after_leaving(leaving) == 0
             assert served_share(replies) > 0.99
 
     @pytest.mark.parametrize("situation", SITUATIONS)
@@ -305,8 +307,8 @@
             system.wait_served(STREAM, method="POST", headers=PROMPT, body=b"p")
             leaving.leaves = leaving_prefill_engine.leaves = True
             replies = offer_in(situation, system, STREAM, DRAIN_SECONDS + 2.0)
-            assert late_after_leaving(leaving) == 0
-            assert late_after_leaving(leaving_prefill_engine) == 0
+            assert count_late_after_leaving(leaving) == 0
+            assert count_late_after_leaving(leaving_prefill_engine) == 0
             assert served_share(replies) > 0.9
 
     def test_is_passed_on_to_the_client(self, system: PlatformSystem) -> None:
@@ -321,10 +323,12 @@
             system.wait_served("/safe/x", method="POST", body=b"p")
             leaving.leaves = True
             replies = offer(system, "/safe/x", DRAIN_SECONDS + 1.0)
-            assert late_after_leaving(leaving) == 0
+            assert count_late_after_leaving(leaving) == 0
             refused = [item for item in replies if item.error]
             assert {item.error for item in refused} == {"no_endpoint"}
-            assert sorted(item.seconds for item in refused)[-3] < AT_ONCE_SECONDS
+            assert (
+                sorted(item.seconds for item in refused)[-3] < IMMEDIATE_REFUSAL_SECONDS
+            )
 
     def test_is_used_once_it_has_restarted(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (leaving,):
--- a/tests/forwarding/test_endpoint_limits.py
+++ b/tests/forwarding/test_endpoint_limits.py
@@ -90,7 +90,7 @@
     finally:
         for worker in added:
             system.withdraw(worker)
-            system.beat(worker, "draining")
+            system.heartbeat(worker, "draining")
             worker.close()
 
 
@@ -233,13 +233,13 @@
         ):
             system.wait_served("/stream/x", method="POST", headers=PROMPT, body=b"p")
             limited.limit = str(LIMIT)
-            prefill_engines[0].prompts_read = Arrivals()
+            prefill_engines[0].prefilled_requests = Arrivals()
             prefill_engines[0].limit = str(LIMIT)
             offer(system, "/stream/x", CONTACT_SECONDS)
             known_from = time.monotonic()
             replies = offer(system, "/stream/x", 6.0)
             assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
-            prefills = prefill_engines[0].prompts_read
+            prefills = prefill_engines[0].prefilled_requests
             assert isinstance(prefills, Arrivals)
             assert prefills.max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
             assert arrivals(free).max_in_window(known_from) > MAX_REQUESTS_IN_WINDOW
--- a/tests/forwarding/test_endpoint_restarts.py
+++ b/tests/forwarding/test_endpoint_restarts.py
@@ -58,7 +58,7 @@
     for worker in workers:
         if not worker.closed.is_set():
             system.withdraw(worker)
-            system.beat(worker, "draining")
+            system.heartbeat(worker, "draining")
             worker.close()
 
 
@@ -167,7 +167,7 @@
         wait_used(system, earlier, STREAM, within=8.0)
         later = restart(system, started, earlier, False, "prefill")
         wait_until(
-            lambda: is_used(system, stays, STREAM) and bool(later.prompts_read),
+            lambda: is_used(system, stays, STREAM) and bool(later.prefilled_requests),
             "the new start prefills prompts",
             8.0,
         )
@@ -187,7 +187,7 @@
         self, system: PlatformSystem, started: list[PlatformWorker], removed: bool
     ) -> None:
         earlier = plain_worker(system, started)
-        assert system.beat(earlier, "draining") == 200
+        assert system.heartbeat(earlier, "draining") == 200
         if removed:
             assert system.leave(earlier) == 200
         later = restart(system, started, earlier)
@@ -209,7 +209,12 @@
         earlier = plain_worker(system, started)
         later = restart(system, started, earlier, same_address=False)
         wait_used(system, later)
-        assert system.tell(earlier.worker_id, earlier.beat(state), control=1) == 200
+        assert (
+            system.send_announcement(
+                earlier.worker_id, earlier.heartbeat(state), control=1
+            )
+            == 200
+        )
         time.sleep(0.3)
         asked = [is_used(system, later) for _ in range(5)]
         assert asked == [True] * 5
@@ -231,7 +236,7 @@
         earlier = plain_worker(system, started)
         later = restart(system, started, earlier)
         wait_used(system, later)
-        assert system.leave(earlier, control=1, tells_start=True) == 200
+        assert system.leave(earlier, control=1, includes_start=True) == 200
         time.sleep(0.3)
         assert [is_used(system, later) for _ in range(5)] == [True] * 5
 
@@ -244,7 +249,7 @@
         assert system.leave(later, control=2) == 200
         for _ in range(6):
             # It continues to announce itself until it exits.
-            assert system.beat(later) == 200
+            assert system.heartbeat(later) == 200
             time.sleep(0.5)
             assert not is_used(system, later)
         later.close()
@@ -314,7 +319,7 @@
     ) -> None:
         reply, engine, later = self.stream_over_a_restart(system, started, STREAM)
         request_id = reply.headers["request-id"]
-        assert not reply.whole
+        assert not reply.complete
         assert event_ids(reply) == list(range(1, len(event_ids(reply)) + 1))
         ran = [run for worker in started for run in worker.run_ids()]
         assert ran.count(request_id) == 1
@@ -323,7 +328,7 @@
         self, system: PlatformSystem, started: list[PlatformWorker]
     ) -> None:
         reply, engine, later = self.stream_over_a_restart(system, started, RESUMED)
-        assert reply.whole
+        assert reply.complete
         assert event_ids(reply) == list(range(1, LONG_STREAM + 1))
         request_id = reply.headers["request-id"]
         resumed = [
@@ -353,7 +358,7 @@
         )
         leader = granted_by(system, earlier)[0]
         leader.kill()
-        later = earlier.killed_and_back(FIRST_START_MS + 5000, same_address=False)
+        later = earlier.kill_and_restart(FIRST_START_MS + 5000, same_address=False)
         system.withdraw(earlier)
         other = (system.controls.index(leader) + 1) % len(system.controls)
         started.append(system.add(later, other))
--- a/tests/forwarding/test_few_engines.py
+++ b/tests/forwarding/test_few_engines.py
@@ -48,7 +48,9 @@
 
     def test_one_of_them_is_ordered_to_decode(self, system: PlatformSystem) -> None:
         prefill_engines = [
-            PlatformWorker(f"reader-{n}", "model", "prefill", read_seconds=READ_SECONDS)
+            PlatformWorker(
+                f"reader-{n}", "model", "prefill", prefill_seconds=READ_SECONDS
+            )
             for n in (1, 2)
         ]
         decode_engines = [
--- a/tests/forwarding/test_orders_after_takeover.py
+++ b/tests/forwarding/test_orders_after_takeover.py
@@ -109,7 +109,9 @@
         self, system: PlatformSystem
     ) -> None:
         prefill_engines = [
-            PlatformWorker(f"reader-{n}", "model", "prefill", read_seconds=READ_SECONDS)
+            PlatformWorker(
+                f"reader-{n}", "model", "prefill", prefill_seconds=READ_SECONDS
+            )
             for n in (1, 2)
         ]
         decode_engines = [
--- a/tests/forwarding/test_planned_stops.py
+++ b/tests/forwarding/test_planned_stops.py
@@ -152,7 +152,7 @@
                 system.entries[0].signal(signal.SIGTERM)
                 wait_until(lambda: not system.ready(), "the host is not ready any more")
                 reply = open_request.result()
-            assert (reply.status, reply.whole) == (200, True)
+            assert (reply.status, reply.complete) == (200, True)
             assert reply.headers["connection"] == "close"
             process = system.entries[0].process
             assert process is not None and process.wait() == 0
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -76,15 +76,15 @@
         lambda: (
             ask(system).status == 200
             and all(worker.runs for worker in group.decode)
-            and group.prefill.prompts_read
+            and group.prefill.prefilled_requests
             and (not asks_leader or grants_at(system, group))
         ),
         "all engines are used",
     )
     for worker in group.all:
         worker.runs.clear()
-        worker.prompts_read.clear()
-        worker.questions.clear()
+        worker.prefilled_requests.clear()
+        worker.system_calls.clear()
     yield group
     for worker in group.all:
         system.withdraw(worker)
@@ -113,15 +113,15 @@
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         reply = ask(system)
-        assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
-        assert len(engines.prefill.prompts_read) == 1
+        assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
+        assert len(engines.prefill.prefilled_requests) == 1
         runner = next(worker for worker in engines.decode if worker.runs)
 
         def was_granted() -> bool:
             given = system.logged("grant at an engine")
             return bool(given) and given[-1]["endpoint_id"] == runner.worker_id
 
-        if "reserve" not in runner.questions:
+        if "reserve" not in runner.system_calls:
             wait_until(was_granted, "the grant is on record")
         assert runner.runs[0].headers["Kv-From"].startswith(engines.prefill.address)
 
@@ -132,8 +132,8 @@
         for worker in engines.decode:
             worker.faults.no_room = 3
         reply = ask(system)
-        assert reply.whole
-        assert len(engines.prefill.prompts_read) == 1
+        assert reply.complete
+        assert len(engines.prefill.prefilled_requests) == 1
 
     def test_reservation_is_released(
         self, system: PlatformSystem, engines: Engines
@@ -155,11 +155,12 @@
         other = PlatformWorker(f"e-{next(NUMBERS)}", "model", "prefill")
         system.add(other)
         wait_until(
-            lambda: ask(system).whole and other.prompts_read, "the other one is used"
+            lambda: ask(system).complete and other.prefilled_requests,
+            "the other one is used",
         )
         engines.prefill.faults.refuse = 1000
         for _ in range(6):
-            assert ask(system).whole
+            assert ask(system).complete
         runs = [run for worker in engines.decode for run in worker.runs]
         engines.prefill.faults.refuse = 0
         system.withdraw(other)
@@ -181,8 +182,8 @@
     ) -> None:
         engines.prefill.faults.lose = 1
         reply = ask(system)
-        assert reply.whole
-        assert len(engines.prefill.prompts_read) == 2
+        assert reply.complete
+        assert len(engines.prefill.prefilled_requests) == 2
         (run,) = [run for worker in engines.decode for run in worker.runs]
         assert "Kv-From" in run.headers
 
@@ -199,8 +200,8 @@
         self, system: PlatformSystem, engines: Engines
     ) -> None:
         engines.prefill.faults.hang = 1
-        assert ask(system).whole
-        assert len(engines.prefill.gone_clients) == 1
+        assert ask(system).complete
+        assert len(engines.prefill.disconnected_clients) == 1
 
 
 class TestPromptWhosePrefillAlwaysFails:
@@ -218,7 +219,7 @@
         engines.prefill.faults.lose = 100
         reply = ask(system)
         engines.prefill.faults.lose = 0
-        assert reply.whole
+        assert reply.complete
         (run,) = [run for worker in engines.decode for run in worker.runs]
         assert "Kv-From" not in run.headers
         if asks_leader:
@@ -242,7 +243,7 @@
         for worker in engines.decode:
             worker.faults.lapse = 1
         reply = ask(system)
-        assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+        assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
         run = [run for worker in engines.decode for run in worker.runs][0]
         assert "Kv-From" not in run.headers
 
@@ -263,7 +264,9 @@
         reply = ask(system, RESUMED)
         for worker in engines.decode:
             worker.faults.cut_stream_after = 0
-        assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5] or not reply.whole
+        assert (
+            reply.complete and event_ids(reply) == [1, 2, 3, 4, 5] or not reply.complete
+        )
         assert event_ids(reply) == sorted(set(event_ids(reply)))
 
     def test_is_finished_by_another_engine(
@@ -276,7 +279,7 @@
             engines.decode[0].faults.cut_stream_after = 3
             reply = ask(system, RESUMED)
             engines.decode[0].faults.cut_stream_after = 0
-            assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+            assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
             return len(engines.runs()) == 2
 
         wait_until(is_finished_elsewhere, "a stream resumes at the other engine")
@@ -287,7 +290,7 @@
         for worker in engines.decode:
             worker.faults.cut_stream_after = 2
         reply = ask(system)
-        assert not reply.whole
+        assert not reply.complete
         assert event_ids(reply) == [1, 2]
         assert len(engines.runs()) == 1
 
@@ -313,7 +316,7 @@
         assert ask(system).status == 200
 
         def asked() -> int:
-            own = [worker.questions.count("reserve") for worker in engines.decode]
+            own = [worker.system_calls.count("reserve") for worker in engines.decode]
             return sum(own) + grants_at(system, engines) - given_before
 
         wait_until(lambda: asked() >= 2, "capacity for both is on record")
@@ -332,7 +335,7 @@
         for worker in engines.decode:
             worker.faults.pause_stream_seconds = 2.0
         reply = ask(system, RESUMED)
-        assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+        assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
         assert len(engines.runs()) == 1
 
 
@@ -358,7 +361,7 @@
             began = time.monotonic()
             reply = ask(system, RESUMED)
             silent.faults.pause_stream_seconds = 0.0
-            assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+            assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
             assert time.monotonic() - began < self.SILENT_SECONDS
             return len(engines.runs()) == 2
 
@@ -374,7 +377,7 @@
             engines.decode[0].run_seconds = self.SILENT_SECONDS
             reply = ask(system, RESUMED)
             engines.decode[0].run_seconds = 0.0
-            assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+            assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
             return len(engines.runs()) == 2
 
         wait_until(is_answered_elsewhere, "the stream starts at the other engine")
@@ -385,7 +388,7 @@
         for worker in engines.decode:
             worker.faults.pause_stream_seconds = 3.0
         reply = ask(system)
-        assert reply.whole and event_ids(reply) == [1, 2, 3, 4, 5]
+        assert reply.complete and event_ids(reply) == [1, 2, 3, 4, 5]
         assert len(engines.runs()) == 1
 
 
@@ -405,7 +408,9 @@
         response.close()
         connection.close()
         wait_until(
-            lambda: any("left" in worker.gone_clients for worker in engines.decode),
+            lambda: any(
+                "left" in worker.disconnected_clients for worker in engines.decode
+            ),
             "the engine notices the disconnect",
         )
         for worker in engines.decode:
--- a/tests/forwarding/test_streams_after_restart.py
+++ b/tests/forwarding/test_streams_after_restart.py
@@ -58,7 +58,7 @@
 def wait_served(system: PlatformSystem, body: bytes) -> None:
     for entry in range(ENTRIES):
         wait_until(
-            lambda entry=entry: send(system, body, entry).whole,  # type: ignore[misc]
+            lambda entry=entry: send(system, body, entry).complete,  # type: ignore[misc]
             "a stream is served",
         )
 
@@ -81,7 +81,7 @@
         wait_until(lambda: len(engine.run_ids()) > runs, "the stream runs")
         time.sleep(BESIDE_SECONDS)
         send(system, CRASHING, (entry + 1) % ENTRIES)
-        assert not stream.result().whole
+        assert not stream.result().complete
 
 
 class TestEqualStreamsAfterARestartOfAllHosts:
--- a/tests/forwarding/test_streams_without_leader.py
+++ b/tests/forwarding/test_streams_without_leader.py
@@ -38,7 +38,9 @@
 def wait_for_grants(system: PlatformSystem) -> None:
     given = len(system.logged("grant at an engine"))
     wait_until(
-        lambda: ask(system).whole and len(system.logged("grant at an engine")) > given,
+        lambda: (
+            ask(system).complete and len(system.logged("grant at an engine")) > given
+        ),
         "the leader gives grants",
     )
 
@@ -56,6 +58,6 @@
         system.controls[0].kill()
         for _ in range(5):
             reply = ask(system)
-            assert reply.status == 200 and reply.whole
+            assert reply.status == 200 and reply.complete
         system.controls[0].start()
         wait_for_grants(system)
--- a/tests/membership/test_homes.py
+++ b/tests/membership/test_homes.py
@@ -86,7 +86,7 @@
 
     def whole() -> bool:
         answers.append(ask(cluster.client_address(host_id), "summaries", MESSAGE))
-        return answers[-1].whole
+        return answers[-1].complete
 
     wait_until(whole, "an answer is complete", BOUND_SECONDS)
     return answers
@@ -97,7 +97,7 @@
 
     def __init__(self, cluster: Cluster, host_id: str, count: int) -> None:
         self._cluster = cluster
-        cluster.order_faults("decode-1", pause_phase="decode", after_tokens=1)
+        cluster.set_faults("decode-1", pause_phase="decode", after_tokens=1)
         self._pool = ThreadPoolExecutor(count + 1)
         address = cluster.client_address(host_id)
         self._answers = [
@@ -115,7 +115,7 @@
 
     def finish(self) -> list[ClientAnswer]:
         """Resume the streams and return their answers."""
-        self._cluster.order_faults("decode-1", resume_phase="decode")
+        self._cluster.set_faults("decode-1", resume_phase="decode")
         answers = [answer.result(BOUND_SECONDS) for answer in self._answers]
         self._pool.shutdown()
         return answers
@@ -139,8 +139,8 @@
         with ThreadPoolExecutor(1) as pool:
             extra = pool.submit(ask_until_complete, cluster, entry)
             for answer in self.streams.finish():
-                assert answer.whole, answer
-            assert extra.result(BOUND_SECONDS)[-1].whole
+                assert answer.complete, answer
+            assert extra.result(BOUND_SECONDS)[-1].complete
         wait_nothing_granted(cluster, others)
         cluster.wait_nothing_held()
 
@@ -172,7 +172,7 @@
         wait_home(cluster, set(ENTRIES) - {home})
         cluster.process_by_name[home].signal(signal.SIGCONT)
         for answer in self.streams.finish():
-            assert answer.whole, answer
+            assert answer.complete, answer
         for host_id in ENTRIES:
             ask_until_complete(cluster, host_id)
         wait_nothing_granted(cluster, set(ENTRIES))
@@ -192,7 +192,7 @@
             proxy.cut()
         others = set(ENTRIES) - {home}
         for answer in self.streams.finish():
-            assert answer.whole, answer
+            assert answer.complete, answer
         # Meanwhile the announcements that the others got before the partition expire.
         until = Deadline.after(ANNOUNCEMENT_LIFETIME + STATUS_LIFETIME)
         while not until.expired:
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -25,15 +25,15 @@
 from jujubeslip.peers import EndpointRole
 from jujubeslip.platform._control_app import ControlApp
 from tests.fakes.broken_fields import (
+    INVALID_ADDRESSES,
+    INVALID_LISTS,
+    INVALID_NUMBERS,
+    INVALID_TEXTS,
+    INVALID_WORDS,
     MISSING,
-    NO_ADDRESS,
-    NO_LIST,
-    NO_NUMBER,
-    NO_TEXT,
-    UNKNOWN_WORD,
-    UNREADABLE,
-    Break,
-    breaks,
+    UNREADABLE_BODIES,
+    BrokenField,
+    broken_field_cases,
     json_values,
     received,
 )
@@ -57,22 +57,22 @@
     if key not in ("stage", "models", "born")
 }
 OPTIONAL = frozenset({"stage", "models", "born"})
-BREAKS = breaks(
+BREAKS = broken_field_cases(
     {
-        ("service",): NO_TEXT,
-        ("address",): NO_ADDRESS,
-        ("zone",): NO_TEXT,
-        ("version",): NO_TEXT,
-        ("slots",): (*NO_NUMBER, 0, 2**31),
-        ("state",): UNKNOWN_WORD,
-        ("coldLeftMs",): NO_NUMBER,
-        ("stage",): UNKNOWN_WORD,
-        ("models",): NO_LIST,
-        ("models", 0, "name"): NO_TEXT,
-        ("models", 0, "version"): NO_NUMBER,
+        ("service",): INVALID_TEXTS,
+        ("address",): INVALID_ADDRESSES,
+        ("zone",): INVALID_TEXTS,
+        ("version",): INVALID_TEXTS,
+        ("slots",): (*INVALID_NUMBERS, 0, 2**31),
+        ("state",): INVALID_WORDS,
+        ("coldLeftMs",): INVALID_NUMBERS,
+        ("stage",): INVALID_WORDS,
+        ("models",): INVALID_LISTS,
+        ("models", 0, "name"): INVALID_TEXTS,
+        ("models", 0, "version"): INVALID_NUMBERS,
         ("models", 0, "adapters"): ("", 1, True, None, {}),
-        ("born",): NO_NUMBER,
-        ("seq",): NO_NUMBER,
+        ("born",): INVALID_NUMBERS,
+        ("seq",): INVALID_NUMBERS,
     },
     OPTIONAL,
 )
@@ -144,7 +144,9 @@
     """
 
     @pytest.mark.parametrize("broken", BREAKS, ids=str)
-    def test_names_no_endpoint_and_harms_none(self, host: Host, broken: Break) -> None:
+    def test_names_no_endpoint_and_harms_none(
+        self, host: Host, broken: BrokenField
+    ) -> None:
         before = host.reported()
         answer = host.put("foreign", broken.apply(ENGINE))
         assert 400 <= host.status < 500
@@ -153,7 +155,7 @@
 
     @pytest.mark.parametrize("broken", BREAKS, ids=str)
     def test_of_a_known_start_leaves_what_was_known(
-        self, host: Host, broken: Break
+        self, host: Host, broken: BrokenField
     ) -> None:
         before = host.reported()
         host.put("engine", broken.apply({**ENGINE, "seq": 1000}))
@@ -163,7 +165,7 @@
     @given(several=st.lists(st.sampled_from(WHOLE_FIELDS), min_size=2, max_size=6))
     @settings(deadline=None, max_examples=60)
     def test_among_others_is_refused_all_the_same(
-        self, host: Host, several: list[Break]
+        self, host: Host, several: list[BrokenField]
     ) -> None:
         before = host.reported()
         body = dict(ENGINE)
@@ -176,7 +178,9 @@
 
 
 class TestUnreadableBody:
-    @pytest.mark.parametrize("body", UNREADABLE, ids=lambda body: ascii(body[:12]))
+    @pytest.mark.parametrize(
+        "body", UNREADABLE_BODIES, ids=lambda body: ascii(body[:12])
+    )
     def test_is_refused(self, host: Host, body: bytes) -> None:
         before = host.reported()
         assert json.loads(host.put("foreign", body))["error"]
--- a/tests/platform/test_early_removals.py
+++ b/tests/platform/test_early_removals.py
@@ -43,10 +43,10 @@
                     "the first control host is followed",
                 )
             leaving = PlatformWorker("leaving", "plain")
-            earlier = leaving.beat()
+            earlier = leaving.heartbeat()
             assert system.leave(leaving, control=0) == 200
             system.controls[0].kill()
-            assert system.tell("leaving", earlier, control=1) == 200
+            assert system.send_announcement("leaving", earlier, control=1) == 200
             other.runs.clear()
             for _ in range(30):
                 system.ask("/safe/x")
--- a/tests/platform/test_endpoint_answers.py
+++ b/tests/platform/test_endpoint_answers.py
@@ -18,14 +18,14 @@
 )
 from jujubeslip.routes import EngineReport, PrefilledPrompt, RunningAnswer
 from tests.fakes.broken_fields import (
-    NO_FLAG,
-    NO_LIST,
-    NO_NUMBER,
-    NO_TEXT,
-    UNKNOWN_WORD,
-    UNREADABLE,
-    Break,
-    breaks,
+    INVALID_FLAGS,
+    INVALID_LISTS,
+    INVALID_NUMBERS,
+    INVALID_TEXTS,
+    INVALID_WORDS,
+    UNREADABLE_BODIES,
+    BrokenField,
+    broken_field_cases,
     json_values,
 )
 
@@ -44,35 +44,41 @@
 PREFILLED = {"kvHandle": "3fa09c41b7d5", "tokens": 1460, "version": 1}
 RESERVED = {"hold": "r-1"}
 # Any string is valid, since clients choose the ids.
-NO_RUN_ID = tuple(value for value in NO_TEXT if not isinstance(value, str))
-NO_RUNS = (*NO_LIST, [["9c41"]], [["9c41", 1500]], [{"9c41": 1}])
+NO_RUN_ID = tuple(value for value in INVALID_TEXTS if not isinstance(value, str))
+NO_RUNS = (*INVALID_LISTS, [["9c41"]], [["9c41", 1500]], [{"9c41": 1}])
 
 Reader = Callable[[bytes], Result[Any, str]]
-CASES: list[tuple[Reader, dict[str, Any], list[Break]]] = [
+CASES: list[tuple[Reader, dict[str, Any], list[BrokenField]]] = [
     (
         read_report,
         REPORT,
-        breaks(
+        broken_field_cases(
             {
-                ("stage",): UNKNOWN_WORD,
-                ("busy",): NO_FLAG,
-                ("seq",): NO_NUMBER,
-                ("queued",): NO_NUMBER,
-                ("kvUsed",): NO_NUMBER,
-                ("kvCapacity",): NO_NUMBER,
+                ("stage",): INVALID_WORDS,
+                ("busy",): INVALID_FLAGS,
+                ("seq",): INVALID_NUMBERS,
+                ("queued",): INVALID_NUMBERS,
+                ("kvUsed",): INVALID_NUMBERS,
+                ("kvCapacity",): INVALID_NUMBERS,
                 ("runs",): NO_RUNS,
                 ("runs", 0, 0): NO_RUN_ID,
-                ("runs", 0, 1): NO_NUMBER,
-                ("runs", 0, 2): NO_NUMBER,
+                ("runs", 0, 1): INVALID_NUMBERS,
+                ("runs", 0, 2): INVALID_NUMBERS,
             }
         ),
     ),
     (
         read_prefilled,
         PREFILLED,
-        breaks({("kvHandle",): (*NO_TEXT, "a\r\nX: y"), ("tokens",): NO_NUMBER}),
+        broken_field_cases(
+            {("kvHandle",): (*INVALID_TEXTS, "a\r\nX: y"), ("tokens",): INVALID_NUMBERS}
+        ),
+    ),
+    (
+        read_reservation,
+        RESERVED,
+        broken_field_cases({("hold",): (*INVALID_TEXTS, "a\r\nX: y", "a/b")}),
     ),
-    (read_reservation, RESERVED, breaks({("hold",): (*NO_TEXT, "a\r\nX: y", "a/b")})),
 ]
 READERS = [read for read, _, _ in CASES]
 BROKEN = [
@@ -91,7 +97,7 @@
 
     @pytest.mark.parametrize(("read", "valid", "broken"), BROKEN)
     def test_is_refused_and_names_its_field(
-        self, read: Reader, valid: dict[str, Any], broken: Break
+        self, read: Reader, valid: dict[str, Any], broken: BrokenField
     ) -> None:
         found = read(broken.apply(valid))
         assert isinstance(found, Failure)
@@ -99,7 +105,9 @@
         assert len(found.failure()) < 1000
 
     @pytest.mark.parametrize("read", READERS)
-    @pytest.mark.parametrize("body", UNREADABLE, ids=lambda body: ascii(body[:12]))
+    @pytest.mark.parametrize(
+        "body", UNREADABLE_BODIES, ids=lambda body: ascii(body[:12])
+    )
     def test_that_can_t_be_read_is_refused(self, read: Reader, body: bytes) -> None:
         assert isinstance(read(body), Failure)
 
--- a/tests/platform/test_invalid_announcements.py
+++ b/tests/platform/test_invalid_announcements.py
@@ -5,7 +5,12 @@
 from pathlib import Path
 from typing import Any
 
-from tests.fakes.broken_fields import NO_NUMBER, NO_TEXT, UNKNOWN_WORD, breaks
+from tests.fakes.broken_fields import (
+    INVALID_NUMBERS,
+    INVALID_TEXTS,
+    INVALID_WORDS,
+    broken_field_cases,
+)
 from tests.fakes.platform_system import (
     PLAIN,
     PlatformSystem,
@@ -16,12 +21,12 @@
 from tests.fakes.processes import wait_until
 
 # A few fields of each kind; the tests without processes cover every field.
-BREAKS = breaks(
+BREAKS = broken_field_cases(
     {
-        ("service",): NO_TEXT,
-        ("slots",): NO_NUMBER,
-        ("state",): UNKNOWN_WORD,
-        ("seq",): NO_NUMBER,
+        ("service",): INVALID_TEXTS,
+        ("slots",): INVALID_NUMBERS,
+        ("state",): INVALID_WORDS,
+        ("seq",): INVALID_NUMBERS,
     }
 )
 
@@ -48,9 +53,10 @@
                 )
                 system.put_until_accepted(first_configuration)
                 system.wait_served("/a/x")
-                beat = foreign.beat()
+                heartbeat = foreign.heartbeat()
                 statuses = {
-                    announce(system, "foreign", broken.apply(beat)) for broken in BREAKS
+                    announce(system, "foreign", broken.apply(heartbeat))
+                    for broken in BREAKS
                 }
                 later = system.add(PlatformWorker("later", "plain"))
                 wait_until(lambda: self._reaches(system, later), "later is used")
--- a/tests/platform/test_recorded_removals.py
+++ b/tests/platform/test_recorded_removals.py
@@ -53,18 +53,18 @@
 
 
 def sign_off_by_start(system: PlatformSystem, worker: PlatformWorker) -> int:
-    return system.leave(worker, tells_start=True)
+    return system.leave(worker, includes_start=True)
 
 
 def announce_leaving(system: PlatformSystem, worker: PlatformWorker) -> int:
-    return system.beat(worker, "draining")
+    return system.heartbeat(worker, "draining")
 
 
 def make_known(system: PlatformSystem, worker: PlatformWorker) -> dict[str, Any]:
     """Announce an endpoint to the system; return an announcement still in transit."""
     system.add(worker)
     system.withdraw(worker)
-    return worker.beat()
+    return worker.heartbeat()
 
 
 def count_runs(system: PlatformSystem, worker: PlatformWorker) -> int:
@@ -113,7 +113,7 @@
         make_known(system, leaving)
         assert leave(system, leaving) == 200
         restart([*system.controls, *system.entries])
-        later = leaving.killed_and_back(SECOND)
+        later = leaving.kill_and_restart(SECOND)
         system.wait_served("/safe/x")
         system.add(later)
         wait_used(system, later)
@@ -125,10 +125,10 @@
     def test_holds_for_its_late_announcement(self, system: PlatformSystem) -> None:
         first = started()
         make_known(system, first)
-        later = first.killed_and_back(SECOND)
-        earlier = later.beat()
-        assert system.leave(later, tells_start=True) == 200
-        assert system.tell("leaving", earlier, control=1) == 200
+        later = first.kill_and_restart(SECOND)
+        earlier = later.heartbeat()
+        assert system.leave(later, includes_start=True) == 200
+        assert system.send_announcement("leaving", earlier, control=1) == 200
         assert count_runs(system, later) == 0
 
 
@@ -140,11 +140,11 @@
         self, system: PlatformSystem, is_known: bool
     ) -> None:
         leaving = started()
-        earlier = make_known(system, leaving) if is_known else leaving.beat()
+        earlier = make_known(system, leaving) if is_known else leaving.heartbeat()
         for host in system.controls[1:]:
             host.kill()
         assert system.leave(leaving) == 503
-        assert system.tell("leaving", earlier) == 200
+        assert system.send_announcement("leaving", earlier) == 200
         assert count_runs(system, leaving) == 0
 
     def test_is_acknowledged_once_there_is_a_majority(
@@ -178,7 +178,10 @@
             host.start()
         time.sleep(CONTACT_SECONDS)
         arrived = "it arrives at the host with the new disk"
-        wait_until(lambda: system.tell("leaving", earlier, control=0) == 200, arrived)
+        wait_until(
+            lambda: system.send_announcement("leaving", earlier, control=0) == 200,
+            arrived,
+        )
         system.wait_served("/safe/x")
         assert count_runs(system, leaving) == 0
 
--- a/tests/platform/test_removals_after_restarts.py
+++ b/tests/platform/test_removals_after_restarts.py
@@ -65,7 +65,7 @@
     if is_known:
         system.add(leaving)
         system.withdraw(leaving)
-    earlier = leaving.beat()
+    earlier = leaving.heartbeat()
     assert system.leave(leaving) == 200
     return leaving, earlier
 
@@ -75,7 +75,10 @@
 ) -> None:
     """Let the announcement arrive, and assert that the endpoint is not used."""
     time.sleep(CONTACT_SECONDS)
-    wait_until(lambda: system.tell("leaving", earlier, control=1) == 200, "it arrives")
+    wait_until(
+        lambda: system.send_announcement("leaving", earlier, control=1) == 200,
+        "it arrives",
+    )
     system.wait_served("/safe/x")
     leaving.runs.clear()
     until = time.monotonic() + UPDATE_SECONDS
--- a/tests/requests/support.py
+++ b/tests/requests/support.py
@@ -96,14 +96,14 @@
         faults = {"pause_phase": phase}
         if phase == "decode":
             faults["after_tokens"] = str(DECODE_GATE_TOKENS)
-        cluster.order_faults(name, **faults)
+        cluster.set_faults(name, **faults)
 
 
 def resume(cluster: Cluster, phase: str) -> None:
     """Let the requests of a paused phase continue."""
     role = "prefill" if phase == "prefill" else "decode"
     for name in engines(cluster, role):
-        cluster.order_faults(name, resume_phase=phase)
+        cluster.set_faults(name, resume_phase=phase)
 
 
 def held_phases(cluster: Cluster, name: str) -> list[str]:
@@ -146,7 +146,7 @@
 
 def assert_complete(answer: ClientAnswer, tokens: int = 8) -> None:
     """Check that the answer equals that of an undisturbed run, byte for byte."""
-    assert answer.whole, answer
+    assert answer.complete, answer
     assert answer.text == expected_text(tokens)
 
 
@@ -160,9 +160,9 @@
     for spec in cluster.spec.endpoints:
         if not cluster.process_by_name[spec.endpoint_id].running:
             cluster.start_endpoint(spec).wait_ready()
-        cluster.order_faults(spec.endpoint_id, **NO_FAULTS)
+        cluster.set_faults(spec.endpoint_id, **NO_FAULTS)
         for phase in GATES:
-            cluster.order_faults(spec.endpoint_id, resume_phase=phase)
+            cluster.set_faults(spec.endpoint_id, resume_phase=phase)
     for host_id in cluster.entry_ids:
         cluster.wait_entry_ready(host_id)
     cluster.wait_endpoints_usable()
--- a/tests/requests/test_complete_answers.py
+++ b/tests/requests/test_complete_answers.py
@@ -107,7 +107,7 @@
     ) -> None:
         for tokens in range(8):
             for name in engines(cluster, "decode"):
-                cluster.order_faults(
+                cluster.set_faults(
                     name, truncate_after_tokens=tokens, truncate_next_decode=1
                 )
             assert_complete(open_call(cluster, entry, f"short-{tokens}").answer())
@@ -138,7 +138,7 @@
     @pytest.mark.parametrize("role", ["prefill", "decode"])
     def test_is_not_forwarded(self, cluster: Cluster, entry: str, role: str) -> None:
         for name in engines(cluster, role):
-            cluster.order_faults(name, crossed_replies=1)
+            cluster.set_faults(name, crossed_replies=1)
         name = f"crossed-{role}"
         assert_complete(open_call(cluster, entry, name).answer())
         runs = [
@@ -154,7 +154,7 @@
         """The first prefill's reply is in transit while the second attempt runs."""
         pause(cluster, "decode")
         for name in engines(cluster, "prefill"):
-            cluster.order_faults(name, late_reply_ms=LATE_REPLY_MS, late_replies=1)
+            cluster.set_faults(name, late_reply_ms=LATE_REPLY_MS, late_replies=1)
         call = open_call(cluster, entry, "late")
         answer = in_background(call.answer)
         wait_until(lambda: "decode" in held_phases(cluster, "late"), "it is decoded")
@@ -169,7 +169,7 @@
         self, cluster: Cluster, entry: str
     ) -> None:
         for name in engines(cluster, "plain"):
-            cluster.order_faults(name, crossed_replies=1)
+            cluster.set_faults(name, crossed_replies=1)
         call = open_call(
             cluster, entry, "crossed-plain", {"repeatable": False}, "confirmations"
         )
@@ -214,14 +214,14 @@
         self, cluster: Cluster, entry: str
     ) -> None:
         for name in engines(cluster, "plain"):
-            cluster.order_faults(name, pause_phase="after")
+            cluster.set_faults(name, pause_phase="after")
         message = {"repeatable": False}
         call = open_call(cluster, entry, "silent-plain", message, "confirmations")
         answer = in_background(call.answer)
         wait_until(lambda: self._plain_runs(cluster) == 1, "the service runs it")
         for name in engines(cluster, "plain"):
             cluster.proxy_by_hop[("*", name)].freeze()
-            cluster.order_faults(name, resume_phase="after")
+            cluster.set_faults(name, resume_phase="after")
         assert answer.result(15).ran == "unknown"
         assert self._plain_runs(cluster) == 1
 
@@ -295,4 +295,4 @@
                 continue
             finally:
                 proxy.heal()
-            assert not answer.whole or answer.text == expected_text()
+            assert not answer.complete or answer.text == expected_text()
--- a/tests/requests/test_held_memory.py
+++ b/tests/requests/test_held_memory.py
@@ -165,11 +165,11 @@
         call = open_call(cluster, entry, "ignored")
         read_tokens(call.events(), DECODE_GATE_TOKENS)
         for name in DECODES:
-            cluster.order_faults(name, ignore_cancel=3)
+            cluster.set_faults(name, ignore_cancel=3)
         call.close()
         wait_not_held(cluster, "ignored")
         for name in DECODES:
-            cluster.order_faults(name, ignore_cancel=0)
+            cluster.set_faults(name, ignore_cancel=0)
         resume(cluster, "decode")
 
     def test_is_swept_when_it_comes_back_from_a_cut(
@@ -211,7 +211,7 @@
             for name in DECODES
             if any(item["phase"] == "decode" for item in cluster.held(name))
         )
-        cluster.order_faults(first, ignore_cancel=3)
+        cluster.set_faults(first, ignore_cancel=3)
         cluster.proxy_by_hop[("*", first)].reset()
         (second,) = (name for name in DECODES if name != first)
         wait_until(
@@ -222,7 +222,7 @@
             "the second engine decodes",
         )
         wait_until(lambda: not cluster.held(first), "the first engine holds nothing")
-        cluster.order_faults(first, ignore_cancel=0)
+        cluster.set_faults(first, ignore_cancel=0)
         resume(cluster, "decode")
         tokens += [item.fields["token"] for item in events if item.name == "token"]
         call.close()
--- a/tests/requests/test_idempotency_keys.py
+++ b/tests/requests/test_idempotency_keys.py
@@ -90,12 +90,12 @@
 
 def pause_plain(cluster: Cluster, phase: str) -> None:
     for name in engines(cluster, "plain"):
-        cluster.order_faults(name, pause_phase=phase)
+        cluster.set_faults(name, pause_phase=phase)
 
 
 def resume_plain(cluster: Cluster, phase: str) -> None:
     for name in engines(cluster, "plain"):
-        cluster.order_faults(name, resume_phase=phase)
+        cluster.set_faults(name, resume_phase=phase)
 
 
 def copies_made(cluster: Cluster, entry: str, hosts: int) -> int:
@@ -237,12 +237,12 @@
 
     def test_runs_later_when_the_service_refused_it(self, cluster: Cluster) -> None:
         for name in engines(cluster, "plain"):
-            cluster.order_faults(name, refuse_next=20)
+            cluster.set_faults(name, refuse_next=20)
         first, second, _ = cluster.entry_ids
         refused = plain_call(cluster, first, "refused", CONFIRMATION).answer()
         assert refused.ran == "no"
         for name in engines(cluster, "plain"):
-            cluster.order_faults(name, refuse_next=0)
+            cluster.set_faults(name, refuse_next=0)
         answer = ask_until_answered(cluster, second, "refused", CONFIRMATION)
         assert answer.status == 200
         assert plain_runs(cluster, "refused") == 1
--- a/tests/requests/test_leaving_endpoints.py
+++ b/tests/requests/test_leaving_endpoints.py
@@ -56,7 +56,7 @@
     )
     (leaving,) = (name for name in ("decode-1", "decode-2") if cluster.held(name))
     (other,) = (name for name in ("decode-1", "decode-2") if name != leaving)
-    cluster.order_faults(other, resume_phase="decode")
+    cluster.set_faults(other, resume_phase="decode")
     cluster.process_by_name[leaving].signal(signal.SIGTERM)
     left_ms = wait_until(
         lambda: cluster.endpoint_call(leaving, "GET", "/v1/records")["leaving_ms"],
--- a/tests/requests/test_not_run_reports.py
+++ b/tests/requests/test_not_run_reports.py
@@ -113,7 +113,7 @@
 
     def test_after_the_service_ran(self, cluster: Cluster) -> None:
         """A later attempt finds no endpoint; the first may have run nevertheless."""
-        cluster.order_faults("plain-1", pause_phase="after")
+        cluster.set_faults("plain-1", pause_phase="after")
         message = {"repeatable": True}
         call = open_call(cluster, ENTRY_ID, "ran", message, "confirmations")
         answer = in_background(call.answer)
@@ -127,7 +127,7 @@
     """The service itself reports that it refused the request before running it."""
 
     def test_is_reported_as_not_run(self, cluster: Cluster) -> None:
-        cluster.order_faults("plain-1", refuse_next=20)
+        cluster.set_faults("plain-1", refuse_next=20)
         message = {"repeatable": False}
         answer = open_call(cluster, ENTRY_ID, "full", message, "confirmations").answer()
         assert answer.ran == "no"
--- a/tests/requests/test_request_path.py
+++ b/tests/requests/test_request_path.py
@@ -39,7 +39,7 @@
     def test_streams_the_complete_answer_with_its_rule(self, cluster: Cluster) -> None:
         message = {"prompt": PROMPT, "max_tokens": 12, "priority": "urgent"}
         answer = ask(cluster.client_address("entry-1"), "summaries", message)
-        assert answer.whole, answer
+        assert answer.complete, answer
         assert answer.tokens == 12
         assert answer.rule == "board-lines-first"
 
