--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -11,7 +11,7 @@
 from soak._bounds import CONTACT_SECONDS, STALL_FACTOR, count_between
 from soak._crash_checks import check_fatal_contents, is_fatal
 from soak._endpoints import STREAM_EVENTS
-from soak._hold_checks import check_backoff, check_leaving, check_limits
+from soak._notice_checks import check_backoff, check_leaving, check_limits
 from soak._observations import (
     ClientCall,
     Departure,
--- a/tests/forwarding/test_endpoint_holds.py
+++ b/tests/forwarding/test_endpoint_holds.py
@@ -11,7 +11,7 @@
 import pytest
 
 from jujubeslip.tracing import cause_of, lines_about
-from tests.fakes.endpoint_holds import (
+from tests.fakes.endpoint_notices import (
     DRAIN_SECONDS,
     ENTRIES,
     IMMEDIATE_REFUSAL_SECONDS,
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -12,7 +12,7 @@
 from soak import _checks
 from soak._checks import Check, find_violations
 from soak._endpoints import STREAM_EVENTS
-from soak._hold_checks import check_backoff, check_leaving
+from soak._notice_checks import check_backoff, check_leaving
 from soak._observations import (
     ClientCall,
     ConfigurationPut,
