--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -111,7 +111,7 @@
     def wait_for_leader(self, context: ForwardContext, limit: Deadline) -> bool:
         """Wait for a leader to call; return whether there may be one.
 
-        Raises CallerGoneError if the client disconnects during the wait.
+        Raises ClientDisconnectedError if the client disconnects during the wait.
         """
         while self._leader.address() is None:
             if limit.expired or self._process.stopped.wait(LEADER_POLL_SECONDS):
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -86,8 +86,8 @@
     def ask(self, capacity_request: CapacityRequest) -> AdmissionAnswer | None:
         """Return the leader's decision, None without a leader that answers.
 
-        Raises CallerGoneError if the client disconnects while the request waits, and
-        RequestRefusedError once all engines are in backoff.
+        Raises ClientDisconnectedError if the client disconnects while the request
+        waits, and RequestRefusedError once all engines are in backoff.
         """
         context, attempts = capacity_request.context, capacity_request.attempts
         attempts.grant_requests += 1
--- a/src/jujubeslip/forwarding/_initial_discovery.py
+++ b/src/jujubeslip/forwarding/_initial_discovery.py
@@ -39,7 +39,7 @@
     def wait_for(self, context: ForwardContext) -> None:
         """Wait until an endpoint can answer the request, or the wait ends without one.
 
-        Raises CallerGoneError if the client disconnects before that.
+        Raises ClientDisconnectedError if the client disconnects before that.
         """
         if self._unknown_until.expired or self._has_endpoint(context.service_name):
             return
--- a/src/jujubeslip/forwarding/_plain_path.py
+++ b/src/jujubeslip/forwarding/_plain_path.py
@@ -23,7 +23,7 @@
         self._sender = sender
 
     def answer(self, context: ForwardContext, attempts: Attempts) -> WholeAnswer:
-        """Return the answer, or raise RequestRefusedError or CallerGoneError."""
+        """Return the answer; raise RequestRefusedError or ClientDisconnectedError."""
         failed: WholeAnswer | None = None
         while True:
             endpoint = self._sender.choose(context, EndpointRole.PLAIN, attempts.tried)
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -69,7 +69,7 @@
     def answer(
         self, request: ForwardedRequest, client_disconnected: Interrupted
     ) -> Answer:
-        """Return the answer, or raise RequestRefusedError or CallerGoneError."""
+        """Return the answer; raise RequestRefusedError or ClientDisconnectedError."""
         context = self._context(request, client_disconnected)
         attempts = Attempts()
         try:
--- a/src/jujubeslip/forwarding/_waiting_queue.py
+++ b/src/jujubeslip/forwarding/_waiting_queue.py
@@ -66,7 +66,7 @@
     ) -> bool:
         """Wait until this request is next; return False if the limit comes first.
 
-        Raises CallerGoneError if the client disconnects.
+        Raises ClientDisconnectedError if the client disconnects.
         """
         with self._changed:
             while not self._is_next(ticket):
--- a/src/jujubeslip/interfaces/_internal_requests.py
+++ b/src/jujubeslip/interfaces/_internal_requests.py
@@ -37,7 +37,7 @@
     """Return status and body of an endpoint's answer; its connection is kept.
 
     Raises EndpointError if no answer arrives in time or the endpoint has asked for
-    backoff, and CallerGoneError once `interrupted` returns True.
+    backoff, and ClientDisconnectedError once `interrupted` returns True.
     """
     if notices.in_backoff(endpoint.start_id):
         raise EndpointOnHoldError(endpoint.address)
