--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
 PYTHON ?= python3.11
 VENV := .venv
 BIN := $(VENV)/bin
-# Each worker starts up to some ten processes; more workers make them wait for each
-# other on a small machine.
+# Each worker starts up to about ten processes, which compete for the processors of a
+# small machine if there are more workers.
 TEST_JOBS ?= 3
 
 .PHONY: demo test lint unit binary docs troubles clean bench soak soak-regressions
@@ -13,7 +13,7 @@
 	$(BIN)/pip install --quiet --disable-pip-version-check --no-deps -e .
 	touch $@
 
-# A small system on loopback that serves real requests, prints them, and stops.
+# Start a small system on loopback, serve requests, print them, and stop it.
 demo: $(VENV)/.installed
 	$(BIN)/python -m bench.demo
 
@@ -22,22 +22,22 @@
 	$(BIN)/ruff check .
 	$(BIN)/mypy
 
-# All tests but those that KNOWN-RED.txt lists, which are printed.
+# Run all tests except those listed in KNOWN-RED.txt, which are printed.
 unit: $(VENV)/.installed
 	$(BIN)/pytest -n $(TEST_JOBS) --dist loadfile $$($(BIN)/python -m tools.known_red)
 
-# Everything that CI runs.
+# Run all checks of CI.
 test: lint unit
 
-# One file that runs on a machine with Python 3.11 alone.
+# Build a single file that needs only Python 3.11 to run.
 binary: $(VENV)/.installed
 	$(BIN)/python -m tools.build_binary
 
-# The pages of docs/reference/ that come from the code.
+# Generate the pages of docs/reference/ from the code.
 docs: $(VENV)/.installed
 	$(BIN)/python -m tools.generate_docs
 
-# Days with one kind of trouble each, on SITES with the program PLAYER; see
+# Play days with one kind of fault each on SITES with the program PLAYER; see
 # docs/reference/days.md.
 troubles: $(VENV)/.installed
 	$(BIN)/python -m tools.troubles play $(PLAYER) $(SITES)
@@ -56,12 +56,12 @@
 	$(BIN)/python -m bench --scenario $(SCENARIO) --policy $(POLICY) \
 		--load $(LOAD) --seed $(SEED) --seconds $(SECONDS) $(if $(FAULTS),--faults)
 
-# Real processes on loopback under faults that the seed draws, and checks of what is
-# promised; the logs of a run that broke a promise stay in build/soak/. With ENTRIES it
-# starts so many entry hosts.
+# Run processes on loopback under faults drawn from the seed and check the guarantees.
+# The logs of a run that violates a guarantee are kept in build/soak/. ENTRIES sets the
+# number of entry hosts.
 soak: $(VENV)/.installed
 	SOAK_ENTRIES=$(ENTRIES) $(BIN)/python -m soak --seed $(SEED) --seconds $(SECONDS)
 
-# Each seed that failed once.
+# Run each seed that has failed before.
 soak-regressions: $(VENV)/.installed
 	$(BIN)/python -m soak --regressions
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: offers load to a running system and measures the answers."""
+"""The load tool: sends requests to a running system and measures the answers."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -17,20 +17,24 @@
 def parse_options(
     arguments: list[str] | None = None,
 ) -> tuple[RunOptions, Path]:
-    """Read the command line; return the run and the folder of its report."""
+    """Parse the command line; return the run options and the report folder."""
     parser = argparse.ArgumentParser(prog="bench", description=__doc__)
     add = parser.add_argument
     add("--scenario", choices=sorted(SCENARIOS), required=True)
     add("--policy", default="home", help="the entry hosts' policy")
     add("--load", type=float, default=1.0, help="offered load over capacity")
     add("--seed", type=int, default=1)
-    add("--seconds", type=float, default=30.0, help="how long requests count")
-    add("--warm-up", type=float, default=5.0, help="seconds of load before them")
-    add("--cool-down", type=float, default=10.0, help="seconds of load after them")
-    add("--faults", action="store_true", help="lose an engine, an entry host, a link")
+    add("--seconds", type=float, default=30.0, help="length of the measured period")
+    add("--warm-up", type=float, default=5.0, help="seconds of load before it")
+    add("--cool-down", type=float, default=10.0, help="seconds of load after it")
+    add(
+        "--faults",
+        action="store_true",
+        help="kill an engine and an entry host, cut a link",
+    )
     add("--probe-share", type=float, default=0.1)
     add("--logs", type=Path, default=None, help="keep settings and logs in this folder")
-    add("--out", type=Path, default=OUTPUT_FOLDER, help="where the report goes")
+    add("--out", type=Path, default=OUTPUT_FOLDER, help="folder of the report")
     add("--label", default="", help="the name of the policy in the figures")
     add("--entry-option", action="append", default=[], metavar="KEY=JSON")
     found = vars(parser.parse_args(arguments))
@@ -41,7 +45,7 @@
 
 
 def main() -> None:
-    """Run once; the JSON line is the last line of the output."""
+    """Run once and print the figures as the last line of the output."""
     options, output_folder = parse_options()
     end_runs_on_sigterm()
     figures = run_once(options)
--- a/bench/_answers.py
+++ b/bench/_answers.py
@@ -1,4 +1,4 @@
-"""Answers as they arrive: HTTP/1.1 bodies in pieces, and their event streams."""
+"""Incremental parsers of HTTP/1.1 answers and of their event streams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AnswerParser:
-    """Parses one HTTP answer piece by piece, with or without chunked encoding."""
+    """Parses one HTTP answer incrementally, with or without chunked encoding."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -22,7 +22,7 @@
         self._until_close = False
 
     def feed(self, data: bytes) -> bytes:
-        """Take some bytes and return those of the body that they bring."""
+        """Parse received bytes and return the bytes of the body among them."""
         self._raw += data
         if not self.status and not self._parse_head():
             return b""
@@ -36,7 +36,7 @@
         return body
 
     def close(self) -> None:
-        """Note the end of the connection, which ends a body without a length."""
+        """Record the end of the connection, which ends a body without a length."""
         if self.status and self._until_close:
             self.complete = True
 
@@ -72,7 +72,7 @@
 
 @dataclass
 class AnswerReader:
-    """What one caller has seen of its answer; times in seconds after the start."""
+    """The part of an answer that its caller received; times in seconds."""
 
     parser: AnswerParser = field(default_factory=AnswerParser)
     token_times: list[float] = field(default_factory=list)
@@ -83,7 +83,7 @@
     _body: bytes = b""
 
     def feed(self, data: bytes, now: float) -> None:
-        """Take some bytes that arrived at `now`."""
+        """Parse bytes that were received at `now`."""
         self._body += self.parser.feed(data)
         if not self.is_stream:
             return
@@ -93,17 +93,17 @@
 
     @property
     def is_stream(self) -> bool:
-        """Say whether the answer is an event stream."""
+        """Return whether the answer is an event stream."""
         content_type = self.parser.headers.get("content-type", "")
         return content_type.startswith("text/event-stream")
 
     @property
     def finished(self) -> bool:
-        """Say whether nothing more is to come."""
+        """Return whether the answer is at its end."""
         return self.ended or self.error is not None or self.parser.complete
 
     def body_as_json(self) -> dict:
-        """Return a body that is no stream as an object, empty when it is none."""
+        """Return a non-stream body as a JSON object, or an empty one if it is not."""
         try:
             value = json.loads(self._body)
         except ValueError:
--- a/bench/_capacity.py
+++ b/bench/_capacity.py
@@ -1,13 +1,15 @@
 """The capacity of a service, computed from the stand-ins' parameters.
 
-Load 1.0 is the arrival rate at which the scarcest of three resources of the service
-is busy all the time:
-
-- prefill: the mean computed tokens of a request at the engines' rate. Tokens of the
-  class's template count as cached, those of a recurring family as computed.
-- decode: the mean time in a decode slot: the transfer on an idle link, then a token
-  each step of a full engine.
-- link: the mean bytes of a transfer at the rate of the prefill engines' links.
+Load 1.0 is the arrival rate that fully uses the scarcest of the service's three
+resources:
+
+- prefill: the mean number of computed tokens of a request, at the engines' rate.
+  Tokens of the class's template count as cached, those of a recurring family as
+  computed.
+- decode: the mean time in a decode slot, which is the transfer on an idle link and
+  then one token per step of an engine with all slots busy.
+- link: the mean number of bytes of a transfer, at the rate of the prefill engines'
+  links.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """Requests a second that each resource of a service could serve."""
+    """Requests per second that each resource of a service can serve."""
 
     prefill: float
     decode: float
@@ -27,12 +29,12 @@
 
     @property
     def requests_per_second(self) -> float:
-        """Return what the scarcest resource allows."""
+        """Return the capacity of the scarcest resource."""
         return min(self.prefill, self.decode, self.link)
 
 
 def pool_capacity(pool: EnginePool, classes: tuple[RequestClass, ...]) -> Capacity:
-    """Return the capacity of a pool for a mix of classes; shares sum to 1."""
+    """Return the capacity of a pool for a mix of classes whose shares sum to 1."""
     prefill = sum(item.share * _prefill_seconds(pool, item) for item in classes)
     decode = sum(item.share * _slot_seconds(pool, item) for item in classes)
     link = sum(item.share * _transfer_seconds(pool, item) for item in classes)
@@ -58,7 +60,7 @@
 
 
 def class_rates(scenario: Scenario, load: float) -> dict[str, float]:
-    """Return the arrivals a second of each class at a load factor."""
+    """Return the arrivals per second of each class at a load factor."""
     rate_by_service = {
         pool.service: pool_capacity(
             pool, classes_of(scenario, pool.service)
--- a/bench/_client.py
+++ b/bench/_client.py
@@ -1,7 +1,8 @@
-"""One load client, a process of its own: sends its share of a plan, reads answers.
+"""A load client process, which sends its share of the planned requests.
 
 One thread serves all connections through a selector, so that a slow answer never
-delays the next request. Started as `python -m bench._client TASK_FILE`.
+delays the next request. The load tool starts the process as
+`python -m bench._client TASK_FILE`.
 """
 
 from __future__ import annotations
@@ -29,9 +30,10 @@
 
 @dataclass(frozen=True)
 class ClientTask:
-    """What one client does; `starts_at` is an instant of the machine's clock.
+    """The task of one client; `starts_at` is a time of the monotonic clock.
 
-    `probe_share` of the refusals with a Retry-After are sent again at that time.
+    The share `probe_share` of the requests that are refused with a Retry-After is
+    sent again at that time.
     """
 
     scenario: str
@@ -44,12 +46,12 @@
     requests: tuple[PlannedRequest, ...]
 
     def write(self, path: Path) -> None:
-        """Write the task for the client's process."""
+        """Write the task to the file that the client process reads."""
         path.write_text(json.dumps(asdict(self)))
 
     @classmethod
     def read(cls, path: Path) -> ClientTask:
-        """Read a task that `write` wrote."""
+        """Read a task from a file that `write` wrote."""
         values = json.loads(path.read_text())
         values["requests"] = tuple(
             PlannedRequest(**item) for item in values["requests"]
@@ -59,7 +61,7 @@
 
 
 class Exchange:
-    """One request on its connection, from the connect to its outcome."""
+    """The state of one request and its connection until its outcome is known."""
 
     def __init__(
         self, request: PlannedRequest, content: bytes, due: float, probe: bool
@@ -69,7 +71,7 @@
         self.due = due
         self.probe = probe
         self.sent_late = 0.0
-        self.tries = 0
+        self.connect_attempts = 0
         self.address = ""
         self.pending = content
         self.reader = AnswerReader()
@@ -78,32 +80,32 @@
 
 
 class LoadClient:
-    """Runs a task to its end; see ClientTask."""
+    """Sends the requests of a `ClientTask` and records their outcomes."""
 
     def __init__(self, task: ClientTask) -> None:
         self._task = task
         self._class_by_name = SCENARIOS[task.scenario]().class_by_name
         self._selector = selectors.DefaultSelector()
-        self._order = itertools.count()
+        self._timer_numbers = itertools.count()
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
-        self._open: set[Exchange] = set()
+        self._open_exchanges: set[Exchange] = set()
         self._addresses = itertools.cycle(task.addresses)
         self.outcomes: list[RequestOutcome] = []
 
     def run(self) -> None:
-        """Send every request at its intended start and wait for the answers."""
+        """Send each request at its intended start and wait for the answers."""
         for request in self._task.requests:
             self._plan(request, self._task.starts_at + request.at, probe=False)
         end = self._task.starts_at + self._task.ends_after
-        while (self._timers or self._open) and time.monotonic() < end:
-            self._serve_once(end)
-        for exchange in tuple(self._open):
+        while (self._timers or self._open_exchanges) and time.monotonic() < end:
+            self._run_cycle(end)
+        for exchange in tuple(self._open_exchanges):
             self._finish(exchange, Outcome.GAVE_UP)
 
     def _plan(self, request: PlannedRequest, due: float, *, probe: bool) -> None:
         content = self._content(request, probe)
         exchange = Exchange(request, content, due, probe)
-        self._at(due, lambda: self._start(exchange))
+        self._schedule(due, lambda: self._start(exchange))
 
     def _content(self, request: PlannedRequest, probe: bool) -> bytes:
         item = self._class_by_name[request.class_name]
@@ -122,10 +124,10 @@
             headers.append(f"Idempotency-Key: {request.request_id}")
         return "\r\n".join([*headers, "", ""]).encode() + body
 
-    def _at(self, due: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._timers, (due, next(self._order), action))
+    def _schedule(self, due: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._timers, (due, next(self._timer_numbers), action))
 
-    def _serve_once(self, end: float) -> None:
+    def _run_cycle(self, end: float) -> None:
         due = min(self._timers[0][0], end) if self._timers else end
         wait = max(0.0, due - time.monotonic())
         for key, _ in self._selector.select(wait):
@@ -137,14 +139,14 @@
         now = time.monotonic()
         exchange.sent_late = now - exchange.due
         item = self._class_by_name[exchange.request.class_name]
-        patience = exchange.due + item.patience_ms / 1000
-        self._at(patience, lambda: self._lose_patience(exchange))
-        self._open.add(exchange)
+        abandon_at = exchange.due + item.client_timeout_ms / 1000
+        self._schedule(abandon_at, lambda: self._abandon_without_first_token(exchange))
+        self._open_exchanges.add(exchange)
         self._connect(exchange)
 
     def _connect(self, exchange: Exchange) -> None:
-        """Connect to the next entry host, as the platform's balancer would."""
-        exchange.tries += 1
+        """Connect to the next entry host, as the platform's load balancer does."""
+        exchange.connect_attempts += 1
         exchange.pending = exchange.content
         exchange.address = next(self._addresses)
         host, port = exchange.address.split(":")
@@ -188,7 +190,7 @@
 
     def _fail(self, exchange: Exchange, error: OSError) -> None:
         refused = error.errno == errno.ECONNREFUSED
-        if refused and exchange.tries < len(self._task.addresses):
+        if refused and exchange.connect_attempts < len(self._task.addresses):
             self._close(exchange)
             self._connect(exchange)
             return
@@ -196,7 +198,7 @@
         outcome = Outcome.UNREACHABLE if unreachable else Outcome.CUT
         self._finish(exchange, outcome)
 
-    def _lose_patience(self, exchange: Exchange) -> None:
+    def _abandon_without_first_token(self, exchange: Exchange) -> None:
         if not exchange.done and not exchange.reader.tokens:
             self._finish(exchange, Outcome.GAVE_UP)
 
@@ -208,20 +210,23 @@
 
     def _finish(self, exchange: Exchange, outcome: Outcome) -> None:
         exchange.done = True
-        self._open.discard(exchange)
+        self._open_exchanges.discard(exchange)
         self._close(exchange)
-        found = _describe(exchange, outcome)
-        self.outcomes.append(found)
-        self._probe(exchange, found)
-
-    def _probe(self, exchange: Exchange, found: RequestOutcome) -> None:
-        """Ask again after Retry-After for some refusals, to see if it was true."""
-        if found.outcome is not Outcome.REFUSED or found.retry_after is None:
+        outcome_record = _describe(exchange, outcome)
+        self.outcomes.append(outcome_record)
+        self._probe(exchange, outcome_record)
+
+    def _probe(self, exchange: Exchange, outcome_record: RequestOutcome) -> None:
+        """Retry a share of the refused requests to check their Retry-After."""
+        if (
+            outcome_record.outcome is not Outcome.REFUSED
+            or outcome_record.retry_after is None
+        ):
             return
         number = int(exchange.request.request_id.rpartition("-")[2])
         if exchange.probe or (number * 0.618) % 1 >= self._task.probe_share:
             return
-        due = exchange.due + found.finished + found.retry_after
+        due = exchange.due + outcome_record.finished + outcome_record.retry_after
         last = self._task.starts_at + self._task.requests[-1].at
         if due <= last:
             self._plan(exchange.request, due, probe=True)
@@ -244,8 +249,8 @@
         return Outcome.UNREACHABLE
     if parser.status != HTTP_OK:
         return Outcome.REFUSED if parser.complete else Outcome.CUT
-    whole = reader.ended if reader.is_stream else parser.complete
-    return Outcome.WHOLE if whole else Outcome.CUT
+    complete = reader.ended if reader.is_stream else parser.complete
+    return Outcome.WHOLE if complete else Outcome.CUT
 
 
 def _describe(exchange: Exchange, outcome: Outcome) -> RequestOutcome:
@@ -258,12 +263,12 @@
     error = reader.error or {}
     if outcome is Outcome.REFUSED:
         error = reader.body_as_json().get("error", {})
-    gaps = (later - sooner for sooner, later in itertools.pairwise(times))
+    gaps = (later - earlier for earlier, later in itertools.pairwise(times))
     planned_id = exchange.request.request_id
-    heard_id = reader.parser.headers.get("x-request-id") or error.get("request_id")
+    reported_id = reader.parser.headers.get("x-request-id") or error.get("request_id")
     return RequestOutcome(
         planned_id=planned_id,
-        request_id=str(heard_id or planned_id),
+        request_id=str(reported_id or planned_id),
         entry_address=exchange.address,
         class_name=exchange.request.class_name,
         outcome=outcome,
@@ -283,7 +288,7 @@
 
 
 def main() -> None:
-    """Run the task of the file that the command line names."""
+    """Run the task in the file that is given on the command line."""
     task = ClientTask.read(Path(sys.argv[1]))
     client = LoadClient(task)
     client.run()
--- a/bench/_measure.py
+++ b/bench/_measure.py
@@ -1,17 +1,19 @@
-"""The figures of one run, from what callers saw and what engines recorded.
-
-Goodput, latencies and refusals are those of the counted requests, without those of
-the warm-up and the cool-down; faults, such as wrong answers, are counted over all,
-and so is wasted prefill.
-
-- goodput: the share of all offered requests that are whole and meet both targets of
-  their class. The first-token time counts from the intended start; the between-token
-  target is met when the 95th percentile of the request's own gaps is within it.
-- incomplete answers: begun, but not finished. Those whose own entry host was killed
-  are counted apart as `cut_with_entry`: no other host holds the caller's connection.
-- wasted prefill: computed prefill tokens whose result no caller got a token of, over
-  all computed prefill tokens. A result counts as decoded when an engine streamed it
-  and the caller of that request got at least one token.
+"""Computes the figures of one run from the callers' outcomes and engines' records.
+
+Goodput, latencies and refusals cover only the requests of the measured period, not
+those of the warm-up and the cool-down. Errors such as wrong answers, and wasted
+prefill, cover all requests.
+
+- goodput: the share of the offered requests that are answered completely and meet
+  both targets of their class. The time to the first token counts from the intended
+  start. The between-token target is met when the 95th percentile of the request's own
+  gaps is within it.
+- incomplete answers: answers that began but did not finish. Those whose own entry
+  host was killed are counted separately as `cut_with_entry`, because no other host
+  holds the caller's connection.
+- wasted prefill: the share of the computed prefill tokens from which no caller
+  received a token. A prefill result counts as used when an engine streamed it and the
+  caller of that request received at least one token.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Percentiles:
-    """Percentiles in milliseconds; None without any value."""
+    """Percentiles in milliseconds, None if there are no values."""
 
     p50: float | None
     p95: float | None
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ClassFigures:
-    """The figures of one class; times in milliseconds."""
+    """The figures of one request class; times in milliseconds."""
 
     offered: int
     goodput: float
@@ -60,10 +62,10 @@
 
 @dataclass(frozen=True)
 class RetryAfterFigures:
-    """Whether refusals' Retry-After was true.
+    """How well the Retry-After of refusals predicted when a request is served.
 
-    `answered` of the `probed` refused requests were served when sent again at the
-    time given.
+    Of the refused requests, `probed` were sent again at the given time, and
+    `answered` of these were served.
     """
 
     given: int
@@ -105,24 +107,24 @@
     return round(ordered[rank], 1)
 
 
-def meets_first_token(item: RequestClass, outcome: RequestOutcome) -> bool:
-    """Say whether the first token came within the class's target."""
+def meets_first_token_target(item: RequestClass, outcome: RequestOutcome) -> bool:
+    """Return whether the first token came within the class's target."""
     first = outcome.first_token
     return first is not None and first * 1000 <= item.first_token_ms
 
 
-def meets_between_tokens(item: RequestClass, outcome: RequestOutcome) -> bool:
-    """Say whether the 95th percentile of the gaps is within the class's target."""
+def meets_between_tokens_target(item: RequestClass, outcome: RequestOutcome) -> bool:
+    """Return whether the 95th percentile of gaps is within the class's target."""
     gap = percentile(sorted(outcome.gaps_ms), 0.95)
     return gap is None or gap <= item.between_tokens_ms
 
 
-def is_good(item: RequestClass, outcome: RequestOutcome) -> bool:
-    """Say whether a request counts for goodput."""
+def counts_for_goodput(item: RequestClass, outcome: RequestOutcome) -> bool:
+    """Return whether a request counts for goodput."""
     return (
         outcome.outcome is Outcome.WHOLE
-        and meets_first_token(item, outcome)
-        and meets_between_tokens(item, outcome)
+        and meets_first_token_target(item, outcome)
+        and meets_between_tokens_target(item, outcome)
     )
 
 
@@ -141,8 +143,10 @@
         self._class_by_name = scenario.class_by_name
         self._planned_by_id = {item.request_id: item for item in planned}
         self._planned = [item for item in planned if item.request_id in counted]
-        self._all = [item for item in outcomes if not item.probe]
-        self._counted = [item for item in self._all if item.planned_id in counted]
+        self._original_outcomes = [item for item in outcomes if not item.probe]
+        self._counted_outcomes = [
+            item for item in self._original_outcomes if item.planned_id in counted
+        ]
         self._probes = [item for item in outcomes if item.probe]
         self._engine_runs = [
             run for record in records for run in record["runs"] if "kind" in run
@@ -153,25 +157,25 @@
     def figures(self) -> RunFigures:
         """Return the figures."""
         computed, wasted = self._prefill_tokens()
-        refused = _refused(self._counted)
-        late = sorted(item.sent_late * 1000 for item in self._all)
+        refused = _refused(self._counted_outcomes)
+        late = sorted(item.sent_late * 1000 for item in self._original_outcomes)
         return RunFigures(
             goodput=self._goodput(self._class_by_name),
-            wasted_prefill=_share(wasted, computed),
-            ttft_p95=_times(self._counted).p95,
-            itl_p95=_gaps(self._counted).p95,
+            wasted_prefill=_ratio(wasted, computed),
+            ttft_p95=_first_token_percentiles(self._counted_outcomes).p95,
+            itl_p95=_token_gap_percentiles(self._counted_outcomes).p95,
             offered=len(self._planned),
             refused=len(refused),
             urgent_goodput=self._goodput(self._names_of_priority("urgent")),
-            incomplete_begun=self._incomplete(self._all),
+            incomplete_begun=self._incomplete(self._original_outcomes),
             incomplete_long=self._incomplete(
                 item
-                for item in self._all
+                for item in self._original_outcomes
                 if self._class_by_name[item.class_name].long_answer
             ),
             cut_with_entry=sum(
                 _is_incomplete(item) and item.entry_address == self._lost_entry
-                for item in self._all
+                for item in self._original_outcomes
             ),
             wrong_answers=self._wrong_answers(),
             ran_twice=self._ran_twice(),
@@ -187,7 +191,7 @@
         )
 
     def _incomplete(self, outcomes: Iterable[RequestOutcome]) -> int:
-        """Count answers that were begun and not finished by a living entry host."""
+        """Count answers that began but were not finished, though the host survived."""
         return sum(
             _is_incomplete(item) and item.entry_address != self._lost_entry
             for item in outcomes
@@ -204,14 +208,14 @@
         names = set(class_names)
         offered = sum(item.class_name in names for item in self._planned)
         good = sum(
-            is_good(self._class_by_name[item.class_name], item)
-            for item in self._counted
+            counts_for_goodput(self._class_by_name[item.class_name], item)
+            for item in self._counted_outcomes
             if item.class_name in names
         )
-        return _share(good, offered)
+        return _ratio(good, offered)
 
     def _prefill_tokens(self) -> tuple[int, int]:
-        """Return the computed prefill tokens, and those that no caller gained by."""
+        """Return the number of computed prefill tokens and of wasted ones."""
         served = {item.request_id for item in self._all_outcomes() if item.begun}
         decoded = {
             run["kv_id"]
@@ -228,12 +232,12 @@
         return computed, computed - used
 
     def _all_outcomes(self) -> list[RequestOutcome]:
-        return self._all + self._probes
+        return self._original_outcomes + self._probes
 
     def _wrong_answers(self) -> int:
-        """Count answers whose text is not that of their own prompt."""
+        """Count answers whose text does not match their own prompt."""
         wrong = 0
-        for item in self._all:
+        for item in self._original_outcomes:
             planned = self._planned_by_id[item.planned_id]
             if not item.tokens:
                 continue
@@ -253,14 +257,15 @@
         return sum(count > 1 for count in runs.values())
 
     def _refused_but_ran(self) -> int:
-        """Count refusals that say "not run" of requests that an endpoint ran."""
+        """Count refusals that report "not run" for requests that an endpoint ran."""
         ran = {
             run["request_id"] for run in self._engine_runs if run["computed_tokens"] > 0
         }
         for record in self._plain_records:
             ran |= set(record["runs_by_request_id"])
         return sum(
-            item.ran == "no" and item.request_id in ran for item in _refused(self._all)
+            item.ran == "no" and item.request_id in ran
+            for item in _refused(self._original_outcomes)
         )
 
     def _retry_after(self, refused: Sequence[RequestOutcome]) -> RetryAfterFigures:
@@ -276,9 +281,11 @@
         )
 
     def _class_figures(self, item: RequestClass) -> ClassFigures:
-        seen = [found for found in self._counted if found.class_name == item.name]
+        class_outcomes = [
+            found for found in self._counted_outcomes if found.class_name == item.name
+        ]
         by_outcome: defaultdict[Outcome, list[RequestOutcome]] = defaultdict(list)
-        for found in seen:
+        for found in class_outcomes:
             by_outcome[found.outcome].append(found)
         whole = by_outcome.get(Outcome.WHOLE, [])
         refused = by_outcome.get(Outcome.REFUSED, [])
@@ -286,16 +293,20 @@
             offered=sum(planned.class_name == item.name for planned in self._planned),
             goodput=self._goodput([item.name]),
             whole=len(whole),
-            met_first_token=sum(meets_first_token(item, found) for found in whole),
+            met_first_token=sum(
+                meets_first_token_target(item, found) for found in whole
+            ),
             met_between_tokens=sum(
-                meets_between_tokens(item, found) for found in whole
+                meets_between_tokens_target(item, found) for found in whole
             ),
             outcomes={kind.value: len(found) for kind, found in by_outcome.items()},
-            errors=dict(Counter(found.error_id for found in seen if found.error_id)),
+            errors=dict(
+                Counter(found.error_id for found in class_outcomes if found.error_id)
+            ),
             refusal_after_ms=Percentiles.of(found.finished * 1000 for found in refused),
-            ttft_ms=_times(seen),
-            itl_ms=_gaps(seen),
-            incomplete_begun=self._incomplete(seen),
+            ttft_ms=_first_token_percentiles(class_outcomes),
+            itl_ms=_token_gap_percentiles(class_outcomes),
+            incomplete_begun=self._incomplete(class_outcomes),
         )
 
 
@@ -307,20 +318,20 @@
     return outcome.begun and outcome.outcome is not Outcome.WHOLE
 
 
-def _times(outcomes: Iterable[RequestOutcome]) -> Percentiles:
+def _first_token_percentiles(outcomes: Iterable[RequestOutcome]) -> Percentiles:
     return Percentiles.of(
         item.first_token * 1000 for item in outcomes if item.first_token is not None
     )
 
 
-def _gaps(outcomes: Iterable[RequestOutcome]) -> Percentiles:
+def _token_gap_percentiles(outcomes: Iterable[RequestOutcome]) -> Percentiles:
     return Percentiles.of(gap for item in outcomes for gap in item.gaps_ms)
 
 
-def _share(part: float, whole: float) -> float:
+def _ratio(part: float, whole: float) -> float:
     return round(part / whole, 4) if whole else 0.0
 
 
 def as_json(figures: RunFigures) -> dict:
-    """Return the figures as plain values."""
+    """Return the figures as JSON values."""
     return asdict(figures)
--- a/bench/_outcomes.py
+++ b/bench/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each offered request, as its caller saw it."""
+"""The outcome of each offered request, as its caller observed it."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True)
 class RequestOutcome:
-    """One request's end; times in seconds after its intended start.
+    """The outcome of one request; times in seconds after its intended start.
 
-    `request_id` is the one that the system gave it, where the caller heard of it;
-    `entry_address` is the entry host that the caller was connected to last.
-    `first_token` is the time of the whole answer for a plain service. `probe` marks
-    a request that was sent again after the Retry-After of a refusal.
+    `request_id` is the id that the system assigned, if the caller received it, and
+    otherwise the planned one. `entry_address` is the entry host of the last
+    connection. For a plain service, `first_token` is the time of the complete answer.
+    `probe` marks a request that was sent again after the Retry-After of a refusal.
     """
 
     planned_id: str
@@ -50,12 +50,12 @@
 
     @property
     def begun(self) -> bool:
-        """Say whether the caller got a first token."""
+        """Return whether the caller received a first token."""
         return self.tokens > 0
 
 
 def write_outcomes(path: Path, outcomes: Iterable[RequestOutcome]) -> None:
-    """Write outcomes, one JSON object a line."""
+    """Write outcomes as JSON lines."""
     with path.open("w") as file:
         for item in outcomes:
             line = {**asdict(item), "outcome": item.outcome.value}
@@ -63,7 +63,7 @@
 
 
 def read_outcomes(path: Path) -> list[RequestOutcome]:
-    """Read outcomes that `write_outcomes` wrote."""
+    """Read outcomes from a file that `write_outcomes` wrote."""
     outcomes = []
     for line in path.read_text().splitlines():
         values = json.loads(line)
--- a/bench/_plan.py
+++ b/bench/_plan.py
@@ -1,4 +1,4 @@
-"""The planned requests of a run: an open-loop load that a seed fixes."""
+"""Plans the requests of a run: an open-loop load that depends only on a seed."""
 
 from __future__ import annotations
 
@@ -57,19 +57,19 @@
 def _arrivals(
     item: RequestClass, rate: float, seconds: float, source: random.Random
 ) -> list[float]:
-    """Return Poisson arrivals, a share of which is gathered in bursts."""
+    """Return Poisson arrivals, a share of which is moved into bursts."""
     arrivals = []
     at = source.expovariate(rate)
     while at < seconds:
-        arrivals.append(_gathered(item, at, seconds, source))
+        arrivals.append(_move_into_burst(item, at, seconds, source))
         at += source.expovariate(rate)
     return arrivals
 
 
-def _gathered(
+def _move_into_burst(
     item: RequestClass, at: float, seconds: float, source: random.Random
 ) -> float:
-    """Move an arrival to the start of its period, when it belongs to a burst."""
+    """Move an arrival to the start of its period if it belongs to a burst."""
     if item.burst is None or source.random() >= item.burst.share:
         return at
     start = math.floor(at / item.burst.period) * item.burst.period
@@ -77,11 +77,13 @@
 
 
 def make_prompt(request: PlannedRequest, item: RequestClass) -> str:
-    """Return the prompt: the class's template, a recurring part, its own words."""
-    rest = request.prompt_tokens - item.template_tokens
-    recurring = int(rest * item.family_share) if request.family >= 0 else 0
+    """Return the class's template, a recurring part and words unique to the request."""
+    remaining_tokens = request.prompt_tokens - item.template_tokens
+    recurring = int(remaining_tokens * item.family_share) if request.family >= 0 else 0
     words = [f"{item.name}.{number:x}" for number in range(item.template_tokens)]
     words += [f"f{request.family}.{number:x}" for number in range(recurring)]
-    own = request.request_id.rpartition("-")[2]
-    words += [f"{own}.{number:x}" for number in range(rest - recurring)]
+    request_number = request.request_id.rpartition("-")[2]
+    words += [
+        f"{request_number}.{number:x}" for number in range(remaining_tokens - recurring)
+    ]
     return " ".join(words)
--- a/bench/_report.py
+++ b/bench/_report.py
@@ -1,4 +1,4 @@
-"""Plots and tables that a person can read."""
+"""Plots and tables of the figures of runs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Panel:
-    """One figure of the report; `logarithmic` concerns its axis."""
+    """One plot of the report; `logarithmic` sets the scale of its value axis."""
 
     title: str
     value: Value
@@ -53,7 +53,7 @@
 
 
 def plot_sweep(runs: Sequence[dict], title: str) -> Figure:
-    """Return the plots of a sweep: the mean over seeds, bars from least to most."""
+    """Return plots of a sweep: means over seeds, with bars from minimum to maximum."""
     figure = Figure(figsize=(13, 8), layout="constrained")
     figure.suptitle(title)
     for axes, panel in zip(figure.subplots(2, 3).flat, PANELS, strict=True):
@@ -90,7 +90,7 @@
 
 
 def plot_run(run: dict) -> Figure:
-    """Return the plots of one run, by class."""
+    """Return the plots of one run by request class."""
     figure = Figure(figsize=(13, 4.5), layout="constrained")
     figure.suptitle(
         f"{run['scenario']}, policy {run['policy']}, load {run['load']}, "
@@ -136,7 +136,7 @@
         "<style>body{font-family:sans-serif}table{border-collapse:collapse}"
         "td,th{border:1px solid #ccc;padding:2px 8px;text-align:right}</style>"
         f"<h1>{html.escape(title)}</h1><img src='data:image/png;base64,{image}'>"
-        "<p>Mean over seeds, with the least and the most in brackets.</p>"
+        "<p>Mean over seeds, with minimum and maximum in brackets.</p>"
         f"{_table(runs)}"
     )
     path.with_suffix(".html").write_text(page)
--- a/bench/_run.py
+++ b/bench/_run.py
@@ -1,4 +1,4 @@
-"""One run: start the system, offer the load, measure, stop the system."""
+"""Runs the load tool once: starts the system, offers load and measures it."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 from bench._capacity import classes_of, pool_capacity
 from bench._client import ClientTask
-from bench._disturbances import Disturbances
+from bench._disturbances import FaultInjector
 from bench._measure import RunMeasure, as_json
 from bench._outcomes import RequestOutcome, read_outcomes
 from bench._plan import PlannedRequest, plan_requests
 from bench._scenarios import SCENARIOS, Scenario
-from bench._system import build_cluster, key_of
+from bench._system import build_cluster, client_key_of
 from tests.fakes.cluster import Cluster
 from tests.fakes.processes import ManagedProcess, wait_until
 
-CLIENTS = 2
-LEAD_SECONDS = 2.0
-# Endpoints announce each second, and homes need a report of each before they grant.
+CLIENT_COUNT = 2
+START_DELAY_SECONDS = 2.0
+# Endpoints announce themselves each second, and a home grants capacity of an endpoint
+# only after its first report.
 SETTLE_SECONDS = 2.5
-HELD_SECONDS = 15.0
+RELEASE_TIMEOUT_SECONDS = 15.0
 CLIENT_STOP_SECONDS = 30.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True)
 class RunOptions:
-    """What to run.
+    """The options of a run.
 
     Load is offered for `warm_up` seconds before and `cool_down` seconds after the
-    `seconds` whose requests are counted: else the first ones would meet an empty
-    system, and the last ones a system whose arrivals have ended, which serves twice
-    its capacity for as long as its queue is.
+    `seconds` whose requests are counted. Otherwise the first requests would find an
+    empty system, and the last ones a system without new arrivals, which serves twice
+    its capacity until its queue is empty.
     """
 
     scenario: str
@@ -56,22 +57,22 @@
 
     @property
     def offered_seconds(self) -> float:
-        """Return how long load is offered."""
+        """Return the number of seconds during which load is offered."""
         return self.warm_up + self.seconds + self.cool_down
 
     def counts(self, request: PlannedRequest) -> bool:
-        """Say whether the request is one of those counted."""
+        """Return whether the request belongs to the measured period."""
         return 0 <= request.at - self.warm_up < self.seconds
 
 
 def end_runs_on_sigterm() -> None:
-    """Let SIGTERM unwind a run, so that it ends the processes that it started."""
+    """Make SIGTERM raise SystemExit, so that a run ends the processes it started."""
     signal.signal(signal.SIGTERM, lambda number, _: sys.exit(128 + number))
 
 
 def run_once(options: RunOptions) -> dict:
     """Run once and return the figures as one JSON object."""
-    # The library logs each try to reach a host that has not started yet.
+    # The thrift library logs each attempt to connect to a host that is still starting.
     logging.getLogger("thrift").setLevel(logging.CRITICAL)
     if options.logs is not None:
         options.logs.mkdir(parents=True, exist_ok=True)
@@ -104,15 +105,15 @@
     cluster: Cluster,
     folder: Path,
 ) -> dict:
-    starts_at = time.monotonic() + LEAD_SECONDS
-    disturbances = Disturbances(scenario, cluster)
+    starts_at = time.monotonic() + START_DELAY_SECONDS
+    fault_injector = FaultInjector(scenario, cluster)
     if options.faults:
-        disturbances.start(starts_at + options.warm_up, options.seconds)
+        fault_injector.start(starts_at + options.warm_up, options.seconds)
     clients = _start_clients(options, scenario, planned, cluster, folder, starts_at)
     limit = _drain_seconds(scenario) + options.offered_seconds + CLIENT_STOP_SECONDS
     outcomes = _wait_for_outcomes(clients, limit)
-    held = _held_after(cluster)
-    records = disturbances.records + [
+    attempts_held = _attempts_held_after_end(cluster)
+    records = fault_injector.records + [
         cluster.endpoint_call(name, "GET", "/v1/records")
         for name in _running_endpoints(cluster)
     ]
@@ -122,7 +123,7 @@
         outcomes,
         records,
         counted=frozenset(item.request_id for item in planned if options.counts(item)),
-        lost_entry=disturbances.lost_entry,
+        lost_entry=fault_injector.lost_entry,
     )
     figures = measure.figures()
     return {
@@ -134,8 +135,8 @@
         "seconds": options.seconds,
         "warm_up": options.warm_up,
         "cool_down": options.cool_down,
-        "faults": disturbances.done,
-        "held_after_end": held,
+        "faults": fault_injector.injected,
+        "held_after_end": attempts_held,
         "capacity_rps": _capacities(scenario),
         "cpu_share": _cpu_shares(cluster, options.offered_seconds),
     }
@@ -151,18 +152,18 @@
 ) -> list[tuple[ManagedProcess, Path]]:
     clients = []
     addresses = [cluster.client_address(host) for host in cluster.entry_ids]
-    for number in range(CLIENTS):
-        turn = number % len(addresses)
+    for number in range(CLIENT_COUNT):
+        first_index = number % len(addresses)
         output = folder / f"client-{number}.jsonl"
         task = ClientTask(
             scenario=options.scenario,
-            addresses=tuple(addresses[turn:] + addresses[:turn]),
-            key_by_class={item.name: key_of(item) for item in scenario.classes},
+            addresses=tuple(addresses[first_index:] + addresses[:first_index]),
+            key_by_class={item.name: client_key_of(item) for item in scenario.classes},
             starts_at=starts_at,
             ends_after=options.offered_seconds + _drain_seconds(scenario),
             probe_share=options.probe_share,
             output=str(output),
-            requests=planned[number::CLIENTS],
+            requests=planned[number::CLIENT_COUNT],
         )
         path = folder / f"client-{number}.json"
         task.write(path)
@@ -173,9 +174,9 @@
 
 
 def _drain_seconds(scenario: Scenario) -> float:
-    """Return how long answers may take after the last request was sent."""
+    """Return the longest time that an answer may take after its request is sent."""
     return max(
-        (item.patience_ms + item.output.high * item.between_tokens_ms) / 1000
+        (item.client_timeout_ms + item.output.high * item.between_tokens_ms) / 1000
         for item in scenario.classes
     )
 
@@ -208,17 +209,21 @@
     return [name for name in names if cluster.process_by_name[name].running]
 
 
-def _held_after(cluster: Cluster) -> int:
-    """Return how many attempts still hold memory some time after the end."""
+def _attempts_held_after_end(cluster: Cluster) -> int:
+    """Return how many attempts still hold memory after the release timeout."""
     names = _running_endpoints(cluster)
 
-    def held() -> int:
+    def attempts_held() -> int:
         return sum(len(cluster.held(name)) for name in names)
 
     try:
-        wait_until(lambda: held() == 0, "nothing is held", HELD_SECONDS)
+        wait_until(
+            lambda: attempts_held() == 0,
+            "no attempt holds memory",
+            RELEASE_TIMEOUT_SECONDS,
+        )
     except TimeoutError:
-        return held()
+        return attempts_held()
     return 0
 
 
@@ -235,10 +240,10 @@
 
 
 def _cpu_shares(cluster: Cluster, seconds: float) -> dict[str, float]:
-    """Return each running process's processor time over the run's length.
+    """Return each running process's processor time as a share of the run's length.
 
-    It includes the process's start, and shows whether Python is the bottleneck: a
-    process near 1.0 is.
+    It includes the start of the process. A share near 1.0 shows that Python is the
+    bottleneck of that process.
     """
     return {
         name: round(_cpu_seconds(process.pid) / seconds, 2)
--- a/bench/_scenarios.py
+++ b/bench/_scenarios.py
@@ -1,9 +1,9 @@
-"""The two deployments, scaled down so that Python is not the bottleneck.
+"""Two example deployments, scaled down so that Python is not the bottleneck.
 
-Service times are those of slow engines and small prompts: the whole system serves a
-few tens of requests a second at capacity. All workers of a service are split into
-prefill and decode engines; a decode engine has few slots. The sites' one-way delays
-are not emulated.
+Engines are slow and prompts are small, so that the whole system serves a few tens of
+requests per second at capacity. The workers of a service are split into prefill and
+decode engines, and a decode engine has few slots. The one-way network delays between
+sites are not emulated.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """A share of a class's arrivals that comes together, each `period` seconds."""
+    """A share of arrivals that comes within `width` seconds of each `period`."""
 
     share: float
     period: float
@@ -38,12 +38,13 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """One kind of request.
+    """A class of requests with the same service, targets and prompt structure.
 
-    `share` is its part of the service's arrivals. Targets and `patience` are in
-    milliseconds; a caller closes the connection when there is no first token within
-    its patience. `template_tokens` begin every prompt of the class; the first
-    `family_share` of a prompt's rest is one of `families` recurring texts.
+    `share` is its share of the service's arrivals. Targets and timeouts are in
+    milliseconds. A caller closes the connection when no first token arrives within
+    `client_timeout_ms`. Every prompt of the class begins with the same
+    `template_tokens` tokens, and the first `family_share` of the remaining tokens is
+    one of `families` recurring texts.
     """
 
     name: str
@@ -55,7 +56,7 @@
     first_token_ms: int
     between_tokens_ms: int
     wait_ms: int
-    patience_ms: int
+    client_timeout_ms: int
     template_tokens: int = 0
     families: int = 0
     family_share: float = 0.0
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True)
 class EnginePool:
-    """The engines of one service and what they cost, in the stand-ins' units."""
+    """The engines of one service and their parameters, in the stand-ins' units."""
 
     service: str
     prefill_zones: tuple[str, ...]
@@ -82,14 +83,14 @@
 
     @property
     def full_step_seconds(self) -> float:
-        """Return the time of one token when every slot is busy."""
+        """Return the time per token when all slots are busy."""
         busy = self.slots * self.decode_ms_per_token_per_busy_slot
         return (self.decode_ms_per_token + busy) / 1000
 
 
 @dataclass(frozen=True)
 class PlainPool:
-    """The endpoints of one plain service; `requests_per_second` at load 1.0."""
+    """The endpoints of a plain service; `requests_per_second` is at load 1.0."""
 
     service: str
     zones: tuple[str, ...]
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A deployment and its load."""
+    """A deployment and the classes of requests that it serves."""
 
     name: str
     region: str
@@ -122,10 +123,10 @@
 
 
 def northvane() -> Scenario:
-    """Return Northvane Transit Displays.
+    """Return the scenario of Northvane Transit Displays.
 
-    bulletin-llm has 5 workers, split 2 prefill and 3 decode; board-feed has 3, split
-    1 and 2. A "minute" of the boards lasts 10 seconds here.
+    bulletin-llm has 2 prefill and 3 decode engines, board-feed 1 and 2. The boards
+    poll each minute, which is scaled down to 10 seconds.
     """
     regina, saskatoon, calgary = "regina-hall", "saskatoon-hall", "calgary-hall"
     return Scenario(
@@ -171,7 +172,7 @@
                 first_token_ms=1000,
                 between_tokens_ms=80,
                 wait_ms=1000,
-                patience_ms=4000,
+                client_timeout_ms=4000,
                 template_tokens=128,
                 burst=Burst(share=0.2, period=10.0, width=1.0),
             ),
@@ -185,7 +186,7 @@
                 first_token_ms=8000,
                 between_tokens_ms=150,
                 wait_ms=8000,
-                patience_ms=20_000,
+                client_timeout_ms=20_000,
                 template_tokens=128,
             ),
             RequestClass(
@@ -198,7 +199,7 @@
                 first_token_ms=1500,
                 between_tokens_ms=80,
                 wait_ms=1500,
-                patience_ms=5000,
+                client_timeout_ms=5000,
                 template_tokens=192,
             ),
             RequestClass(
@@ -211,7 +212,7 @@
                 first_token_ms=10_000,
                 between_tokens_ms=150,
                 wait_ms=10_000,
-                patience_ms=25_000,
+                client_timeout_ms=25_000,
                 template_tokens=192,
                 families=12,
                 family_share=0.5,
@@ -222,10 +223,10 @@
 
 
 def glanmor() -> Scenario:
-    """Return Glanmor Clean Franchise Office.
+    """Return the scenario of Glanmor Clean Franchise Office.
 
-    rota-llm has 5 workers, split 2 prefill and 3 decode, on crowded links; rota-desk
-    has 4, split 1 and 3. Shift confirmations go to a plain service with 2 endpoints.
+    rota-llm has 2 prefill and 3 decode engines on congested links, rota-desk 1 and 3.
+    Shift confirmations go to a plain service with 2 endpoints.
     """
     caerdydd, abertawe, wrecsam = "caerdydd", "abertawe", "wrecsam"
     aberystwyth = "aberystwyth"
@@ -280,7 +281,7 @@
                 first_token_ms=20_000,
                 between_tokens_ms=200,
                 wait_ms=20_000,
-                patience_ms=40_000,
+                client_timeout_ms=40_000,
                 template_tokens=256,
                 families=8,
                 family_share=0.6,
@@ -296,7 +297,7 @@
                 first_token_ms=2500,
                 between_tokens_ms=100,
                 wait_ms=2500,
-                patience_ms=8000,
+                client_timeout_ms=8000,
                 template_tokens=256,
             ),
             RequestClass(
@@ -309,7 +310,7 @@
                 first_token_ms=800,
                 between_tokens_ms=80,
                 wait_ms=800,
-                patience_ms=4000,
+                client_timeout_ms=4000,
                 template_tokens=64,
                 burst=Burst(share=0.2, period=10.0, width=1.5),
             ),
@@ -323,7 +324,7 @@
                 first_token_ms=6000,
                 between_tokens_ms=150,
                 wait_ms=6000,
-                patience_ms=20_000,
+                client_timeout_ms=20_000,
                 template_tokens=128,
             ),
             RequestClass(
@@ -336,7 +337,7 @@
                 first_token_ms=3000,
                 between_tokens_ms=1000,
                 wait_ms=3000,
-                patience_ms=10_000,
+                client_timeout_ms=10_000,
                 repeatable=False,
             ),
         ),
--- a/bench/_system.py
+++ b/bench/_system.py
@@ -1,4 +1,4 @@
-"""The system and its stand-ins for one run, as processes on loopback."""
+"""Builds the cluster of a run: hosts and stand-in endpoints on loopback."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     faults: bool = False,
     entry_options: Mapping[str, str | int | float | bool] | None = None,
 ) -> Cluster:
-    """Return the cluster of a scenario; with faults, a proxy on the lost link."""
+    """Return the cluster of a scenario, with a proxy on the link that faults cut."""
     endpoints: tuple[EngineSpec | PlainSpec, ...] = _engines(scenario)
     endpoints += _plain_services(scenario)
     spec = ClusterSpec(
@@ -40,18 +40,20 @@
         region=scenario.region,
         entry_options={"policy": policy, **(entry_options or {})},
         telemetry={"log_level": "WARNING"},
-        hops=frozenset({("*", lost_link(scenario))}) if faults else frozenset(),
+        hops=frozenset({("*", isolated_prefill_engine(scenario))})
+        if faults
+        else frozenset(),
     )
     return Cluster(spec, folder)
 
 
-def lost_link(scenario: Scenario) -> str:
-    """Return the prefill engine whose link is cut when faults are asked for."""
+def isolated_prefill_engine(scenario: Scenario) -> str:
+    """Return the prefill engine whose link is cut in a run with faults."""
     return _engine_ids(_main_pool(scenario), "prefill")[0]
 
 
-def lost_decode_engine(scenario: Scenario) -> str:
-    """Return the decode engine that is killed when faults are asked for."""
+def killed_decode_engine(scenario: Scenario) -> str:
+    """Return the decode engine that is killed in a run with faults."""
     return _engine_ids(_main_pool(scenario), "decode")[0]
 
 
@@ -89,14 +91,14 @@
     )
 
 
-def key_of(item: RequestClass) -> str:
-    """Return the client key that requests of the class carry."""
+def client_key_of(item: RequestClass) -> str:
+    """Return the client key of the requests of a class."""
     return f"bench-key-of-{item.name}"
 
 
 @dataclass(frozen=True)
 class _Table:
-    """One table of a TOML array."""
+    """A table of a TOML array of tables."""
 
     name: str
     lines: tuple[str, ...]
@@ -106,7 +108,7 @@
 
 
 def declaration_of(scenario: Scenario) -> str:
-    """Return the declaration: a client account and a rule for each class."""
+    """Return the declaration, with a client account and a rule for each class."""
     tables = [_model_service(pool) for pool in scenario.engine_pools]
     tables += [_plain_service(pool.service) for pool in scenario.plain_pools]
     tables += [_client(item) for item in scenario.classes]
@@ -124,7 +126,7 @@
 
 
 def _client(item: RequestClass) -> _Table:
-    key_hash = hash_of_key(key_of(item))
+    key_hash = hash_of_key(client_key_of(item))
     return _Table("client", (f'name = "{item.name}"', f'key_sha256 = ["{key_hash}"]'))
 
 
--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements behind docs/CAPACITY.md: each prints one JSON line for each size."""
+"""Measurements for docs/CAPACITY.md; each prints one JSON line per size."""
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -1,10 +1,10 @@
-"""What claims and configuration changes cost the control hosts.
+"""Measures the cost of claims and configuration changes for the control hosts.
 
 `python -m bench.capacity.control [--claims 50,200,800] [--clients 10,100,320]`
 
-Claims run a few at a time over three control hosts; changes carry a declaration with
-this many client accounts to the entry hosts, and the time until the last one has it
-in force is taken.
+Claims run a few at a time against three control hosts. Each change distributes a
+declaration with the given number of client accounts to the entry hosts, and is timed
+until it is in effect on the last of them.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class Spent:
-    """What a control host spent beyond idling."""
+class ResourceUse:
+    """The resources that a control host used in addition to its idle rates."""
 
     cpu_ms: float
     sent_kb: float
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Measure claims, then changes by declaration size and by entry hosts."""
+    """Measure claims, then changes by declaration size and number of entry hosts."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--claims", default="50,200,800")
     parser.add_argument("--clients", default="10,100,320")
@@ -78,7 +78,7 @@
 def measure_claims(
     cluster: CountedCluster, control: ControlClient, sizes: list[int]
 ) -> None:
-    """Measure claim and outcome of a key, at the leader and at a follower."""
+    """Measure the claim and the outcome of a key at the leader and at a follower."""
     leader = _leader(control)
     follower = next(name for name in cluster.control_ids if name != leader)
     points_by_role: dict[str, list[tuple[float, float]]] = {
@@ -94,16 +94,16 @@
             seconds = time.monotonic() - started
             time.sleep(SNAPSHOT_WAIT_SECONDS)
             for role, name in (("leader", leader), ("follower", follower)):
-                spent = _spent(before[name], cluster.snapshot(name), idle[name])
-                points_by_role[role].append((size, spent.cpu_ms))
+                use = _use_beyond_idle(before[name], cluster.snapshot(name), idle[name])
+                points_by_role[role].append((size, use.cpu_ms))
                 print_figures(
                     "claims with their outcome",
                     claims=size,
                     role=role,
-                    cpu_ms_each=round(spent.cpu_ms / size, 3),
-                    sent_bytes_each=round(spent.sent_kb * 1000 / size),
-                    received_bytes_each=round(spent.received_kb * 1000 / size),
-                    rss_mb=round(spent.rss_mb, 1),
+                    cpu_ms_each=round(use.cpu_ms / size, 3),
+                    sent_bytes_each=round(use.sent_kb * 1000 / size),
+                    received_bytes_each=round(use.received_kb * 1000 / size),
+                    rss_mb=round(use.rss_mb, 1),
                     claims_a_second=round(size / seconds),
                 )
     for role, points in points_by_role.items():
@@ -115,13 +115,13 @@
     return str(control.status().leader_id).rpartition("/")[0]
 
 
-def _spent(before: Snapshot, after: Snapshot, idle: Rates) -> Spent:
+def _use_beyond_idle(before: Snapshot, after: Snapshot, idle: Rates) -> ResourceUse:
     seconds = after["instant"] - before["instant"]
 
     def beyond_idle(key: str, idle_rate: float) -> float:
         return float(after[key] - before[key] - idle_rate * seconds)
 
-    return Spent(
+    return ResourceUse(
         cpu_ms=beyond_idle("cpu_seconds", idle.core_percent / 100) * 1000,
         sent_kb=beyond_idle("sent_bytes", idle.sent_kb * 1000) / 1000,
         received_kb=beyond_idle("received_bytes", idle.received_kb * 1000) / 1000,
@@ -147,14 +147,14 @@
 def measure_changes(
     cluster: CountedCluster, control: ControlClient, entries: int, clients: int
 ) -> None:
-    """Measure how long a change takes until every entry host has it in force."""
+    """Measure the time until a change is in effect on every entry host."""
     leader = _leader(control)
     accepted_ms, everywhere_ms = [], []
     before = cluster.snapshot(leader)
     entry = cluster.entry_ids[0]
     entry_before = cluster.snapshot(entry)
     for _ in range(CHANGES):
-        # The number makes each text differ, so that no change is an empty one.
+        # A random comment makes each text different, so that no change is empty.
         text = f"# {uuid.uuid4().hex}\n{declaration_text(clients)}"
         started = time.monotonic()
         base = control.get_configuration(-1, 0).revision
@@ -162,7 +162,7 @@
         request = ApplyRequest(uuid.uuid4().hex, base, text, "bench")
         revision = control.apply_configuration(request, deadline).revision
         accepted_ms.append((time.monotonic() - started) * 1000)
-        _wait_in_force(cluster, revision)
+        _wait_in_effect(cluster, revision)
         everywhere_ms.append((time.monotonic() - started) * 1000)
     time.sleep(SNAPSHOT_WAIT_SECONDS)
     after, entry_after = cluster.snapshot(leader), cluster.snapshot(entry)
@@ -173,19 +173,21 @@
         entry_hosts=entries,
         accepted_ms=spread_of(accepted_ms),
         in_force_everywhere_ms=spread_of(everywhere_ms),
-        leader_cpu_ms_each=_each(before, after, "cpu_seconds", 1000),
-        leader_sent_bytes_each=_each(before, after, "sent_bytes", 1),
-        entry_cpu_ms_each=_each(entry_before, entry_after, "cpu_seconds", 1000),
-        entry_received_bytes_each=_each(entry_before, entry_after, "received_bytes", 1),
+        leader_cpu_ms_each=_per_change(before, after, "cpu_seconds", 1000),
+        leader_sent_bytes_each=_per_change(before, after, "sent_bytes", 1),
+        entry_cpu_ms_each=_per_change(entry_before, entry_after, "cpu_seconds", 1000),
+        entry_received_bytes_each=_per_change(
+            entry_before, entry_after, "received_bytes", 1
+        ),
         leader_rss_mb=round(after["rss_bytes"] / 1e6, 1),
     )
 
 
-def _each(before: Snapshot, after: Snapshot, key: str, factor: float) -> float:
+def _per_change(before: Snapshot, after: Snapshot, key: str, factor: float) -> float:
     return round((after[key] - before[key]) * factor / CHANGES, 1)
 
 
-def _wait_in_force(cluster: CountedCluster, revision: int) -> None:
+def _wait_in_effect(cluster: CountedCluster, revision: int) -> None:
     for name in cluster.entry_ids:
         wait_until(
             lambda name=name: (  # type: ignore[misc]
--- a/bench/capacity/counted.py
+++ b/bench/capacity/counted.py
@@ -1,9 +1,9 @@
-"""Run the command line with every byte of its sockets counted.
+"""Runs the command line and counts all bytes of its sockets.
 
 `python -m bench.capacity.counted COUNTS.json ARGUMENTS...` runs
-`jujubeslip ARGUMENTS...` and writes its counts to the file, every SNAPSHOT_SECONDS.
-The bytes are payload: what TCP and IP add is not in them. The counting's own
-processor time is in what it reports, so the figures err on the high side.
+`jujubeslip ARGUMENTS...` and writes its counts to the file every SNAPSHOT_SECONDS.
+The bytes are payload, without the headers of TCP and IP. The processor time includes
+that of the counting itself, so the figures err on the high side.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
             self.receives += 1
 
     def snapshot(self) -> dict[str, float]:
-        """Return the counts, the memory and the processor time until now."""
+        """Return the counts, the memory and the processor time so far."""
         with self._lock:
             fields: dict[str, float] = {
                 "sent_bytes": self.sent_bytes,
@@ -62,10 +62,10 @@
 
 
 def count_sockets(counts: Counts) -> None:
-    """Put the counting between the sockets and everything that uses them."""
-    kind: Any = socket.socket
-    send, sendall = kind.send, kind.sendall
-    recv, recv_into = kind.recv, kind.recv_into
+    """Replace the methods of all sockets by ones that count."""
+    socket_class: Any = socket.socket
+    send, sendall = socket_class.send, socket_class.sendall
+    recv, recv_into = socket_class.recv, socket_class.recv_into
 
     def counted_send(self: Any, data: Any, *arguments: Any) -> int:
         sent: int = send(self, data, *arguments)
@@ -86,20 +86,20 @@
         counts.add_received(received)
         return received
 
-    kind.send, kind.sendall = counted_send, counted_sendall
-    kind.recv, kind.recv_into = counted_recv, counted_recv_into
+    socket_class.send, socket_class.sendall = counted_send, counted_sendall
+    socket_class.recv, socket_class.recv_into = counted_recv, counted_recv_into
 
 
 def _write_snapshots(counts: Counts, path: Path) -> None:
-    whole = path.with_suffix(".new")
+    new_path = path.with_suffix(".new")
     while True:
-        whole.write_text(json.dumps(counts.snapshot()))
-        whole.replace(path)
+        new_path.write_text(json.dumps(counts.snapshot()))
+        new_path.replace(path)
         time.sleep(SNAPSHOT_SECONDS)
 
 
 def main() -> None:
-    """Count, and run the command line."""
+    """Run the command line with counted sockets."""
     counts = Counts()
     count_sockets(counts)
     path = Path(sys.argv.pop(1))
--- a/bench/capacity/endpoints.py
+++ b/bench/capacity/endpoints.py
@@ -1,8 +1,8 @@
-"""What endpoints cost their home, its standby, and who takes their announcements.
+"""Measures the cost of endpoints for their home, its standby and other entry hosts.
 
 `python -m bench.capacity.endpoints [--sizes 8,32,64,128,256] [--seconds 6]`
 
-One service, three entry hosts, one of them the home of all its endpoints.
+There is one service and three entry hosts, one of which is the home of all endpoints.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 ENDPOINTS_PER_PROCESS = 150
 SETTLE_SECONDS = 4.0
 SERVICE = "summaries"
-# Each takes a third of the announcements; the last one only passes them on.
+# Each receives a third of the announcements; the last one only forwards them.
 ROLES = ("home", "standby", "other entry host")
 
 
@@ -44,16 +44,16 @@
     for size in map(int, options.sizes.split(",")):
         for role, rates in measure(size, options.seconds).items():
             rates_by_role[role][size] = rates
-    straight = [int(size) for size in options.slope_sizes.split(",")]
+    slope_sizes = [int(size) for size in options.slope_sizes.split(",")]
     for role, rates_by_size in rates_by_role.items():
         for key in ("core_percent", "rss_mb", "sent_kb", "received_kb", "threads"):
-            points = [(size, getattr(rates_by_size[size], key)) for size in straight]
+            points = [(size, getattr(rates_by_size[size], key)) for size in slope_sizes]
             per_endpoint, base = slope(points)
             print_figures(
                 f"slope of {role} {key} by endpoints of the service",
                 per_endpoint=round(per_endpoint, 5),
                 base=round(base, 3),
-                sizes=straight,
+                sizes=slope_sizes,
             )
 
 
@@ -75,9 +75,9 @@
     fields = {"endpoints": size, "usable": usable}
     rates_by_role = {}
     for role, name in zip(ROLES, hosts, strict=True):
-        own = [run[name] for run in runs]
-        print_rates(role, fields, own)
-        rates_by_role[role] = mean_of(own)
+        role_runs = [run[name] for run in runs]
+        print_rates(role, fields, role_runs)
+        rates_by_role[role] = mean_of(role_runs)
     return rates_by_role
 
 
@@ -102,7 +102,7 @@
 
 
 def _wait_usable(cluster: CountedCluster, home: str, size: int) -> int:
-    """Return how many endpoints are usable; fewer than all at an overloaded home."""
+    """Return how many endpoints are usable: not all if the home is overloaded."""
     try:
         wait_until(lambda: _usable(cluster, home) >= size, "all are usable", 25)
     except TimeoutError:
--- a/bench/capacity/fleet.py
+++ b/bench/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""A small system whose processes are counted, and the rates of each."""
+"""A small cluster with counted processes, and the rates of each process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Rates:
-    """What one process spent a second, over one span of time."""
+    """The resources that one process used per second over a period."""
 
     core_percent: float
     rss_mb: float
@@ -49,12 +49,12 @@
         return self.folder / f"{name}.counts"
 
     def snapshot(self, name: str) -> dict[str, float]:
-        """Return a process's latest counts."""
+        """Return the latest counts of a process."""
         counts: dict[str, float] = json.loads(self._counts_path(name).read_text())
         return counts
 
     def rates(self, names: Iterable[str], seconds: float) -> dict[str, Rates]:
-        """Return what each process spends a second over the next seconds."""
+        """Return the rates of each process over the next `seconds` seconds."""
         names = list(names)
         before = {name: self.snapshot(name) for name in names}
         time.sleep(seconds)
@@ -97,13 +97,13 @@
 
 
 def spread_of(values: Iterable[float]) -> str:
-    """Return the mean and the lowest and highest value, for a table."""
+    """Return the mean, minimum and maximum as a table cell."""
     values = list(values)
     return f"{statistics.fmean(values):.3g} ({min(values):.3g}-{max(values):.3g})"
 
 
 def print_rates(matter: str, size: Mapping[str, object], runs: list[Rates]) -> None:
-    """Print one line of JSON: the size, and each rate with its spread over runs."""
+    """Print a JSON line with the size, and the spread of each rate over the runs."""
     fields: dict[str, object] = {"matter": matter, **size}
     for key in asdict(runs[0]):
         fields[key] = spread_of(getattr(run, key) for run in runs)
@@ -111,7 +111,7 @@
 
 
 def print_figures(matter: str, **fields: object) -> None:
-    """Print one line of JSON."""
+    """Print the figures as a JSON line."""
     print(json.dumps({"matter": matter, **fields}), flush=True)
 
 
--- a/bench/capacity/idle.py
+++ b/bench/capacity/idle.py
@@ -1,4 +1,4 @@
-"""What idle hosts spend, by the number of entry hosts.
+"""Measures the resource use of idle hosts by the number of entry hosts.
 
 `python -m bench.capacity.idle [--sizes 3,5,7,12] [--seconds 8]`
 """
--- a/bench/capacity/pollers.py
+++ b/bench/capacity/pollers.py
@@ -1,10 +1,11 @@
-"""What the entry hosts' long polls cost one control host, at the target's number.
+"""Measures the cost of the entry hosts' long polls for one control host.
 
 `python -m bench.capacity.pollers [--sizes 32,128,380] [--clients 320]`
 
-All polls come from one process, a thread and a connection for each entry host that
-they stand for, and all go to one of three control hosts. Then a change is applied, and
-the time is taken until the last poll has brought it.
+The default sizes include the target's number of entry hosts. All polls come from one
+process, with a thread and a connection in place of each entry host, and go to one of
+three control hosts. A change is then applied, and timed until all polls have returned
+it.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class Pollers:
-    """Threads that poll one control host, as the entry hosts' followers do."""
+    """Threads that poll one control host, as each entry host does."""
 
     def __init__(self, cluster: CountedCluster, control_id: str, count: int) -> None:
         self._revision_by_poller = [0] * count
@@ -59,19 +60,19 @@
         while not self._stopping.is_set():
             known = self._revision_by_poller[number]
             try:
-                found = client.get_configuration(known, POLL_MS)
+                configuration = client.get_configuration(known, POLL_MS)
             except (PeerUnavailableError, PeerRefusal):
                 self.failures += 1
                 time.sleep(0.1)
                 continue
-            self._revision_by_poller[number] = found.revision
+            self._revision_by_poller[number] = configuration.revision
 
-    def least_revision(self) -> int:
-        """Return the revision that every poller has."""
+    def minimum_revision(self) -> int:
+        """Return the newest revision that every poller has received."""
         return min(self._revision_by_poller)
 
     def stop(self) -> None:
-        """End the threads."""
+        """Stop the threads."""
         self._stopping.set()
         for thread in self._threads:
             thread.join(POLL_MS / 1000 + CALL_SECONDS)
@@ -88,7 +89,7 @@
 
 
 def measure(size: int, text: str) -> None:
-    """Print what the polled control host spends, and how fast changes arrive."""
+    """Print the rates of the polled control host and the delay of changes."""
     spec = small_system(endpoints=(), entries=1, controls=3)
     with (
         tempfile.TemporaryDirectory() as folder,
@@ -111,7 +112,7 @@
 
 
 def _change(control: ControlClient, pollers: Pollers, text: str) -> tuple[float, float]:
-    """Apply a change; return the ms until it was accepted and until all have it."""
+    """Apply a change; return the ms until acceptance and until all polls have it."""
     base = control.get_configuration(-1, 0).revision
     request = ApplyRequest(
         uuid.uuid4().hex, base, f"# {uuid.uuid4().hex}\n{text}", "bench"
@@ -120,7 +121,7 @@
     reply = control.apply_configuration(request, Deadline.after(CALL_SECONDS))
     accepted = time.monotonic()
     wait_until(
-        lambda: pollers.least_revision() >= reply.revision, "all polls have it", 60
+        lambda: pollers.minimum_revision() >= reply.revision, "all polls have it", 60
     )
     ended = time.monotonic()
     return (accepted - started) * 1000, (ended - started) * 1000
--- a/bench/capacity/requests.py
+++ b/bench/capacity/requests.py
@@ -1,9 +1,9 @@
-"""What a request and a token cost an entry host.
+"""Measures the cost of a request and of a token for an entry host.
 
 `python -m bench.capacity.requests [--tokens 1,32,128,256] [--requests 120]`
 
-Requests come a few at a time; the figures are processor time of the entry host for
-each request, split into a part for each request and a part for each token.
+A few requests run at a time. The figures are the processor time of the entry host,
+split into a constant part per request and a part per token.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
         for name in (home, other):
             seconds = after[name]["instant"] - started[name]["instant"]
             busy = after[name]["cpu_seconds"] - started[name]["cpu_seconds"]
-            unasked = idle[name].core_percent / 100 * seconds
-            spent[name] = (busy - unasked) / options.requests * 1000
+            idle_seconds = idle[name].core_percent / 100 * seconds
+            spent[name] = (busy - idle_seconds) / options.requests * 1000
         served.append(spent[other])
         home_ms.append(spent[home])
         bytes_sent = after[other]["sent_bytes"] - started[other]["sent_bytes"]
--- a/bench/capacity/stand_ins.py
+++ b/bench/capacity/stand_ins.py
@@ -1,7 +1,8 @@
-"""Many idle endpoints in one process, for measuring what each costs its home.
+"""Idle stand-in endpoints in one process, for measuring their cost at the home.
 
-Each has a loopback port of its own, answers its status and its cache events, and
-announces itself each second. They compute nothing. Run by `endpoints.py`.
+Each endpoint listens on a separate loopback port, answers status and cache event
+calls, and announces itself each second, but runs no requests. `endpoints.py` starts
+the process.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class StandIn:
-    """One idle endpoint."""
+    """An idle endpoint."""
 
     def __init__(self, number: int, options: argparse.Namespace) -> None:
         self.endpoint_id = f"{options.prefix}-{number}"
@@ -44,7 +45,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer the calls of one connection, status or events."""
+        """Answer the status and event calls of one connection."""
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -56,7 +57,7 @@
             writer.close()
 
     async def announce(self) -> None:
-        """Announce the endpoint each second, until the process ends."""
+        """Announce the endpoint each second until the process ends."""
         while True:
             started = time.monotonic()
             try:
@@ -120,7 +121,7 @@
 
 
 def main() -> None:
-    """Read the command line and serve."""
+    """Parse the command line and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--count", type=int, required=True)
     parser.add_argument("--prefix", required=True)
--- a/bench/capacity/tables.py
+++ b/bench/capacity/tables.py
@@ -1,8 +1,9 @@
-"""What the tables of an entry host cost by their size, within one process.
+"""Measures the cost of an entry host's tables by their size, within one process.
 
-`python -m bench.capacity.tables`: processor time and bytes of a gossip message, of
-the choice of a home, of one reserve and grant, and of a declaration, each at three
-sizes or more, the target's among them, so that nothing is extrapolated.
+`python -m bench.capacity.tables` prints the processor time of the choice of a home, of
+one reservation and grant, and of a declaration, with the memory that the tables take.
+Each is measured at three sizes or more, one of which is the target's, so that nothing
+is extrapolated.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 def main() -> None:
-    """Measure every table."""
+    """Measure each table at each size."""
     for size in HOST_SIZES:
         measure_directory(size)
     for size in ENDPOINT_SIZES:
@@ -66,7 +67,7 @@
 
 
 def measure_directory(size: int) -> None:
-    """Measure the choice of a home among this many entry hosts."""
+    """Measure the choice of a home among `size` entry hosts."""
     directory = HostDirectory(_host(0))
     directory.merge(_host(number) for number in range(1, size))
     print_figures(
@@ -109,7 +110,7 @@
 
 
 def measure_pool(size: int) -> None:
-    """Measure announcements, statuses and grants at the home of this many endpoints."""
+    """Measure announcements, statuses and grants at the home of `size` endpoints."""
     tracemalloc.start()
     pool = Pool("summaries", "region-1", SchedulerOptions())
     announcements = [_announcement(number) for number in range(size)]
@@ -118,11 +119,11 @@
         _observe(pool, announcement)
     state_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    turns = itertools.cycle(announcements)
+    announcement_cycle = itertools.cycle(announcements)
     numbers = itertools.count()
 
     def grant_and_release() -> None:
-        for announcement in itertools.islice(turns, 1):
+        for announcement in itertools.islice(announcement_cycle, 1):
             _observe(pool, announcement)
         reply = pool.reserve(_reserve_request(next(numbers)))
         assert reply.status == ReserveStatus.GRANTED, reply
@@ -134,8 +135,8 @@
     print_figures(
         "home of endpoints, microseconds a call",
         endpoints=size,
-        announce=_cpu(lambda: pool.announce(next(turns))),
-        observe_status=_cpu(lambda: _observe(pool, next(turns))),
+        announce=_cpu(lambda: pool.announce(next(announcement_cycle))),
+        observe_status=_cpu(lambda: _observe(pool, next(announcement_cycle))),
         reserve_and_three_reports=_cpu(grant_and_release),
         state_bytes_per_endpoint=round(state_bytes / size),
     )
@@ -166,7 +167,7 @@
 
 
 def declaration_text(clients: int, services: int = 6) -> str:
-    """Return a declaration with this many client accounts, a rule for each."""
+    """Return a declaration with `clients` client accounts and a rule for each."""
     lines = []
     for number in range(services):
         lines += ["[[service]]", f'name = "service-{number}"', 'model = "model"']
@@ -182,7 +183,7 @@
 
 
 def measure_declaration(clients: int) -> None:
-    """Measure the declaration of this many client accounts."""
+    """Measure a declaration with `clients` client accounts."""
     text = declaration_text(clients)
     tracemalloc.start()
     declaration: Declaration = parse_declaration(text).unwrap()
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,7 @@
 """A small system on loopback that serves real requests: `make demo`.
 
-Three control hosts, three entry hosts and stand-in engines start, three requests are
-asked and answered, the spans of each are printed, and everything is stopped.
+The demo starts three control hosts, three entry hosts and stand-in endpoints, sends
+three requests, prints the spans of the two model requests, and stops everything.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 def main() -> int:
     """Run the demo; return an exit status."""
-    # Hosts that do not listen yet are asked again; that is no news for a reader.
+    # Calls to hosts that do not listen yet are retried, so their errors are not shown.
     logging.getLogger("thrift").setLevel(logging.CRITICAL)
     collector = Collector()
     telemetry: dict[str, Setting] = {
@@ -38,16 +38,16 @@
         with tempfile.TemporaryDirectory(prefix="jujubeslip-demo-") as folder:
             say("Starting 3 control hosts, 3 entry hosts, 3 engines, 1 plain service")
             with Cluster(spec, Path(folder)) as cluster:
-                whole = _serve(cluster, collector)
+                all_complete = _serve(cluster, collector)
                 say("Stopping")
     finally:
         collector.stop()
     say("Stopped")
-    return 0 if whole else 1
+    return 0 if all_complete else 1
 
 
 def _serve(cluster: Cluster, collector: Collector) -> bool:
-    """Ask for two model answers and one plain one; say whether all were whole."""
+    """Send two model requests and a plain one; return whether all were answered."""
     urgent = {"prompt": PROMPT, "max_tokens": 8, "priority": "urgent"}
     summary = {"prompt": PROMPT, "max_tokens": 24}
     confirmation = {"shift": 7, "repeatable": False}
@@ -69,7 +69,7 @@
 
 
 def _stream(cluster: Cluster, host_id: str, message: Mapping[str, object]) -> bool:
-    """Print a streamed answer token by token; say whether its end event came."""
+    """Print a streamed answer by token; return whether its end event arrived."""
     say(
         f"POST /v1/services/summaries/requests at {host_id}: {_without_prompt(message)}"
     )
@@ -106,8 +106,8 @@
 
 def _print_trace(request: ReceivedSpan, spans: Iterable[ReceivedSpan]) -> None:
     print(f"  trace {request.trace_id}")
-    own = [span for span in spans if span.trace_id == request.trace_id]
-    for span in sorted(own, key=lambda item: item.start_ns):
+    trace_spans = [span for span in spans if span.trace_id == request.trace_id]
+    for span in sorted(trace_spans, key=lambda item: item.start_ns):
         after = (span.start_ns - request.start_ns) / 1e6
         duration = (span.end_ns - span.start_ns) / 1e6
         endpoint = span.attributes.get("endpoint", "")
@@ -126,8 +126,8 @@
     return {key: value for key, value in message.items() if key != "prompt"}
 
 
-def _milliseconds_since(instant: float) -> float:
-    return (time.monotonic() - instant) * 1000
+def _milliseconds_since(started: float) -> float:
+    return (time.monotonic() - started) * 1000
 
 
 if __name__ == "__main__":
--- a/bench/log_lines.py
+++ b/bench/log_lines.py
@@ -1,4 +1,7 @@
-"""What a log line costs the process that writes it: `python -m bench.log_lines`."""
+"""Measures the processor time that a log line costs the process that writes it.
+
+Run it with `python -m bench.log_lines`. With `--blocked`, nothing reads the lines.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 from jujubeslip.telemetry import configure_logging
 
 LINES = 20_000
-# Lines between two pauses, and a pause in seconds: a host writes its lines evenly.
+# Lines per burst, and seconds between bursts: a host also spreads its lines over time.
 BURST_LINES = 200
 PAUSE_SECONDS = 0.02
 READ_BYTES = 65_536
-# The line that is written for each request.
+# The fields of the line that a host writes for each request.
 FIELDS = {
     "request_id": "0123456789abcdef",
     "route": "summaries",
@@ -31,14 +34,15 @@
 }
 
 
-def microseconds_a_line(is_read: bool) -> float:
-    """Return the processor time of a line, with a reader or with a full pipe."""
+def microseconds_per_line(is_read: bool) -> float:
+    """Return the processor time per line, with a reader or with a full pipe."""
     read_end, write_end = os.pipe()
     os.dup2(write_end, sys.stdout.fileno())
     if is_read:
         threading.Thread(target=_read, args=(read_end,), daemon=True).start()
     configure_logging(TelemetrySettings(log_stream="stdout"))
-    # Without the bound of lines a second, so that each one is written or dropped.
+    # Remove the limit of lines per second, so that each line is written or dropped
+    # only for the state of the pipe.
     logging.getLogger().handlers[0].filters.clear()
     logger = logging.getLogger("bench")
     started = time.process_time()
@@ -55,13 +59,13 @@
 
 
 def main(results: TextIO) -> None:
-    """Print the figure for the given case; the other one needs a process of its own."""
+    """Print the figure of one case; each case needs a separate process."""
     is_read = "--blocked" not in sys.argv
-    cost = microseconds_a_line(is_read)
+    cost = microseconds_per_line(is_read)
     case = "a reader" if is_read else "a reader that has stopped"
     results.write(f"{cost:.0f} us of processor time a line, with {case}\n")
     results.flush()
-    # The thread that writes may wait for the full pipe for good.
+    # The thread that writes may be blocked permanently by the full pipe.
     os._exit(0)
 
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,8 @@
-"""The time that the router itself adds, as a ratio to calling the stand-ins directly.
+"""Measures the time that the router adds to direct calls of the stand-ins.
 
 `python -m bench.overhead` prints one JSON line for each number of concurrent streams
-and each seed: the medians of the time to the first token and of the time between
-tokens, through an entry host and directly, in milliseconds, and their ratios.
+and each repeat. It holds the medians of the time to the first token and of the time
+between tokens, through an entry host and directly, in milliseconds, and their ratios.
 """
 
 from __future__ import annotations
@@ -45,9 +45,9 @@
 
 
 def _measure(tokens: Iterator[object], started: float) -> StreamTimes:
-    instants = [time.monotonic() for _ in tokens]
-    gap = (instants[-1] - instants[0]) / (len(instants) - 1)
-    return StreamTimes((instants[0] - started) * 1000, gap * 1000)
+    token_times = [time.monotonic() for _ in tokens]
+    gap = (token_times[-1] - token_times[0]) / (len(token_times) - 1)
+    return StreamTimes((token_times[0] - started) * 1000, gap * 1000)
 
 
 def _prompt() -> str:
@@ -68,7 +68,7 @@
 
 
 def directly(cluster: Cluster, number: int) -> StreamTimes:
-    """Time one stream by the calls that an entry host would make."""
+    """Time one stream with the calls that an entry host makes for it."""
     deadline = Deadline.after(TIMEOUT_SECONDS)
     prefill = cluster.endpoint_address_by_id[f"prefill-{number % 2 + 1}"]
     decode = cluster.endpoint_address_by_id[f"decode-{number % 2 + 1}"]
@@ -100,7 +100,7 @@
 
 
 def main() -> None:
-    """Measure each number of streams several times, in turns."""
+    """Measure each number of streams several times, directly and routed in turn."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--streams", type=int, nargs="+", default=[1, 20, 100])
     parser.add_argument("--repeats", type=int, default=3)
--- a/bench/reading_messages.py
+++ b/bench/reading_messages.py
@@ -1,9 +1,9 @@
-"""What it costs to read the messages that endpoints and hosts send all the time.
+"""Measures the cost of parsing the periodic messages of endpoints and hosts.
 
     python -m bench.reading_messages
 
-Prints the processor time of one message of each kind, in microseconds, as the best of
-several rounds: whatever else the machine does only adds to it.
+Prints the processor time for one message of each kind, in microseconds. It is the
+minimum of several rounds, because other load on the machine can only add to it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from jujubeslip.platform._endpoint_answers import read_report
 
 ROUNDS = 15
-READS_A_ROUND = 2000
+READS_PER_ROUND = 2000
 RUNS = 12
 ANNOUNCEMENT = {
     "service": "model",
@@ -43,19 +43,19 @@
 }
 
 
-def least_microseconds(read: Callable[[], object]) -> float:
-    """Return the processor time of one read in the best round."""
+def minimum_microseconds(read: Callable[[], object]) -> float:
+    """Return the processor time per read in the fastest round."""
     best = float("inf")
     for _ in range(ROUNDS):
         started = time.process_time()
-        for _ in range(READS_A_ROUND):
+        for _ in range(READS_PER_ROUND):
             read()
         best = min(best, time.process_time() - started)
-    return best / READS_A_ROUND * 1_000_000
+    return best / READS_PER_ROUND * 1_000_000
 
 
 def main() -> None:
-    """Print a line for each kind of message."""
+    """Print the figure of each kind of message."""
     announcement = json.dumps(ANNOUNCEMENT).encode()
     report = json.dumps(REPORT).encode()
     record = to_record(read_announcement("e-1", announcement).unwrap())
@@ -68,7 +68,7 @@
         "record between hosts": lambda: list(usable_endpoints("host", [record])),
     }
     for name, read in reads.items():
-        print(f"{name}: {least_microseconds(read):.1f} µs")
+        print(f"{name}: {minimum_microseconds(read):.1f} µs")
 
 
 if __name__ == "__main__":
--- a/bench/restarts.py
+++ b/bench/restarts.py
@@ -1,11 +1,11 @@
-"""How soon an endpoint that starts again is used, and what is sent to it in vain.
-
-Run it with ``python -m bench.restarts``. Real control and entry processes on loopback
-serve a steady load from two endpoints, of which one is killed and started again under
-its id, again and again. Measured are the seconds from the new start's first
-announcement until its first request, and the sends that met no start of it: those of
-requests which came while it was gone, and those which came after that announcement.
-Requests that it worked on when it was killed are not counted.
+"""Measures how soon a restarted endpoint is used, and the failed sends to it.
+
+Run it with ``python -m bench.restarts``. Control and entry processes on loopback serve
+a steady load from two endpoints, one of which is repeatedly killed and restarted under
+the same id. The figures are the time from the first announcement of the new start
+until its first request, and the number of sends that failed: of requests that arrived
+while the endpoint was down, and of those that arrived after the announcement. Requests
+that were running on the endpoint when it was killed are not counted.
 """
 
 from __future__ import annotations
@@ -33,34 +33,39 @@
 from tests.fakes.platform_worker import PlatformWorker
 from tests.fakes.processes import wait_until
 
-FIRST_START_MS = 1_700_000_000_000
-# Announcements of the start before: ten minutes of one a second.
+INITIAL_START_MS = 1_700_000_000_000
+# Announcements of the previous start: ten minutes at one per second.
 EARLIER_ANNOUNCEMENTS = 600
-# A new start that got no request for so long is counted as not found, in seconds.
-LONGEST_SECONDS = 10.0
-# Between two requests of the load, in seconds.
+# Seconds without a request after which a new start counts as unused.
+FIRST_REQUEST_TIMEOUT = 10.0
+# Pause of each load thread between two requests, in seconds.
 LOAD_PAUSE_SECONDS = 0.01
-# How long the load goes on between two restarts, in seconds.
+# Time under load between two restarts, in seconds.
 SETTLE_SECONDS = 0.5
-VAIN = ("endpoint_unreachable", "answer_cut", "endpoint_replaced", "endpoint_role")
+FAILED_SEND_ERRORS = (
+    "endpoint_unreachable",
+    "answer_cut",
+    "endpoint_replaced",
+    "endpoint_role",
+)
 STREAM_SHAPE = {"kind": "stream", "timeoutMs": 4000, "sloMs": 900, "gapSloMs": 300}
 
 
 @dataclass(frozen=True)
 class Case:
-    """One way to start again."""
+    """A service and the way in which its endpoint restarts."""
 
     name: str
     service: str
     stage: str
     same_address: bool
-    was_leaving: bool
+    drained_first: bool
 
 
 CASES = [
-    Case(f"{service}, {name}", service, stage, same_address, was_leaving)
+    Case(f"{service}, {name}", service, stage, same_address, drained_first)
     for service, stage in (("plain", ""), ("model", "decode"))
-    for name, same_address, was_leaving in (
+    for name, same_address, drained_first in (
         ("same address", True, False),
         ("another address", False, False),
         ("was leaving", True, True),
@@ -69,29 +74,29 @@
 
 
 @dataclass(frozen=True)
-class Measured:
-    """What one case gave."""
+class CaseResult:
+    """The results of one case."""
 
     seconds: list[float]
-    missed: int
-    """Starts that got no request in the longest time."""
-    vain_while_gone: int
-    vain_after: int
-    """Requests that were sent to it in vain, while it was gone and after."""
+    unused: int
+    """Starts that received no request before the timeout."""
+    failed_while_down: int
+    failed_after_restart: int
+    """Requests with a failed send to it, while it was down and after its restart."""
 
 
 @dataclass
 class Load:
-    """Requests that are sent one after another, four at a time."""
+    """The requests that four threads send, each one at a time."""
 
     times_by_id: dict[str, tuple[float, float]] = field(default_factory=dict)
-    """When each request was sent, and when its answer came."""
+    """The times at which each request was sent and answered."""
     numbers: Iterator[int] = field(default_factory=itertools.count)
 
 
 @contextmanager
 def load(system: PlatformSystem, service: str) -> Iterator[Load]:
-    """Send requests until the end of the context."""
+    """Send requests until the context exits."""
     sent = Load()
     stopped = threading.Event()
     path = f"/{service}/x"
@@ -116,8 +121,8 @@
             thread.join()
 
 
-def sent_in_vain(system: PlatformSystem, endpoint_id: str) -> list[str]:
-    """Return the requests with a send to the endpoint that brought no answer."""
+def failed_sends(system: PlatformSystem, endpoint_id: str) -> list[str]:
+    """Return the requests with a failed send to the endpoint."""
     lines = [
         json.loads(line)
         for line in system.entries[0].output().splitlines()
@@ -127,66 +132,70 @@
         line["request_id"]
         for line in lines
         if any(
-            endpoint_id in step and any(error in step for error in VAIN)
+            endpoint_id in step and any(error in step for error in FAILED_SEND_ERRORS)
             for step in line["sends"]
         )
     ]
 
 
-def count_vain(
-    vain: list[str], sent: Load, gone: list[tuple[float, float]]
+def count_failed_sends(
+    failed: list[str], sent: Load, downtimes: list[tuple[float, float]]
 ) -> tuple[int, int]:
-    """Return how many came while the endpoint was gone, and how many after."""
-    while_gone = after = 0
-    killed_next = [killed for killed, _ in gone[1:]] + [float("inf")]
-    for request_id in vain:
+    """Count the requests that began while the endpoint was down, and later ones."""
+    while_down = after = 0
+    next_kills = [killed for killed, _ in downtimes[1:]] + [float("inf")]
+    for request_id in failed:
         began, ended = sent.times_by_id.get(request_id, (0.0, 0.0))
-        for (killed, back), killed_again in zip(gone, killed_next, strict=True):
-            while_gone += killed <= began < back
-            after += back <= began and ended < killed_again
-    return while_gone, after
+        for (killed, announced), killed_again in zip(
+            downtimes, next_kills, strict=True
+        ):
+            while_down += killed <= began < announced
+            after += announced <= began and ended < killed_again
+    return while_down, after
 
 
-def measure(system: PlatformSystem, case: Case, restarts: int) -> Measured:
-    """Restart an endpoint so many times under load."""
+def measure(system: PlatformSystem, case: Case, restarts: int) -> CaseResult:
+    """Restart an endpoint `restarts` times under load and measure its use."""
     name = case.name.replace(" ", "-").replace(",", "")
     worker = PlatformWorker(
-        f"again-{name}", case.service, case.stage, started_at_ms=FIRST_START_MS
+        f"again-{name}", case.service, case.stage, started_at_ms=INITIAL_START_MS
     )
-    stays = PlatformWorker(f"stays-{name}", case.service, case.stage)
+    other_worker = PlatformWorker(f"stays-{name}", case.service, case.stage)
     seconds: list[float] = []
-    missed = 0
-    gone: list[tuple[float, float]] = []
+    unused = 0
+    downtimes: list[tuple[float, float]] = []
     worker.sequence = EARLIER_ANNOUNCEMENTS
-    system.add(stays)
+    system.add(other_worker)
     system.add(worker)
     with load(system, case.service) as sent:
         wait_until(lambda: worker.runs, "the endpoint is used")
         for _ in range(restarts):
             time.sleep(SETTLE_SECONDS)
-            if case.was_leaving:
+            if case.drained_first:
                 system.heartbeat(worker, "draining")
             killed = time.monotonic()
             worker = system.restart(worker, same_address=case.same_address)
             announced = time.monotonic()
-            gone.append((killed, announced))
-            while not worker.runs and time.monotonic() - announced < LONGEST_SECONDS:
+            downtimes.append((killed, announced))
+            while (
+                not worker.runs and time.monotonic() - announced < FIRST_REQUEST_TIMEOUT
+            ):
                 time.sleep(0.002)
             if worker.runs:
                 seconds.append(time.monotonic() - announced)
             else:
-                missed += 1
+                unused += 1
             worker.sequence = EARLIER_ANNOUNCEMENTS
-    vain = count_vain(sent_in_vain(system, worker.worker_id), sent, gone)
-    for item in (stays, worker):
+    failed = count_failed_sends(failed_sends(system, worker.worker_id), sent, downtimes)
+    for item in (other_worker, worker):
         system.withdraw(item)
         system.heartbeat(item, "draining")
         item.close()
-    return Measured(seconds, missed, *vain)
+    return CaseResult(seconds, unused, *failed)
 
 
 def main() -> None:
-    """Measure all cases and print a line for each."""
+    """Measure all cases and print the results of each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--restarts", type=int, default=20, help="for each case")
     restarts = parser.parse_args().restarts
@@ -204,16 +213,16 @@
             _print(case, measure(system, case, restarts), restarts)
 
 
-def _print(case: Case, measured: Measured, restarts: int) -> None:
-    if len(measured.seconds) < 2:
+def _print(case: Case, result: CaseResult, restarts: int) -> None:
+    if len(result.seconds) < 2:
         found = "-"
     else:
-        cuts = statistics.quantiles(measured.seconds, n=100, method="inclusive")
+        cuts = statistics.quantiles(result.seconds, n=100, method="inclusive")
         found = f"p50 {cuts[49] * 1000:.0f} ms, p99 {cuts[98] * 1000:.0f} ms"
     print(
-        f"{case.name}: {found}; no request in {LONGEST_SECONDS:.0f} s: "
-        f"{measured.missed} of {restarts}; sent in vain: {measured.vain_while_gone} "
-        f"while gone, {measured.vain_after} after",
+        f"{case.name}: {found}; no request in {FIRST_REQUEST_TIMEOUT:.0f} s: "
+        f"{result.unused} of {restarts}; failed sends: {result.failed_while_down} "
+        f"while down, {result.failed_after_restart} after",
         flush=True,
     )
 
--- a/bench/sweep.py
+++ b/bench/sweep.py
@@ -1,7 +1,7 @@
 """Runs policies and loads over several seeds and writes a report with plots.
 
-One JSON object a run goes to `bench/out/`. Runs go one after another, so that they
-don't take processor time from each other.
+The figures of each run are written to `bench/out/` as a JSON line. Runs are
+sequential, so that they don't compete for processor time.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def parse_options(arguments: list[str] | None = None) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="bench.sweep", description=__doc__)
     add = parser.add_argument
     add("--scenario", choices=sorted(SCENARIOS), required=True)
@@ -31,8 +31,8 @@
     add("--seconds", type=float, default=30.0)
     add("--faults", action="store_true")
     add("--out", type=Path, default=OUTPUT_FOLDER)
-    add("--resume", action="store_true", help="skip the runs that are there")
-    add("--report-only", action="store_true", help="plot the runs that are there")
+    add("--resume", action="store_true", help="skip the runs whose figures are stored")
+    add("--report-only", action="store_true", help="only plot the stored runs")
     return parser.parse_args(arguments)
 
 
