--- a/bench/_measure.py
+++ b/bench/_measure.py
@@ -287,17 +287,17 @@
         by_outcome: defaultdict[Outcome, list[RequestOutcome]] = defaultdict(list)
         for found in class_outcomes:
             by_outcome[found.outcome].append(found)
-        whole = by_outcome.get(Outcome.WHOLE, [])
+        complete = by_outcome.get(Outcome.WHOLE, [])
         refused = by_outcome.get(Outcome.REFUSED, [])
         return ClassFigures(
             offered=sum(planned.class_name == item.name for planned in self._planned),
             goodput=self._goodput([item.name]),
-            whole=len(whole),
+            whole=len(complete),
             met_first_token=sum(
-                meets_first_token_target(item, found) for found in whole
+                meets_first_token_target(item, found) for found in complete
             ),
             met_between_tokens=sum(
-                meets_between_tokens_target(item, found) for found in whole
+                meets_between_tokens_target(item, found) for found in complete
             ),
             outcomes={kind.value: len(found) for kind, found in by_outcome.items()},
             errors=dict(
