--- a/bench/_scenarios.py
+++ b/bench/_scenarios.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Burst:
-    """A share of arrivals that comes within `width` seconds of each `period`."""
+    """A share of arrivals, moved into the first `width` seconds of each `period`."""
 
     share: float
     period: float
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True)
 class PlainPool:
-    """The endpoints of a plain service; `requests_per_second` is at load 1.0."""
+    """The endpoints of a plain service, and its `requests_per_second` at load 1.0."""
 
     service: str
     zones: tuple[str, ...]
--- a/bench/capacity/tables.py
+++ b/bench/capacity/tables.py
@@ -1,7 +1,7 @@
 """Measures the cost of an entry host's tables by their size, within one process.
 
 `python -m bench.capacity.tables` prints the processor time of the choice of a home, of
-one reservation and grant, and of a declaration, with the memory that the tables take.
+one reservation and grant, and of a declaration, and the memory of the last two tables.
 Each is measured at three sizes or more, one of which is the target's, so that nothing
 is extrapolated.
 """
