--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,5 +1,5 @@
-"""Replays loads against the decisions who is granted which engine, in virtual time.
+"""Simulates load patterns against the grant decisions, in virtual time.
 
-`python -m bench.replay` plays patterns of load with drawn requests against the queue of
-the leader, without processes or sockets, and prints what callers got.
+`python -m bench.replay` runs patterns of load with random requests against the grant
+queue of the leader, without processes or sockets, and prints what the callers received.
 """
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Play patterns of load in some ways to decide; print a line for each."""
+"""Simulate patterns of load with the given options; print a line for each."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 import click
 
 from bench.replay._patterns import FEW_ENGINES_PATTERNS, PATTERNS
-from bench.replay._play import Outcome, Play, Ways
+from bench.replay._play import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions
 
-HEAD = (
+TABLE_HEAD = (
     "| pattern | worth | deviation | of large ones | in time | late | not served |"
     " for nothing | pushed out |"
 )
@@ -31,30 +31,34 @@
     passed: float,
     reader_wait: float,
 ) -> None:
-    """Play each pattern once for each seed."""
-    ways = Ways(MemoryOptions(margin, caution), WaitingOptions(passed, reader_wait))
-    click.echo(HEAD)
+    """Simulate each pattern once for each seed."""
+    options = DecisionOptions(
+        MemoryOptions(margin, caution), WaitingOptions(passed, reader_wait)
+    )
+    click.echo(TABLE_HEAD)
     for one in (*PATTERNS, *FEW_ENGINES_PATTERNS):
         if one.name.startswith(pattern):
-            outcomes = [Play(one, ways, seed).run() for seed in range(1, seeds + 1)]
+            outcomes = [
+                Simulation(one, options, seed).run() for seed in range(1, seeds + 1)
+            ]
             click.echo(_line(one.name, outcomes))
 
 
 def _line(name: str, outcomes: list[Outcome]) -> str:
-    asked = sum(item.asked for item in outcomes)
+    requested = sum(item.requested for item in outcomes)
     worths = [item.worth for item in outcomes]
     deviation = statistics.stdev(worths) if len(worths) > 1 else 0.0
     shares = (
         sum(item.in_time for item in outcomes),
         sum(item.late for item in outcomes),
         sum(item.unserved for item in outcomes),
-        sum(item.read_for_nothing for item in outcomes),
-        sum(item.pushed_out for item in outcomes),
+        sum(item.wasted_prefills for item in outcomes),
+        sum(item.evicted for item in outcomes),
     )
-    told = " | ".join(f"{share / asked:.4f}" for share in shares)
+    cells = " | ".join(f"{share / requested:.4f}" for share in shares)
     large = statistics.mean(item.large_worth for item in outcomes)
     worth = f"{statistics.mean(worths):.4f} | {deviation:.4f} | {large:.4f}"
-    return f"| {name} | {worth} | {told} |"
+    return f"| {name} | {worth} | {cells} |"
 
 
 if __name__ == "__main__":
--- a/bench/replay/_clock.py
+++ b/bench/replay/_clock.py
@@ -1,4 +1,4 @@
-"""A steady clock that the replay moves."""
+"""A steady clock that the simulation advances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class VirtualClock:
-    """Stands in for the steady clock of all modules, until it is taken out."""
+    """Replaces the steady clock of all modules while the context is open."""
 
     def __init__(self) -> None:
         self.now = STARTS_AT_SECONDS
--- a/bench/replay/_engines.py
+++ b/bench/replay/_engines.py
@@ -1,4 +1,4 @@
-"""Simulated engines: many answers at a time, and one prompt."""
+"""Simulated engines: a decode engine runs many answers, a prefill engine one prompt."""
 
 from __future__ import annotations
 
@@ -8,86 +8,92 @@
 
 from jujubeslip.routes import EngineReport, RunningAnswer
 
-# Events a second of an answer, less this for each that the engine makes.
-PACE_ALONE, PACE_LESS_BY = 25.8, 0.65
-# An engine that answers reads at half the speed, and its answers wait meanwhile.
-OWN_SPEED_SHARE = 0.5
-# How old the state is that a report tells, in seconds.
+# Events per second of an answer, and the loss for each answer that the engine runs.
+SINGLE_ANSWER_EVENT_RATE, EVENT_RATE_LOSS_PER_ANSWER = 25.8, 0.65
+# A decode engine prefills at half the speed, and its answers stall meanwhile.
+DECODE_ENGINE_PREFILL_SPEED_SHARE = 0.5
+# Age of the state in a report, in seconds.
 REPORT_LAG_SECONDS = 0.9
 
 
 @dataclass
 class Answer:
-    """An answer that an engine makes."""
+    """An answer that a decode engine produces."""
 
     request_id: str
     prompt_tokens: int
     events: int
     event_tokens: int
-    made: float = 0.0
+    produced_events: float = 0.0
     longest_gap: float = 0.0
     latest_event_at: float = 0.0
     first_event_at: float | None = None
-    was_pushed_out: bool = False
+    was_evicted: bool = False
 
     @property
-    def memory(self) -> int:
-        """Return the tokens that it holds."""
-        return self.prompt_tokens + int(self.made) * self.event_tokens
+    def memory_tokens(self) -> int:
+        """Return the number of tokens that it holds in memory."""
+        return self.prompt_tokens + int(self.produced_events) * self.event_tokens
 
 
 @dataclass
-class AnsweringEngine:
-    """Makes all of its answers at once; stands still while it reads a prompt."""
+class DecodeEngine:
+    """Produces all of its answers concurrently; stalls while it prefills a prompt."""
 
     name: str
     capacity: int
-    read_tokens_a_second: float
+    prefill_tokens_per_second: float
     lost_until: float = 0.0
     heard_at: float = math.inf
-    """When it announced itself last, if it crashed; infinite while it runs."""
+    """Time of its last announcement before a crash; infinite while it runs."""
     leaves_at: float = math.inf
-    """When it ends what it makes still, after it said that it leaves."""
+    """When its remaining answers end, after it announced that it is leaving."""
     running: list[Answer] = field(default_factory=list)
-    pushed_out: deque[Answer] = field(default_factory=deque)
-    stands_still_until: float = 0.0
+    evicted: deque[Answer] = field(default_factory=deque)
+    stalled_until: float = 0.0
     history: deque[tuple[float, EngineReport]] = field(default_factory=deque)
 
-    def begin(self, answer: Answer, now: float, reads_itself: bool) -> bool:
-        """Begin an answer, unless there is no memory for its prompt."""
+    def start_answer(self, answer: Answer, now: float, reads_itself: bool) -> bool:
+        """Start an answer; return whether there is memory for its prompt."""
         if self.used + answer.prompt_tokens > self.capacity:
             return False
         if reads_itself:
-            self._read(answer, now)
+            self._prefill(answer, now)
         answer.latest_event_at = now
         self.running.append(answer)
         return True
 
     @property
     def used(self) -> int:
-        """Return the tokens in use."""
-        return sum(answer.memory for answer in self.running)
+        """Return the number of tokens in use."""
+        return sum(answer.memory_tokens for answer in self.running)
 
     def step(self, now: float, seconds: float) -> list[Answer]:
-        """Go on for a moment; return the answers that have ended."""
-        if now >= self.stands_still_until:
-            self._make(now, seconds)
+        """Advance by `seconds`; return the answers that have finished."""
+        if now >= self.stalled_until:
+            self._produce_events(now, seconds)
         while self.used > self.capacity:
             newest = self.running.pop()
-            newest.was_pushed_out = True
-            self.pushed_out.append(newest)
-        if self.pushed_out and self.used + self.pushed_out[0].memory < self.capacity:
-            back = self.pushed_out.popleft()
-            self._read(back, now)
-            self.running.append(back)
-        ended = [answer for answer in self.running if answer.made >= answer.events]
-        self.running = [item for item in self.running if item.made < item.events]
-        return ended
+            newest.was_evicted = True
+            self.evicted.append(newest)
+        if self.evicted and self.used + self.evicted[0].memory_tokens < self.capacity:
+            evicted_answer = self.evicted.popleft()
+            self._prefill(evicted_answer, now)
+            self.running.append(evicted_answer)
+        finished = [
+            answer for answer in self.running if answer.produced_events >= answer.events
+        ]
+        self.running = [
+            item for item in self.running if item.produced_events < item.events
+        ]
+        return finished
 
     def report(self, now: float) -> EngineReport:
-        """Return its state of a moment ago."""
+        """Return the state of `REPORT_LAG_SECONDS` ago."""
         running = tuple(
-            RunningAnswer(answer.memory, int(answer.made), answer.request_id)
+            RunningAnswer(
+                answer.memory_tokens, int(answer.produced_events), answer.request_id
+            )
             for answer in self.running
         )
         self.history.append((now, EngineReport(self.capacity, self.used, 0, running)))
@@ -96,19 +102,24 @@
         return self.history[0][1]
 
     def lose(self, until: float) -> list[Answer]:
-        """End all answers."""
-        ended = [*self.running, *self.pushed_out]
+        """Lose the engine until the given time; return its interrupted answers."""
+        finished = [*self.running, *self.evicted]
         self.running, self.lost_until = [], until
-        self.pushed_out.clear()
+        self.evicted.clear()
         self.history.clear()
-        return ended
+        return finished
 
-    def _make(self, now: float, seconds: float) -> None:
-        pace = PACE_ALONE - PACE_LESS_BY * len(self.running)
+    def _produce_events(self, now: float, seconds: float) -> None:
+        event_rate = SINGLE_ANSWER_EVENT_RATE - EVENT_RATE_LOSS_PER_ANSWER * len(
+            self.running
+        )
         for answer in self.running:
-            before = int(answer.made)
-            answer.made += pace * seconds
-            if int(answer.made) == before and answer.first_event_at is not None:
+            before = int(answer.produced_events)
+            answer.produced_events += event_rate * seconds
+            if (
+                int(answer.produced_events) == before
+                and answer.first_event_at is not None
+            ):
                 continue
             if answer.first_event_at is None:
                 answer.first_event_at = now
@@ -117,24 +128,26 @@
                 answer.longest_gap = max(answer.longest_gap, gap)
             answer.latest_event_at = now
 
-    def _read(self, answer: Answer, now: float) -> None:
-        begins = max(now, self.stands_still_until)
-        own_speed = self.read_tokens_a_second * OWN_SPEED_SHARE
-        self.stands_still_until = begins + answer.memory / own_speed
+    def _prefill(self, answer: Answer, now: float) -> None:
+        stall_begins = max(now, self.stalled_until)
+        prefill_speed = (
+            self.prefill_tokens_per_second * DECODE_ENGINE_PREFILL_SPEED_SHARE
+        )
+        self.stalled_until = stall_begins + answer.memory_tokens / prefill_speed
 
 
 @dataclass
-class ReadingEngine:
-    """Reads one prompt after the other."""
+class PrefillEngine:
+    """Prefills one prompt after the other."""
 
     name: str
-    read_tokens_a_second: float
+    prefill_tokens_per_second: float
     lost_until: float = 0.0
     heard_at: float = math.inf
-    """When it announced itself last, if it crashed; infinite while it runs."""
+    """Time of its last announcement before a crash; infinite while it runs."""
     free_at: float = 0.0
 
-    def read(self, tokens: int, now: float) -> float:
-        """Return when a prompt will have been read."""
-        self.free_at = max(now, self.free_at) + tokens / self.read_tokens_a_second
+    def prefill(self, tokens: int, now: float) -> float:
+        """Return when the prefill of a prompt will be complete."""
+        self.free_at = max(now, self.free_at) + tokens / self.prefill_tokens_per_second
         return self.free_at
--- a/bench/replay/_roles.py
+++ b/bench/replay/_roles.py
@@ -1,4 +1,4 @@
-"""The leader's orders to engines, over the engines of a replay."""
+"""The leader's role orders to the engines of a simulation."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ReplayedRoles:
-    """Gives orders as a leader does that has led for long, and as those after it."""
+    """Gives the orders of a long-established leader, and of the leaders after it."""
 
     def __init__(
         self,
@@ -45,17 +45,17 @@
         self._pressures = Pressures()
         self._engines: Sequence[Endpoint] = ()
         self._may_order = True
-        self._asked = ""
+        self._asked_endpoint_id = ""
         self._ordered: RoleOrder | None = None
         self._engine_table = EngineTable()
         self._engine_table.set_loads(EngineLoads([]), 0)
         self._term = 1
-        self._keeper = self._new_keeper()
+        self._role_manager = self._new_role_manager()
 
     def take_over(self) -> None:
-        """Let another host lead from now on, which knows the log alone."""
+        """Make another host the leader; it knows only what the log contains."""
         self._term += 1
-        self._keeper = self._new_keeper()
+        self._role_manager = self._new_role_manager()
 
     def _commit(self, command: EngineOrder | EngineLoads) -> None:
         if isinstance(command, EngineOrder):
@@ -63,7 +63,7 @@
         else:
             self._engine_table.set_loads(command, _stamp_ms())
 
-    def _new_keeper(self) -> _Keeper:
+    def _new_role_manager(self) -> _ReplayedRoleManager:
         pool = self._pool
         replica: Any = SimpleNamespace(
             settings=SimpleNamespace(host_id="control-1"),
@@ -74,19 +74,19 @@
             propose=lambda command, _: self._commit(command),
             submit=self._commit,
         )
-        book: Any = SimpleNamespace(
+        registry: Any = SimpleNamespace(
             engines=self._with_role, engine_services=lambda: {SERVICE_NAME}
         )
         watches: Any = SimpleNamespace(pressure_of=self._pressure)
         interface: Any = SimpleNamespace(
-            ask_report=self._note_asked,
+            ask_report=self._note_report_request,
             read_report=self._read_report,
             order_role=self._note_order,
         )
-        keeper = _Keeper(
+        role_manager = _ReplayedRoleManager(
             replica,
             EngineLog(replica),
-            book,
+            registry,
             watches,
             interface,
             ControlSettings.order_lease_ms / 1000,
@@ -100,20 +100,20 @@
             ),
             answer_count=lambda engine: pool.answer_count(engine.start_id),
         )
-        keeper.answer = self._answer
-        return keeper
+        role_manager.answer = self._answer
+        return role_manager
 
-    def look(self, engines: Sequence[Endpoint], may_order: bool) -> None:
-        """Order engines to change, if that is allowed now."""
+    def scan(self, engines: Sequence[Endpoint], may_order: bool) -> None:
+        """Scan the engines; order role changes if `may_order` is set."""
         self._engines, self._may_order = engines, may_order
-        self._keeper.scan()
+        self._role_manager.scan()
 
     def note_wait(self, seconds: float) -> None:
-        """Note how long a request waited for a grant, found or not."""
+        """Record how long a request waited for a grant, granted or not."""
         self._pressures.note_wait(SERVICE_NAME, seconds)
 
     def note_prompt(self, seconds: float) -> None:
-        """Note how long an engine takes for a prompt."""
+        """Record how long an engine takes for a prompt."""
         self._pressures.note_prompt(SERVICE_NAME, seconds)
 
     def _fence(self) -> Fence | None:
@@ -125,14 +125,16 @@
         return [engine for engine in self._engines if engine.role is role]
 
     def _pressure(self, _: str) -> ServicePressure:
-        told = self._pressures.report()
-        return told[0] if told else ServicePressure(SERVICE_NAME, 0, 0)
+        pressures = self._pressures.report()
+        return pressures[0] if pressures else ServicePressure(SERVICE_NAME, 0, 0)
 
-    def _note_asked(self, name: str) -> None:
-        self._asked = name
+    def _note_report_request(self, name: str) -> None:
+        self._asked_endpoint_id = name
 
     def _read_report(self, _: bytes) -> Result[EngineReport, str]:
-        return Success(EngineReport(1, 0, 0, (), busy=self._asked in self._changing))
+        return Success(
+            EngineReport(1, 0, 0, (), busy=self._asked_endpoint_id in self._changing)
+        )
 
     def _note_order(self, order: RoleOrder) -> RoleOrder:
         self._ordered = order
@@ -151,8 +153,8 @@
     return int(steady_seconds() * 1000)
 
 
-class _Keeper(RoleManager):
-    """Gives its orders to the engines of the replay, without a connection."""
+class _ReplayedRoleManager(RoleManager):
+    """Gives its orders to the simulated engines, without a connection."""
 
     answer: Callable[[], tuple[int, bytes]]
 
--- a/tests/bench/test_few_engines.py
+++ b/tests/bench/test_few_engines.py
@@ -1,25 +1,25 @@
-"""Few engines, of which some are lost, replayed in virtual time."""
+"""Simulations of few engines, some of which are lost, in virtual time."""
 
 from __future__ import annotations
 
 import pytest
 
 from bench.replay._patterns import FEW_ENGINES_PATTERNS, Pattern, drawn_pattern
-from bench.replay._play import Outcome, Play, Ways
+from bench.replay._play import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions
 from jujubeslip.kernel import ControlSettings
 
 PATTERN_BY_NAME = {pattern.name: pattern for pattern in FEW_ENGINES_PATTERNS}
-# Share of what callers are owed that is earned in each play.
-LEAST_WORTH = 0.5
+# Share of the worth of all requests that each simulation earns.
+MINIMUM_WORTH = 0.5
 SEEDS = (1, 2, 3)
-# Draws that take two engines for good, at least one of which answers.
-DRAWS = (7, 9, 11, 13, 32, 39, 46)
+# Seeds whose patterns lose two engines permanently, at least one a decode engine.
+DRAWN_SEEDS = (7, 9, 11, 13, 32, 39, 46)
 
 
-def by_default() -> Ways:
-    """Return the ways to decide of a control host without settings of its own."""
-    return Ways(
+def default_options() -> DecisionOptions:
+    """Return the options of a control host with default settings."""
+    return DecisionOptions(
         MemoryOptions(ControlSettings.memory_margin, ControlSettings.memory_caution),
         WaitingOptions(
             ControlSettings.passed_ms / 1000, ControlSettings.reader_wait_ms / 1000
@@ -28,17 +28,17 @@
 
 
 def played(pattern: Pattern, seed: int) -> Outcome:
-    return Play(pattern, by_default(), seed).run()
+    return Simulation(pattern, default_options(), seed).run()
 
 
-class TestFewEnginesOfWhichSomeAreLost:
-    """Guards against readers that stay idle beside too few engines that answer."""
+class TestLossOfFewEngines:
+    """Guards against idle prefill engines while there are too few decode engines."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("name", PATTERN_BY_NAME)
-    def test_earn_half_of_what_is_owed(self, name: str, seed: int) -> None:
-        assert played(PATTERN_BY_NAME[name], seed).worth >= LEAST_WORTH
+    def test_earns_half_of_the_worth(self, name: str, seed: int) -> None:
+        assert played(PATTERN_BY_NAME[name], seed).worth >= MINIMUM_WORTH
 
-    @pytest.mark.parametrize("seed", DRAWS)
-    def test_earn_half_whatever_is_drawn(self, seed: int) -> None:
-        assert played(drawn_pattern(seed), seed).worth >= LEAST_WORTH
+    @pytest.mark.parametrize("seed", DRAWN_SEEDS)
+    def test_earns_half_of_the_worth_with_random_losses(self, seed: int) -> None:
+        assert played(drawn_pattern(seed), seed).worth >= MINIMUM_WORTH
--- a/tests/bench/test_lost_leaders.py
+++ b/tests/bench/test_lost_leaders.py
@@ -1,4 +1,4 @@
-"""Few engines that are lost while leaders change, replayed in virtual time."""
+"""Simulations of few engines that are lost while leaders change."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
     drawn_pattern_with_lost_leader,
 )
 from jujubeslip.peers import EndpointRole
-from tests.bench.test_few_engines import LEAST_WORTH, SEEDS, played
+from tests.bench.test_few_engines import MINIMUM_WORTH, SEEDS, played
 
 PATTERN_BY_NAME = {pattern.name: pattern for pattern in LOST_LEADERS_PATTERNS}
-DRAWS = range(1, 25)
-# Share of what callers are owed that is earned in the mean of all draws.
+DRAWN_SEEDS = range(1, 25)
+# Mean share of the worth of all requests that the random patterns earn.
 MEAN_WORTH = 0.6
-# An order takes a look, a question to the engine and the order itself.
+# An order takes a scan, a report request to the engine and the order itself.
 ORDER_SECONDS = 2.0
 
 
-class TestFewEnginesWhoseLeaderIsLost:
-    """Guards against seconds in which a new leader orders no engine."""
+class TestLossOfLeader:
+    """Guards against a new leader that gives no orders for some seconds."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("name", PATTERN_BY_NAME)
-    def test_earn_half_of_what_is_owed(self, name: str, seed: int) -> None:
-        assert played(PATTERN_BY_NAME[name], seed).worth >= LEAST_WORTH
+    def test_earns_half_of_the_worth(self, name: str, seed: int) -> None:
+        assert played(PATTERN_BY_NAME[name], seed).worth >= MINIMUM_WORTH
 
-    def test_earn_half_and_the_mean_whatever_is_drawn(self) -> None:
+    def test_earns_half_and_the_mean_with_random_losses(self) -> None:
         worths = [
-            played(drawn_pattern_with_lost_leader(seed), seed).worth for seed in DRAWS
+            played(drawn_pattern_with_lost_leader(seed), seed).worth
+            for seed in DRAWN_SEEDS
         ]
-        assert min(worths) >= LEAST_WORTH
+        assert min(worths) >= MINIMUM_WORTH
         assert statistics.mean(worths) >= MEAN_WORTH
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_last_reader_is_replaced_by_the_next_leader(self, seed: int) -> None:
+    def test_last_prefill_engine_is_replaced_by_the_next_leader(
+        self, seed: int
+    ) -> None:
         pattern = PATTERN_BY_NAME[
             "both readers leave before and one engine crashes after a leader is lost"
         ]
@@ -47,7 +50,7 @@
         assert orders[0][0] <= leads_at + ORDER_SECONDS
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_idle_reader_is_ordered_to_answer_by_the_next_leader(
+    def test_idle_prefill_engine_is_ordered_to_decode_by_the_next_leader(
         self, seed: int
     ) -> None:
         pattern = PATTERN_BY_NAME[
@@ -59,21 +62,21 @@
         assert orders[0][0] <= lost_at + ORDER_SECONDS
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_order_that_is_carried_out_is_given_once(self, seed: int) -> None:
+    def test_order_is_given_once_across_leaders(self, seed: int) -> None:
         pattern = PATTERN_BY_NAME["a leader is lost while its order is carried out"]
         orders = played(pattern, seed).orders
         assert [role for _, role in orders] == [EndpointRole.PREFILL]
 
 
-class TestReadersThatLeaveWhileEnginesChangeToAnswer:
-    """Guards against seconds without a reader beside an engine that can be ordered."""
+class TestPrefillEnginesLeavingDuringRoleChanges:
+    """Guards against seconds without a prefill engine while one could be ordered."""
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_are_replaced_at_once(self, seed: int) -> None:
+    def test_are_replaced_immediately(self, seed: int) -> None:
         pattern = PATTERN_BY_NAME[
             "both readers leave while two engines change to answer"
         ]
         lost_at = pattern.losses[0].at
         orders = played(pattern, seed).orders
-        to_read = [at for at, role in orders if role is EndpointRole.PREFILL]
-        assert to_read and to_read[0] <= lost_at + ORDER_SECONDS
+        prefill_orders = [at for at, role in orders if role is EndpointRole.PREFILL]
+        assert prefill_orders and prefill_orders[0] <= lost_at + ORDER_SECONDS
--- a/tests/bench/test_measure.py
+++ b/tests/bench/test_measure.py
@@ -1,4 +1,4 @@
-"""Tests of what the load tool counts."""
+"""Tests of the figures that the load tool computes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 PLANNED = PlannedRequest("board-poll-1-0", "board-poll", 0.5, 200, 3, -1)
 
 
-def whole_outcome() -> RequestOutcome:
+def complete_outcome() -> RequestOutcome:
     prompt = make_prompt(PLANNED, SCENARIO.class_by_name["board-poll"])
     return RequestOutcome(
         planned_id=PLANNED.request_id,
@@ -51,13 +51,13 @@
 
 
 class TestGoodput:
-    """Which requests count as good."""
+    """Requests that count as goodput."""
 
-    def test_a_whole_answer_within_both_targets_is_good(self) -> None:
-        assert measure(whole_outcome(), []).figures().goodput == 1.0
+    def test_a_complete_answer_within_both_targets_is_good(self) -> None:
+        assert measure(complete_outcome(), []).figures().goodput == 1.0
 
-    def test_a_late_slow_or_cut_answer_is_not(self) -> None:
-        good = whole_outcome()
+    def test_a_late_slow_or_interrupted_answer_is_not_good(self) -> None:
+        good = complete_outcome()
         for bad in (
             replace(good, first_token=1.1),
             replace(good, gaps_ms=(20.0, 200.0)),
@@ -67,45 +67,49 @@
 
     def test_a_request_of_the_warm_up_is_not_counted(self) -> None:
         early = replace(PLANNED, request_id="board-poll-1-1", at=0.1)
-        late = replace(whole_outcome(), planned_id=early.request_id, first_token=9.0)
+        late = replace(complete_outcome(), planned_id=early.request_id, first_token=9.0)
         figures = RunMeasure(
             SCENARIO,
             [early, PLANNED],
-            [late, whole_outcome()],
+            [late, complete_outcome()],
             [],
             counted=frozenset({PLANNED.request_id}),
         ).figures()
         assert (figures.offered, figures.goodput) == (1, 1.0)
 
     def test_the_text_of_another_prompt_is_a_wrong_answer(self) -> None:
-        crossed = replace(whole_outcome(), text=answer_text("another prompt", 3))
-        assert measure(crossed, []).figures().wrong_answers == 1
+        wrong_answer = replace(
+            complete_outcome(), text=answer_text("another prompt", 3)
+        )
+        assert measure(wrong_answer, []).figures().wrong_answers == 1
 
 
 class TestWastedPrefill:
-    """Which computed tokens count as wasted."""
+    """Computed tokens that count as wasted."""
 
-    def test_a_result_that_no_caller_gained_by_is_wasted(self) -> None:
+    def test_a_prefill_without_a_served_answer_is_wasted(self) -> None:
         decode = {**prefill_run("kv-2", 0), "kind": "decode", "last_index": 2}
         runs = [prefill_run("kv-1", 100), prefill_run("kv-2", 300), decode]
-        assert measure(whole_outcome(), runs).figures().wasted_prefill == 0.25
-        gone = replace(whole_outcome(), outcome=Outcome.GAVE_UP, tokens=0, text="")
-        assert measure(gone, runs).figures().wasted_prefill == 1.0
+        assert measure(complete_outcome(), runs).figures().wasted_prefill == 0.25
+        gave_up = replace(
+            complete_outcome(), outcome=Outcome.GAVE_UP, tokens=0, text=""
+        )
+        assert measure(gave_up, runs).figures().wasted_prefill == 1.0
 
 
 class TestPlan:
-    """The open-loop load of a seed."""
+    """The open-loop load that a seed determines."""
 
-    def test_one_seed_gives_one_plan(self) -> None:
+    def test_the_same_seed_gives_the_same_plan(self) -> None:
         first = plan_requests(SCENARIO, 1.0, 10.0, seed=3)
         assert first == plan_requests(SCENARIO, 1.0, 10.0, seed=3)
         assert first != plan_requests(SCENARIO, 1.0, 10.0, seed=4)
 
 
 class TestAnswerReader:
-    """Answers that arrive in pieces of any size."""
+    """Answers that arrive in chunks of any size."""
 
-    def test_a_chunked_stream_is_read_whole_from_single_bytes(self) -> None:
+    def test_a_chunked_stream_is_parsed_from_single_bytes(self) -> None:
         events = [
             f"event: token\ndata: {json.dumps({'index': 0, 'token': 'w1 '})}\n\n",
             f"event: end\ndata: {json.dumps({'tokens': 1})}\n\n",
