--- a/bench/admission/__init__.py
+++ b/bench/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Cost of the decision which request gets which engine."""
+"""Measurements of the cost of the grant decisions."""
--- a/bench/admission/calls.py
+++ b/bench/admission/calls.py
@@ -1,8 +1,8 @@
-"""Measure the leader's calls in a burst: how long each holds the queue for grants.
+"""Measure how long each call to the leader occupies the grant queue in a burst.
 
-One thread plays the load, so that only the decisions are measured: requests come and
-ask on, prompts are read, answers end, and all engines report four times a second.
-Prints one JSON line.
+One thread generates the load, so that only the decisions are measured. Requests arrive
+and are retried, prompts are prefilled, answers finish, and all engines report four
+times per second. Prints one JSON line.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 import click
 
 from bench.admission.measure import (
-    ANSWERS,
-    READERS_SHARE,
-    REPORTS_A_SECOND,
-    applicant,
-    engine,
-    full,
+    ENGINES_PER_PREFILL_ENGINE,
+    REPORTS_PER_SECOND,
+    RUNNING_ANSWERS,
+    engine_endpoint,
+    full_engine_report,
+    grant_request,
 )
 from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._memory_forecast import MemoryOptions
@@ -31,84 +31,92 @@
 from jujubeslip.peers import EndpointRole
 from jujubeslip.routes import EngineReport
 
-# How often a host asks on for a request that waits, in seconds.
-ASKS_EVERY_SECONDS = 0.2
-# How often the leader looks whether something came free by time alone, in seconds.
-LOOK_SECONDS = 0.05
-# How long a request holds a grant, in seconds.
-HELD_SECONDS = 0.5
+# Interval at which a host retries the grant of a waiting request, in seconds.
+GRANT_RETRY_SECONDS = 0.2
+# Interval at which the leader scans for capacity that became free by time alone.
+SCAN_SECONDS = 0.05
+# How long a request holds its grant, in seconds.
+GRANT_HELD_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
-class _Held:
+class _HeldGrant:
     request_id: str
     until: Deadline
 
 
 class Load:
-    """A burst at a pool of which all engines are nearly full."""
+    """A burst of requests at a pool whose engines are all nearly full."""
 
     def __init__(self, engines: int, waiting: int) -> None:
         self._names = [f"engine-{number}" for number in range(engines)]
-        readers = [f"reader-{n}" for n in range(max(1, engines // READERS_SHARE))]
+        prefill_engines = [
+            f"reader-{n}" for n in range(max(1, engines // ENGINES_PER_PREFILL_ENGINE))
+        ]
         self.pool = EnginePool("model", MemoryOptions(0.05, 1.5))
         self.pool.set_engines(
-            [engine(name, EndpointRole.DECODE) for name in self._names],
-            [engine(name, EndpointRole.PREFILL) for name in readers],
+            [engine_endpoint(name, EndpointRole.DECODE) for name in self._names],
+            [engine_endpoint(name, EndpointRole.PREFILL) for name in prefill_engines],
         )
-        self._readers = readers
-        self._report_turn = itertools.cycle(self._names)
-        self._asking = deque(f"request-{number}" for number in range(waiting))
+        self._prefill_engines = prefill_engines
+        self._next_reporters = itertools.cycle(self._names)
+        self._waiting = deque(f"request-{number}" for number in range(waiting))
         self._number = waiting
-        self._held: deque[_Held] = deque()
+        self._held_grants: deque[_HeldGrant] = deque()
         self.seconds: list[float] = []
         self.grants = 0
 
     def run(self, seconds: float) -> None:
-        """Play reports at their pace, and all that hosts tell between them."""
+        """Send reports at their interval, and the calls of hosts between them."""
         end = Deadline.after(seconds)
-        pause = 1 / (REPORTS_A_SECOND * len(self._names))
-        reports_a_look = max(1, int(LOOK_SECONDS / pause))
-        asks_a_report = max(1, int(len(self._asking) * pause / ASKS_EVERY_SECONDS))
+        pause = 1 / (REPORTS_PER_SECOND * len(self._names))
+        reports_per_scan = max(1, int(SCAN_SECONDS / pause))
+        retries_per_report = max(
+            1, int(len(self._waiting) * pause / GRANT_RETRY_SECONDS)
+        )
         for number in itertools.count():
             if end.expired:
                 return
             began = steady_seconds()
             if number % len(self._names) == 0:
-                self._report_readers()
-            name = next(self._report_turn)
-            answers = ANSWERS - 1 + number // len(self._names) % 3
-            self._timed(partial(self.pool.take_report, name, full(name, answers)))
-            for request_id in list(itertools.islice(self._asking, asks_a_report)):
-                self._ask(request_id)
-            for ended in self._ended():
-                self._timed(partial(self.pool.end, ended, 1))
-            if number % reports_a_look == 0:
+                self._report_prefill_engines()
+            name = next(self._next_reporters)
+            answers = RUNNING_ANSWERS - 1 + number // len(self._names) % 3
+            self._timed(
+                partial(self.pool.take_report, name, full_engine_report(name, answers))
+            )
+            for request_id in list(itertools.islice(self._waiting, retries_per_report)):
+                self._request_grant(request_id)
+            for finished in self._finished():
+                self._timed(partial(self.pool.end, finished, 1))
+            if number % reports_per_scan == 0:
                 self._timed(self.pool.look_again)
             time.sleep(max(0.0, began + pause - steady_seconds()))
 
-    def _report_readers(self) -> None:
-        reads = EngineReport(1, 0, 0, (), is_prefill_engine=True)
-        for name in self._readers:
-            self._timed(partial(self.pool.take_report, name, reads))
+    def _report_prefill_engines(self) -> None:
+        prefill_report = EngineReport(1, 0, 0, (), is_prefill_engine=True)
+        for name in self._prefill_engines:
+            self._timed(partial(self.pool.take_report, name, prefill_report))
 
-    def _ask(self, request_id: str) -> None:
-        self._asking.popleft()
+    def _request_grant(self, request_id: str) -> None:
+        self._waiting.popleft()
         began = steady_seconds()
-        decision = self.pool.ask(applicant(request_id), (), Deadline.after(0))
+        decision = self.pool.ask(grant_request(request_id), (), Deadline.after(0))
         self.seconds.append(steady_seconds() - began)
         if decision.grant is None:
-            self._asking.append(request_id)
+            self._waiting.append(request_id)
             return
         self.grants += 1
         self._timed(partial(self.pool.note_prefilled, request_id, 1))
-        self._held.append(_Held(request_id, Deadline.after(HELD_SECONDS)))
+        self._held_grants.append(
+            _HeldGrant(request_id, Deadline.after(GRANT_HELD_SECONDS))
+        )
         self._number += 1
-        self._asking.append(f"request-{self._number}")
+        self._waiting.append(f"request-{self._number}")
 
-    def _ended(self) -> Iterator[str]:
-        while self._held and self._held[0].until.expired:
-            yield self._held.popleft().request_id
+    def _finished(self) -> Iterator[str]:
+        while self._held_grants and self._held_grants[0].until.expired:
+            yield self._held_grants.popleft().request_id
 
     def _timed(self, call: Callable[[], object]) -> None:
         began = steady_seconds()
@@ -121,20 +129,22 @@
 @click.option("--waiting", default=400, show_default=True)
 @click.option("--seconds", default=5.0, show_default=True)
 def main(engines: int, waiting: int, seconds: float) -> None:
-    """Play a burst and print how long its calls took."""
+    """Generate a burst and print how long its calls took."""
     load = Load(engines, waiting)
     began = steady_seconds()
     load.run(seconds)
-    wall = steady_seconds() - began
-    taken = sorted(load.seconds)
+    wall_seconds = steady_seconds() - began
+    call_seconds = sorted(load.seconds)
     row = {
         "engines": engines,
         "waiting": waiting,
-        "cores": round(sum(taken) / wall, 3),
-        "calls_per_second": round(len(taken) / wall, 1),
-        "grants_per_second": round(load.grants / wall, 1),
-        "call_ms_p50": round(1000 * taken[len(taken) // 2], 3),
-        "call_ms_p99": round(1000 * taken[int(0.99 * (len(taken) - 1))], 3),
+        "cores": round(sum(call_seconds) / wall_seconds, 3),
+        "calls_per_second": round(len(call_seconds) / wall_seconds, 1),
+        "grants_per_second": round(load.grants / wall_seconds, 1),
+        "call_ms_p50": round(1000 * call_seconds[len(call_seconds) // 2], 3),
+        "call_ms_p99": round(
+            1000 * call_seconds[int(0.99 * (len(call_seconds) - 1))], 3
+        ),
     }
     click.echo(json.dumps(row))
 
--- a/bench/admission/measure.py
+++ b/bench/admission/measure.py
@@ -1,7 +1,7 @@
-"""Measure the queue for grants in a burst: processor time, and how long a grant takes.
+"""Measure the grant queue in a burst: its CPU time and the latency of grants.
 
-Many hosts wait, all engines are full and report four times a second, and each report
-has room for one more answer. Prints one JSON line.
+Many requests wait, all engines are full and report four times per second, and each
+report has free capacity for one more answer. Prints one JSON line.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 CAPACITY_TOKENS = 34_000
 PROMPT_TOKENS, EVENT_TOKENS, EVENTS = 3_200, 13, 130
-ANSWERS = 7
-REPORTS_A_SECOND = 4
-READERS_SHARE = 4
-SAFE_TARGET_SECONDS = 60.0
+RUNNING_ANSWERS = 7
+REPORTS_PER_SECOND = 4
+ENGINES_PER_PREFILL_ENGINE = 4
+TARGET_SECONDS = 60.0
 
 
-def engine(name: str, role: EndpointRole) -> Endpoint:
-    """Return a start of an engine."""
+def engine_endpoint(name: str, role: EndpointRole) -> Endpoint:
+    """Return the endpoint of an engine with this name and role."""
     return Endpoint(
         endpoint_id=name,
         service_name="model",
@@ -47,8 +47,8 @@
     )
 
 
-def applicant(request_id: str) -> GrantRequest:
-    """Return a request that waits for as long as the burst lasts."""
+def grant_request(request_id: str) -> GrantRequest:
+    """Return a grant request whose deadline is later than the end of the burst."""
     return GrantRequest(
         request_id,
         1,
@@ -56,15 +56,15 @@
         EVENT_TOKENS,
         lengths_of(EVENTS),
         64,
-        Deadline.after(SAFE_TARGET_SECONDS),
-        Deadline.after(SAFE_TARGET_SECONDS),
+        Deadline.after(TARGET_SECONDS),
+        Deadline.after(TARGET_SECONDS),
         reads_itself=False,
         maximum_gap=0.3,
     )
 
 
-def full(name: str, answers: int) -> EngineReport:
-    """Return the report of an engine that makes so many answers."""
+def full_engine_report(name: str, answers: int) -> EngineReport:
+    """Return the report of an engine that runs this number of answers."""
     running = tuple(
         RunningAnswer(PROMPT_TOKENS + EVENT_TOKENS * 60, 60, f"{name}-{number}")
         for number in range(answers)
@@ -74,60 +74,64 @@
 
 
 class Burst:
-    """Requests that wait while engines report that they have room."""
+    """Requests that wait while engines report free capacity."""
 
     def __init__(self, engines: int, waiting: int) -> None:
         self._engines = [f"engine-{number}" for number in range(engines)]
-        readers = [f"reader-{n}" for n in range(max(1, engines // READERS_SHARE))]
-        self._readers = readers
+        prefill_engines = [
+            f"reader-{n}" for n in range(max(1, engines // ENGINES_PER_PREFILL_ENGINE))
+        ]
+        self._prefill_engines = prefill_engines
         self.pool = EnginePool("model", MemoryOptions(0.05, 1.5))
         self.pool.set_engines(
-            [engine(name, EndpointRole.DECODE) for name in self._engines],
-            [engine(name, EndpointRole.PREFILL) for name in readers],
+            [engine_endpoint(name, EndpointRole.DECODE) for name in self._engines],
+            [engine_endpoint(name, EndpointRole.PREFILL) for name in prefill_engines],
         )
         for name in self._engines:
-            self.pool.take_report(name, full(name, ANSWERS + 2))
-        self.report_readers()
+            self.pool.take_report(name, full_engine_report(name, RUNNING_ANSWERS + 2))
+        self.report_prefill_engines()
         self._threads = ThreadPoolExecutor(waiting)
-        self._room_at = steady_seconds()
+        self._capacity_at = steady_seconds()
         self.delays: list[float] = []
         self._stopped = threading.Event()
         for number in range(waiting):
-            self._threads.submit(self._ask, number)
+            self._threads.submit(self._request_grant, number)
 
-    def report_readers(self) -> None:
-        """Let the engines that read prompts say that they do."""
-        for name in self._readers:
+    def report_prefill_engines(self) -> None:
+        """Report the role of all prefill engines."""
+        for name in self._prefill_engines:
             self.pool.take_report(
                 name, EngineReport(1, 0, 0, (), is_prefill_engine=True)
             )
 
-    def _ask(self, number: int) -> None:
-        tries = 0
+    def _request_grant(self, number: int) -> None:
+        attempts = 0
         while not self._stopped.is_set():
-            tries += 1
-            request_id = f"request-{number}-{tries}"
-            decision = self.pool.ask(applicant(request_id), (), Deadline.after(0.2))
+            attempts += 1
+            request_id = f"request-{number}-{attempts}"
+            decision = self.pool.ask(grant_request(request_id), (), Deadline.after(0.2))
             while decision.grant is None and not self._stopped.is_set():
-                asking = applicant(request_id)
-                decision = self.pool.ask(asking, (), Deadline.after(0.2))
-            self.delays.append(steady_seconds() - self._room_at)
+                request = grant_request(request_id)
+                decision = self.pool.ask(request, (), Deadline.after(0.2))
+            self.delays.append(steady_seconds() - self._capacity_at)
             self.pool.note_prefilled(request_id, 1)
             self.pool.end(request_id, 1)
 
     def run(self, seconds: float) -> None:
-        """Let all engines report in turn, each with room for one more answer."""
+        """Report all engines in turn, each with capacity for one more answer."""
         end = Deadline.after(seconds)
-        # Versions without it let each request that waits look by itself.
+        # In versions without it, each waiting request scans the queue itself.
         look_again = getattr(self.pool, "look_again", lambda: None)
-        pause = 1 / (REPORTS_A_SECOND * len(self._engines))
+        pause = 1 / (REPORTS_PER_SECOND * len(self._engines))
         while not end.expired:
             for name in self._engines:
-                self._room_at = steady_seconds()
-                self.pool.take_report(name, full(name, ANSWERS))
+                self._capacity_at = steady_seconds()
+                self.pool.take_report(name, full_engine_report(name, RUNNING_ANSWERS))
                 time.sleep(pause)
-                self.pool.take_report(name, full(name, ANSWERS + 2))
-            self.report_readers()
+                self.pool.take_report(
+                    name, full_engine_report(name, RUNNING_ANSWERS + 2)
+                )
+            self.report_prefill_engines()
             look_again()
         self._stopped.set()
         self._threads.shutdown()
@@ -138,21 +142,24 @@
 @click.option("--waiting", default=200, show_default=True)
 @click.option("--seconds", default=5.0, show_default=True)
 def main(engines: int, waiting: int, seconds: float) -> None:
-    """Play a burst and print what it cost."""
+    """Generate a burst and print its cost."""
     burst = Burst(engines, waiting)
-    began, spent = steady_seconds(), time.process_time()
+    began, cpu_seconds = steady_seconds(), time.process_time()
     burst.run(seconds)
-    wall, spent = steady_seconds() - began, time.process_time() - spent
+    wall_seconds, cpu_seconds = (
+        steady_seconds() - began,
+        time.process_time() - cpu_seconds,
+    )
     delays = sorted(burst.delays)
-    last = len(delays) - 1
+    last_index = len(delays) - 1
     row = {
         "engines": engines,
         "waiting": waiting,
-        "cores": round(spent / wall, 3),
-        "grants_per_second": round(len(delays) / wall, 1),
-        "core_ms_per_grant": round(1000 * spent / max(1, len(delays)), 2),
+        "cores": round(cpu_seconds / wall_seconds, 3),
+        "grants_per_second": round(len(delays) / wall_seconds, 1),
+        "core_ms_per_grant": round(1000 * cpu_seconds / max(1, len(delays)), 2),
         "grant_ms_p50": round(1000 * statistics.median(delays), 2),
-        "grant_ms_p99": round(1000 * delays[int(0.99 * last)], 2),
+        "grant_ms_p99": round(1000 * delays[int(0.99 * last_index)], 2),
     }
     click.echo(json.dumps(row))
 
