--- a/bench/accounts/__init__.py
+++ b/bench/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of client accounts over many hosts, replayed with faults."""
+"""Simulations of the limits of client accounts over many hosts, with faults."""
--- a/bench/accounts/model.py
+++ b/bench/accounts/model.py
@@ -1,9 +1,9 @@
-"""A model of one account's requests over many hosts: no thread, socket or clock.
+"""A model of one account's requests over many hosts, without threads or sockets.
 
-Requests come as a Poisson process, plain ones and streams, at hosts by lot or mostly
-at one. The leader is lost for spans, a part of the hosts is cut off for others, answers
-are lost, and hosts start anew with what they had spent untold. Each way of keeping the
-limit sees the same requests and faults.
+Time is simulated. Requests, plain ones and streams, arrive as a Poisson process at
+random hosts or mostly at one. The leader is lost for some spans, a share of the hosts is
+partitioned for others, replies are lost, and hosts restart and lose their unreported
+cost. Each policy for the limit receives the same requests and faults.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 ACCOUNT = "account"
 PLAIN_COST = 200.0
-# A stream counts its prompt and the longest answer that it allows, in tokens.
+# The cost of a stream is its prompt and the maximum answer that it allows, in tokens.
 STREAM_COSTS = (2_500.0, 4_000.0, 6_000.0, 9_000.0)
-# Streams among an account's tokens; plain requests make up the rest.
+# Share of the account's tokens that streams use; plain requests use the others.
 STREAM_SHARE = 0.85
 SETTLE_SECONDS = 1.0
 JOIN_SECONDS = 0.25
-# How long the leader takes to miss a host that is cut off, in seconds.
-MISSED_SECONDS = 3.0
-FIRST_LEAD_SECONDS = 30.0
+# Time until the leader detects that a host is partitioned.
+DETECTION_SECONDS = 3.0
+INITIAL_TERM_SECONDS = 30.0
 
 
 @dataclass(frozen=True)
@@ -46,33 +46,33 @@
     begins: float
     ends: float
 
-    def holds(self, now: float) -> bool:
-        """Say whether an instant is in it."""
+    def contains(self, now: float) -> bool:
+        """Return whether a time is within the span."""
         return self.begins <= now < self.ends
 
 
 @dataclass(frozen=True)
 class Load:
-    """What an account asks for, and what fails meanwhile."""
+    """The demand of an account, and the faults meanwhile."""
 
     hosts: int
     limit: RateLimit
     bounds: LimitBounds
     seconds: float
     usual: float
-    """Tokens a second, in parts of the limit."""
+    """Tokens per second, as a share of the limit."""
     surge: float = 1.0
-    """How many times as much it asks for in the surge."""
-    surging: Span = Span(0, 0)
+    """Factor of the demand in the demand spike."""
+    spike_span: Span = Span(0, 0)
     one_host: float = 0.0
-    """Share of its requests that come to one host."""
+    """Share of its requests that always arrive at the first host."""
     without_leader: tuple[Span, ...] = ()
-    cut_off: Span = Span(0, 0)
+    partition: Span = Span(0, 0)
     cut_share: float = 0.0
-    """Share of the hosts that reach no leader in that span."""
-    lost_answers: float = 0.0
+    """Share of the hosts that cannot reach a leader in that span."""
+    lost_replies: float = 0.0
     restarts_per_second: float = 0.0
-    """Hosts that start anew, of all hosts together."""
+    """Restarts of hosts, over all hosts together."""
 
 
 @dataclass(frozen=True)
@@ -85,59 +85,59 @@
     is_stream: bool
 
 
-class Way(Protocol):
-    """A way of keeping a limit over all hosts."""
+class LimitPolicy(Protocol):
+    """A policy that enforces a limit over all hosts."""
 
     def admits(self, arrival: Arrival) -> bool:
-        """Say whether the request may run."""
+        """Return whether the request is admitted."""
 
     def step(self, now: float) -> None:
-        """Do what is due by this instant."""
+        """Run the periodic tasks that are due by this time."""
 
 
-def arrivals(load: Load, source: random.Random) -> Iterator[Arrival]:
+def arrivals(load: Load, randomness: random.Random) -> Iterator[Arrival]:
     """Yield the account's requests in order."""
     stream_cost = sum(STREAM_COSTS) / len(STREAM_COSTS)
     mean_cost = 1 / (STREAM_SHARE / stream_cost + (1 - STREAM_SHARE) / PLAIN_COST)
     plain_share = (1 - STREAM_SHARE) / PLAIN_COST * mean_cost
     at = 0.0
     while True:
-        factor = load.surge if load.surging.holds(at) else 1.0
+        factor = load.surge if load.spike_span.contains(at) else 1.0
         rate = load.usual * factor * load.limit.per_second / mean_cost
-        at += source.expovariate(rate)
+        at += randomness.expovariate(rate)
         if at >= load.seconds:
             return
         host = 0
-        if source.random() >= load.one_host:
-            host = source.randrange(load.hosts)
-        is_stream = source.random() >= plain_share
-        cost = source.choice(STREAM_COSTS) if is_stream else PLAIN_COST
+        if randomness.random() >= load.one_host:
+            host = randomness.randrange(load.hosts)
+        is_stream = randomness.random() >= plain_share
+        cost = randomness.choice(STREAM_COSTS) if is_stream else PLAIN_COST
         yield Arrival(at, host, cost, is_stream)
 
 
-class EvenParts:
-    """Each host has an even part of the rate, the burst and the slack."""
+class EvenShares:
+    """Each host has an equal share of the rate, the burst and the slack."""
 
     def __init__(self, load: Load) -> None:
         self._rate = load.limit.per_second / load.hosts
-        self._most = (load.limit.burst + load.bounds.slack) / load.hosts
-        self._level_by_host = [(self._most, 0.0)] * load.hosts
+        self._capacity = (load.limit.burst + load.bounds.slack) / load.hosts
+        self._level_by_host = [(self._capacity, 0.0)] * load.hosts
 
     def admits(self, arrival: Arrival) -> bool:
-        """See Way."""
+        """See `LimitPolicy`."""
         level, since = self._level_by_host[arrival.host]
-        level = min(self._most, level + (arrival.at - since) * self._rate)
+        level = min(self._capacity, level + (arrival.at - since) * self._rate)
         may_run = level >= arrival.cost
         left = level - arrival.cost if may_run else level
         self._level_by_host[arrival.host] = (left, arrival.at)
         return may_run
 
     def step(self, now: float) -> None:
-        """See Way."""
+        """See `LimitPolicy`."""
 
 
-class SharesByDemand:
-    """A keeper gives out shares by what hosts asked for lately, each second."""
+class DemandShares:
+    """A manager assigns shares by the recent demand of the hosts, each second."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
@@ -145,7 +145,7 @@
         self._client = Client(
             ACCOUNT, ("0" * 64,), tokens_per_second=load.limit.per_second
         )
-        self._keeper = QuotaManager(lambda: self._now)
+        self._quota_manager = QuotaManager(lambda: self._now)
         self._limits = [
             ClientLimits(lambda: load.hosts, lambda: self._now)
             for _ in range(load.hosts)
@@ -155,7 +155,7 @@
         ]
 
     def admits(self, arrival: Arrival) -> bool:
-        """See Way."""
+        """See `LimitPolicy`."""
         self._now = arrival.at
         limits = self._limits[arrival.host]
         try:
@@ -168,7 +168,7 @@
         return True
 
     def step(self, now: float) -> None:
-        """See Way."""
+        """See `LimitPolicy`."""
         for host, due in enumerate(self._report_at):
             if due <= now:
                 self._now = due
@@ -179,27 +179,32 @@
         if not reaches_leader(self._load, host, self._now):
             return
         usages = self._limits[host].usages()
-        shares = self._keeper.report(str(host), usages, self._load.hosts)
+        shares = self._quota_manager.report(str(host), usages, self._load.hosts)
         self._limits[host].apply_shares(shares)
 
 
 class ChargedAtLeader:
-    """Streams are charged at the leader, plain requests told to it; as in use."""
+    """The product's policy: charges streams at the leader, reports plain requests to it."""
 
-    def __init__(self, load: Load, source: random.Random) -> None:
+    def __init__(self, load: Load, randomness: random.Random) -> None:
         self._load = load
-        self._source = source
-        long_ago = -FIRST_LEAD_SECONDS
-        self._spending = [self._new_host(long_ago) for _ in range(load.hosts)]
-        self._ledger = AccountLedger(load.bounds, -FIRST_LEAD_SECONDS)
-        self._led_from = -FIRST_LEAD_SECONDS
+        self._randomness = randomness
+        initial_term_began_at = -INITIAL_TERM_SECONDS
+        self._spending = [
+            self._new_host(initial_term_began_at) for _ in range(load.hosts)
+        ]
+        self._ledger = AccountLedger(load.bounds, -INITIAL_TERM_SECONDS)
+        self._term_began_at = -INITIAL_TERM_SECONDS
         self._settle_at = [
             SETTLE_SECONDS * host / load.hosts for host in range(load.hosts)
         ]
         self._restarted_at = 0.0
         self._join_at = 0.0
         self._hosts = range(load.hosts)
-        self._pools = {cut: LeaderlessPool(load.bounds) for cut in (False, True)}
+        self._pools = {
+            partitioned_side: LeaderlessPool(load.bounds)
+            for partitioned_side in (False, True)
+        }
         self.calls = 0
 
     def _new_host(self, began_at: float) -> HostSpending:
@@ -207,12 +212,12 @@
         return HostSpending(self._load.bounds, lambda: hosts, began_at)
 
     def admits(self, arrival: Arrival) -> bool:
-        """See Way."""
+        """See `LimitPolicy`."""
         now, spending = arrival.at, self._spending[arrival.host]
         if not arrival.is_stream:
-            answer = spending.spend(ACCOUNT, arrival.cost, now)
-            if not answer.asks_leader:
-                return answer.wait == 0
+            charge = spending.spend(ACCOUNT, arrival.cost, now)
+            if not charge.asks_leader:
+                return charge.wait == 0
         if not reaches_leader(self._load, arrival.host, now):
             if spending.spend_without_leader(ACCOUNT, arrival.cost, now):
                 return True
@@ -224,7 +229,7 @@
         return charged.wait == 0
 
     def step(self, now: float) -> None:
-        """See Way."""
+        """See `LimitPolicy`."""
         for host, due in enumerate(self._settle_at):
             if due <= now:
                 self._settle_at[host] = due + SETTLE_SECONDS
@@ -234,12 +239,12 @@
             for host in range(self._load.hosts):
                 if not reaches_leader(self._load, host, now):
                     self._charge_at_pool(host, 0.0, now)
-        self._restart_some(now)
+        self._restart_hosts(now)
 
     def _charge_at_pool(self, host: int, cost: float, now: float) -> bool:
-        """Charge a request at the control host that the host reaches."""
+        """Charge a request at the control host that the host can reach."""
         load = self._load
-        pool = is_cut(load, host, now)
+        pool = is_partitioned(load, host, now)
         if not self._spending[host].lend(str(pool), now):
             return False
         self._pools[pool].join(str(host), now)
@@ -249,134 +254,142 @@
 
     def _settle(self, host: int, now: float) -> None:
         spending = self._spending[host]
-        told = spending.take_unreported()
-        if not told:
+        unreported = spending.take_unreported()
+        if not unreported:
             return
         if not reaches_leader(self._load, host, now):
-            spending.mark_unconfirmed(told)
+            spending.mark_unconfirmed(unreported)
             return
         self.calls += 1
         ledger = self._leader(now)
-        answers = [
-            ledger.settle(ACCOUNT, self._load.limit, item.amount, now) for item in told
+        charges = [
+            ledger.settle(ACCOUNT, self._load.limit, item.amount, now)
+            for item in unreported
         ]
-        if self._source.random() < self._load.lost_answers:
-            spending.mark_unconfirmed(told)
+        if self._randomness.random() < self._load.lost_replies:
+            spending.mark_unconfirmed(unreported)
             return
-        spending.confirm(told)
-        for answer in answers:
-            spending.apply_answer(ACCOUNT, answer, now)
+        spending.confirm(unreported)
+        for charge in charges:
+            spending.apply_answer(ACCOUNT, charge, now)
 
     def _leader(self, now: float) -> AccountLedger:
-        """Return the ledger of who leads now; a new leader begins with a new one."""
+        """Return the ledger of the present leader; a new leader starts a new one."""
         ended = [span.ends for span in self._load.without_leader if span.ends <= now]
-        led_from = max(ended, default=self._led_from)
-        if led_from > self._led_from:
-            self._led_from = led_from
-            self._ledger = AccountLedger(self._load.bounds, led_from)
-        missed = self._load.cut_off.holds(now - MISSED_SECONDS)
-        missed = missed and self._load.cut_off.holds(now)
-        heard = [not (missed and is_cut(self._load, host, now)) for host in self._hosts]
-        self._ledger.set_heard_share(sum(heard) / len(heard), now)
+        term_began_at = max(ended, default=self._term_began_at)
+        if term_began_at > self._term_began_at:
+            self._term_began_at = term_began_at
+            self._ledger = AccountLedger(self._load.bounds, term_began_at)
+        is_detected = self._load.partition.contains(now - DETECTION_SECONDS)
+        is_detected = is_detected and self._load.partition.contains(now)
+        heard_from = [
+            not (is_detected and is_partitioned(self._load, host, now))
+            for host in self._hosts
+        ]
+        self._ledger.set_heard_share(sum(heard_from) / len(heard_from), now)
         return self._ledger
 
-    def _restart_some(self, now: float) -> None:
+    def _restart_hosts(self, now: float) -> None:
         expected = self._load.restarts_per_second * (now - self._restarted_at)
         self._restarted_at = now
-        if self._source.random() < expected:
-            host = self._source.randrange(self._load.hosts)
+        if self._randomness.random() < expected:
+            host = self._randomness.randrange(self._load.hosts)
             self._spending[host] = self._new_host(now)
 
 
 def reaches_leader(load: Load, host: int, now: float) -> bool:
-    """Say whether there is a leader that this host reaches."""
-    if any(span.holds(now) for span in load.without_leader):
+    """Return whether there is a leader that this host can reach."""
+    if any(span.contains(now) for span in load.without_leader):
         return False
-    return not is_cut(load, host, now)
+    return not is_partitioned(load, host, now)
 
 
-def is_cut(load: Load, host: int, now: float) -> bool:
-    """Say whether the host is cut off."""
-    return host < load.hosts * load.cut_share and load.cut_off.holds(now)
+def is_partitioned(load: Load, host: int, now: float) -> bool:
+    """Return whether the host is partitioned."""
+    return host < load.hosts * load.cut_share and load.partition.contains(now)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a way did with a load."""
+    """The results of a policy for a load."""
 
     offered: int
     refused: int
     wrong: int
-    """Refused though one counter that sees all would let it run."""
+    """Refused although a single counter of all requests would admit them."""
     worst_share: float
-    """Most tokens that ran in any window, as a share of the bound."""
+    """Maximum of the tokens admitted in any window, as a share of the bound."""
     calls: int
 
 
 class _Window:
-    """The most that ran in any span of the window's length."""
+    """The maximum admitted cost in any span of the window's length."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
-        self._ran: deque[tuple[float, float]] = deque()
+        self._admitted: deque[tuple[float, float]] = deque()
         self._sum = 0.0
         self.most = 0.0
 
-    def note(self, at: float, cost: float) -> None:
-        self._ran.append((at, cost))
+    def record(self, at: float, cost: float) -> None:
+        self._admitted.append((at, cost))
         self._sum += cost
-        while self._ran[0][0] < at - self._seconds:
-            self._sum -= self._ran.popleft()[1]
+        while self._admitted[0][0] < at - self._seconds:
+            self._sum -= self._admitted.popleft()[1]
         self.most = max(self.most, self._sum)
 
 
 def replay(
-    load: Load, seed: int, build: Callable[[Load, random.Random], Way]
+    load: Load, seed: int, make_policy: Callable[[Load, random.Random], LimitPolicy]
 ) -> Outcome:
-    """Play a load against one way."""
-    way = build(load, random.Random(seed + 1))
+    """Simulate a load with one policy."""
+    policy = make_policy(load, random.Random(seed + 1))
     ideal = AccountLedger(LimitBounds(load.bounds.window_seconds, 0, 0), -60.0)
     window = _Window(load.bounds.window_seconds)
     offered = refused = wrong = 0
     for arrival in arrivals(load, random.Random(seed)):
-        way.step(arrival.at)
+        policy.step(arrival.at)
         offered += 1
-        by_one = ideal.charge(ACCOUNT, load.limit, arrival.cost, arrival.at).wait == 0
-        if way.admits(arrival):
-            window.note(arrival.at, arrival.cost)
+        ideal_admits = (
+            ideal.charge(ACCOUNT, load.limit, arrival.cost, arrival.at).wait == 0
+        )
+        if policy.admits(arrival):
+            window.record(arrival.at, arrival.cost)
             continue
         refused += 1
-        wrong += by_one
+        wrong += ideal_admits
     worst = window.most / load.bounds.most(load.limit)
-    return Outcome(offered, refused, wrong, worst, getattr(way, "calls", 0))
+    return Outcome(offered, refused, wrong, worst, getattr(policy, "calls", 0))
 
 
 def random_load(seed: int) -> Load:
-    """Return a load with faults that the seed draws."""
-    source = random.Random(seed)
-    limit_per_second = source.choice((3_000.0, 29_000.0, 96_000.0))
-    surge_at, lost_at, cut_at = (source.uniform(1, 12) for _ in range(3))
-    lost = Span(lost_at, lost_at + source.uniform(0.3, 6))
-    again = Span(lost.ends + source.uniform(0.2, 4), lost.ends + 6)
+    """Return a random load with faults that the seed determines."""
+    randomness = random.Random(seed)
+    limit_per_second = randomness.choice((3_000.0, 29_000.0, 96_000.0))
+    spike_at, lost_at, partition_at = (randomness.uniform(1, 12) for _ in range(3))
+    lost = Span(lost_at, lost_at + randomness.uniform(0.3, 6))
+    second_loss = Span(lost.ends + randomness.uniform(0.2, 4), lost.ends + 6)
     return Load(
-        hosts=source.choice((7, 65, 195, 300)),
-        limit=RateLimit(limit_per_second, limit_per_second * source.choice((0.5, 1))),
-        bounds=LimitBounds(8, 0.1, source.choice((20_000, 120_000))),
+        hosts=randomness.choice((7, 65, 195, 300)),
+        limit=RateLimit(
+            limit_per_second, limit_per_second * randomness.choice((0.5, 1))
+        ),
+        bounds=LimitBounds(8, 0.1, randomness.choice((20_000, 120_000))),
         seconds=24,
-        usual=source.uniform(0.2, 1.2),
-        surge=source.choice((1, 4, 8, 20)),
-        surging=Span(surge_at, surge_at + source.uniform(1, 12)),
-        one_host=source.choice((0, 0, 0.5, 1)),
-        without_leader=source.choice(((), (lost,), (lost, again))),
-        cut_off=Span(cut_at, cut_at + source.uniform(1, 8)),
-        cut_share=source.choice((0, 1 / 3, 0.6)),
-        lost_answers=source.choice((0, 0.1, 0.6)),
-        restarts_per_second=source.choice((0, 0, 1, 10)),
+        usual=randomness.uniform(0.2, 1.2),
+        surge=randomness.choice((1, 4, 8, 20)),
+        spike_span=Span(spike_at, spike_at + randomness.uniform(1, 12)),
+        one_host=randomness.choice((0, 0, 0.5, 1)),
+        without_leader=randomness.choice(((), (lost,), (lost, second_loss))),
+        partition=Span(partition_at, partition_at + randomness.uniform(1, 8)),
+        cut_share=randomness.choice((0, 1 / 3, 0.6)),
+        lost_replies=randomness.choice((0, 0.1, 0.6)),
+        restarts_per_second=randomness.choice((0, 0, 1, 10)),
     )
 
 
-WAYS: dict[str, Callable[[Load, random.Random], Way]] = {
-    "even parts": lambda load, _: EvenParts(load),
-    "shares by demand": lambda load, _: SharesByDemand(load),
+WAYS: dict[str, Callable[[Load, random.Random], LimitPolicy]] = {
+    "even parts": lambda load, _: EvenShares(load),
+    "shares by demand": lambda load, _: DemandShares(load),
     "charged at the leader": ChargedAtLeader,
 }
