--- a/bench/accounts/model.py
+++ b/bench/accounts/model.py
@@ -1,8 +1,8 @@
 """A model of one account's requests over many hosts, without threads or sockets.
 
 Time is simulated. Requests, plain ones and streams, arrive as a Poisson process at
-random hosts or mostly at one. The leader is lost for some spans, a share of the hosts is
-partitioned for others, replies are lost, and hosts restart and lose their unreported
+random hosts or mostly at one. The leader is lost for some spans, a share of the hosts
+is partitioned for others, replies are lost, and hosts restart and lose their unreported
 cost. Each policy for the limit receives the same requests and faults.
 """
 
@@ -184,7 +184,7 @@
 
 
 class ChargedAtLeader:
-    """The product's policy: charges streams at the leader, reports plain requests to it."""
+    """The product's policy: the leader charges streams and receives plain costs."""
 
     def __init__(self, load: Load, randomness: random.Random) -> None:
         self._load = load
--- a/bench/accounts/plot.py
+++ b/bench/accounts/plot.py
@@ -1,8 +1,8 @@
 """Plots the rows of `bench.accounts.measure`.
 
-Run as `python -m bench.accounts.plot ROWS.jsonl PICTURE.svg`. Shows for each policy the
-requests that are wrongly refused, and the maximum of the tokens in any window as a share
-of the bound.
+Run as `python -m bench.accounts.plot ROWS.jsonl PICTURE.svg`. For each policy, it plots
+the requests that are wrongly refused, and the maximum of the tokens in any window as a
+share of the bound.
 """
 
 from __future__ import annotations
