--- a/bench/control/_load.py
+++ b/bench/control/_load.py
@@ -1,4 +1,4 @@
-"""Load on control hosts from several client processes."""
+"""Generates load on control hosts from several client processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ClaimLoad:
-    """What one client process does: threads that claim `count` keys each."""
+    """The load of one client process: threads that claim `count` keys each."""
 
     addresses: tuple[PeerAddress, ...]
     secret: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class LoadResult:
-    """The latencies of all calls, in seconds, and how long they took together."""
+    """The latencies of all calls and their total duration, in seconds."""
 
     latencies: tuple[float, ...]
     seconds: float
@@ -46,33 +46,35 @@
 
 
 def make_client(addresses: Sequence[PeerAddress], secret: str) -> ControlClient:
-    """Return a client as an entry host would have it."""
+    """Return a client like that of an entry host."""
     return ControlClient(addresses, PeerIdentity("bench", 1, secret))
 
 
 def claim_keys(load: ClaimLoad) -> list[float]:
-    """Claim keys from this process's threads and return the latencies."""
+    """Claim keys from the threads of this process and return the latencies."""
     client = make_client(load.addresses, load.secret)
     with ThreadPoolExecutor(load.threads) as pool:
-        runs = [
-            pool.submit(_claim_some, client, f"{load.name}-{number}", load.count)
+        results = [
+            pool.submit(
+                _claim_keys_in_thread, client, f"{load.name}-{number}", load.count
+            )
             for number in range(load.threads)
         ]
-        return [latency for run in runs for latency in run.result()]
+        return [latency for result in results for latency in result.result()]
 
 
-def _claim_some(client: ControlClient, name: str, count: int) -> list[float]:
+def _claim_keys_in_thread(client: ControlClient, name: str, count: int) -> list[float]:
     latencies = []
     for number in range(count):
         request_id = f"{name}-{number:032d}"
         claim = KeyClaim("client", request_id, request_id, "entry-1/17", "f" * 64)
-        begun = time.monotonic()
+        started_at = time.monotonic()
         client.claim_key(claim, Deadline.after(CALL_SECONDS))
-        latencies.append(time.monotonic() - begun)
+        latencies.append(time.monotonic() - started_at)
     return latencies
 
 
-def offer_claims(
+def claim_keys_in_processes(
     addresses: tuple[PeerAddress, ...],
     secret: str,
     name: str,
@@ -80,18 +82,20 @@
     threads: int,
     count: int,
 ) -> LoadResult:
-    """Claim processes x threads x count keys, each of its own."""
-    loads = [
+    """Claim processes x threads x count different keys."""
+    claim_loads = [
         ClaimLoad(addresses, secret, f"{name}-{number}", threads, count)
         for number in range(processes)
     ]
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         warm = list(pool.map(time.sleep, [0.3] * processes))
         assert len(warm) == processes
-        begun = time.monotonic()
-        latencies = [item for run in pool.map(claim_keys, loads) for item in run]
-    return LoadResult(tuple(latencies), time.monotonic() - begun)
+        started_at = time.monotonic()
+        latencies = [
+            item for result in pool.map(claim_keys, claim_loads) for item in result
+        ]
+    return LoadResult(tuple(latencies), time.monotonic() - started_at)
 
 
 def apply_changes(
@@ -100,12 +104,12 @@
     """Apply changes of `size` bytes one after another, from revision `first` on."""
     filler = "".join(f"# line {number} of a declaration\n" for number in range(10_000))
     latencies = []
-    begun = time.monotonic()
+    started_at = time.monotonic()
     for number in range(first, first + count):
         declaration = f"# change {number}\n{filler}"[:size].rsplit("\n", 1)[0]
         request = ApplyRequest(f"change-{number}", number, declaration, "bench")
-        called = time.monotonic()
+        call_started_at = time.monotonic()
         reply = client.apply_configuration(request, Deadline.after(CALL_SECONDS))
-        latencies.append(time.monotonic() - called)
+        latencies.append(time.monotonic() - call_started_at)
         assert reply.accepted, reply
-    return LoadResult(tuple(latencies), time.monotonic() - begun)
+    return LoadResult(tuple(latencies), time.monotonic() - started_at)
--- a/bench/control/_probes.py
+++ b/bench/control/_probes.py
@@ -1,4 +1,4 @@
-"""What a process costs: processor time, memory, and bytes and messages sent."""
+"""Measures the CPU time, memory and traffic of a process."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """Processor time in seconds and resident memory in bytes, of one process."""
+    """CPU time in seconds and resident memory in bytes of a process."""
 
     cpu_seconds: float
     resident_bytes: int
 
 
 def usage_of(host: ControlHost) -> Usage:
-    """Return what the host's process has used so far."""
+    """Return the usage of the host's process since its start."""
     assert host.process is not None
     folder = Path(f"/proc/{host.process.pid}")
     fields = (folder / "stat").read_text().rsplit(")", 1)[1].split()
@@ -36,15 +36,15 @@
 
 @dataclass
 class Traffic:
-    """Bytes and pieces that went by; a heartbeat is one piece in each direction."""
+    """Forwarded bytes and chunks; a heartbeat is one chunk in each direction."""
 
     bytes_passed: int = 0
-    pieces: int = 0
+    chunks: int = 0
     lock: threading.Lock = field(default_factory=threading.Lock)
 
 
 class CountingProxy(FaultProxy):
-    """A proxy without faults that counts what goes through."""
+    """A proxy without faults that counts the traffic it forwards."""
 
     def __init__(self, target: str) -> None:
         self.traffic = Traffic()
@@ -55,5 +55,5 @@
     ) -> bool:
         with self.traffic.lock:
             self.traffic.bytes_passed += len(data)
-            self.traffic.pieces += 1
+            self.traffic.chunks += 1
         return super()._send(link, direction, sink, data)
--- a/bench/control/measure.py
+++ b/bench/control/measure.py
@@ -1,8 +1,8 @@
 """Measure the control hosts: `python -m bench.control.measure [NAME ...]`.
 
 Prints one JSON line for each measurement. All processes run on this machine, over
-loopback and one disk; replicas are linked directly, but for the idle measurement,
-which counts bytes in proxies between them.
+loopback and one disk. Replicas are linked directly, except in the idle measurement,
+which counts the bytes in proxies between them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from bench.control._load import apply_changes, make_client, offer_claims
+from bench.control._load import apply_changes, claim_keys_in_processes, make_client
 from bench.control._probes import CountingProxy, usage_of
 from jujubeslip.kernel import Deadline, PeerAddress
 from tests.control.cluster import ControlCluster, ControlHost, make_claim
@@ -25,13 +25,13 @@
 IDLE_SECONDS = 10.0
 RECOVERY_ROUNDS = 10
 SYSTEM_SETTINGS = {"election_timeout_ms": 1000, "heartbeat_ms": 200}
-MANY = 1_000_000_000
-# So short that 10,000 changes stay below the bytes that bring a snapshot.
+UNREACHED_SNAPSHOT_EVERY = 1_000_000_000
+# Small enough that 10,000 changes stay below the log size that triggers a snapshot.
 CHANGE_BYTES = 200
 
 
-class Direct(ControlCluster):
-    """A cluster with the settings' defaults and without proxies."""
+class DirectCluster(ControlCluster):
+    """A cluster with the default settings and without proxies."""
 
     def __init__(self, folder: Path, count: int, **settings: int) -> None:
         super().__init__(folder, count, **(SYSTEM_SETTINGS | settings))
@@ -43,11 +43,11 @@
 
     @property
     def addresses(self) -> tuple[PeerAddress, ...]:
-        """Return where the hosts listen."""
+        """Return the addresses of the hosts."""
         return tuple(PeerAddress(host.host_id, host.address) for host in self.hosts)
 
 
-class Counted(Direct):
+class CountingCluster(DirectCluster):
     """A cluster whose replicas are linked by proxies that count bytes."""
 
     def link(self) -> None:
@@ -65,27 +65,31 @@
 
 
 def measure_claims(folder: Path) -> dict[str, object]:
-    """Offer claims at 3 replicas: one caller, then 4 processes of 8 threads."""
-    with Direct(folder, 3) as cluster:
+    """Claim keys at 3 replicas from one caller, then from 4 processes of 8 threads."""
+    with DirectCluster(folder, 3) as cluster:
         cluster.apply(0, 0)
-        alone = offer_claims(cluster.addresses, cluster.secret, "alone", 1, 1, 2000)
+        single_caller = claim_keys_in_processes(
+            cluster.addresses, cluster.secret, "alone", 1, 1, 2000
+        )
         before = {host.host_id: usage_of(host) for host in cluster.hosts}
         leader = cluster.leader()
-        many = offer_claims(cluster.addresses, cluster.secret, "many", 4, 8, 500)
+        concurrent = claim_keys_in_processes(
+            cluster.addresses, cluster.secret, "many", 4, 8, 500
+        )
         after = {host.host_id: usage_of(host) for host in cluster.hosts}
-        count = len(many.latencies)
+        count = len(concurrent.latencies)
 
         def cpu_us(host: ControlHost) -> float:
             used = after[host.host_id].cpu_seconds - before[host.host_id].cpu_seconds
             return round(used / count * 1e6, 1)
 
         return {
-            "alone_p50_ms": alone.quantile_ms(0.5),
-            "alone_p99_ms": alone.quantile_ms(0.99),
-            "alone_per_second": round(alone.per_second),
-            "claims_per_second": round(many.per_second),
-            "loaded_p50_ms": many.quantile_ms(0.5),
-            "loaded_p99_ms": many.quantile_ms(0.99),
+            "alone_p50_ms": single_caller.quantile_ms(0.5),
+            "alone_p99_ms": single_caller.quantile_ms(0.99),
+            "alone_per_second": round(single_caller.per_second),
+            "claims_per_second": round(concurrent.per_second),
+            "loaded_p50_ms": concurrent.quantile_ms(0.5),
+            "loaded_p99_ms": concurrent.quantile_ms(0.99),
             "leader_cpu_us_per_claim": cpu_us(leader),
             "follower_cpu_us_per_claim": [
                 cpu_us(host) for host in cluster.others(leader)
@@ -94,9 +98,9 @@
 
 
 def measure_recovery(folder: Path) -> dict[str, object]:
-    """Kill the leader again and again; time until the next claim is answered."""
+    """Kill the leader repeatedly; measure the time until the next claim succeeds."""
     seconds = []
-    with Direct(folder, 3) as cluster:
+    with DirectCluster(folder, 3) as cluster:
         cluster.apply(0, 0)
         client = cluster.client
         for number in range(RECOVERY_ROUNDS):
@@ -105,9 +109,9 @@
                 lambda: all(host.status() for host in cluster.hosts), "all hosts"
             )
             leader.kill()
-            begun = time.monotonic()
+            started_at = time.monotonic()
             client.claim_key(make_claim(f"key-{number}"), Deadline.after(30.0))
-            seconds.append(time.monotonic() - begun)
+            seconds.append(time.monotonic() - started_at)
             leader.start()
     return {
         "rounds": RECOVERY_ROUNDS,
@@ -117,41 +121,44 @@
 
 
 def measure_start(folder: Path) -> dict[str, object]:
-    """Start one replica with 10,000 changes in its log, then with a snapshot."""
+    """Measure the start of a replica with 10,000 log entries, then with a snapshot."""
     result: dict[str, object] = {}
-    for name, every in (("log_only", MANY), ("with_snapshot", 1000)):
+    for name, snapshot_every in (
+        ("log_only", UNREACHED_SNAPSHOT_EVERY),
+        ("with_snapshot", 1000),
+    ):
         path = folder / name
         path.mkdir()
-        with Direct(path, 1, snapshot_every=every) as cluster:
+        with DirectCluster(path, 1, snapshot_every=snapshot_every) as cluster:
             host = cluster.hosts[0]
             apply_changes(cluster.client, 0, 10_000, CHANGE_BYTES)
             host.kill()
             size = sum(item.stat().st_size for item in host.data_folder.iterdir())
             seconds = []
             for _ in range(3):
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 host.start()
                 wait_until(lambda: revision_of(cluster) == 10_000, "the start")
-                seconds.append(time.monotonic() - begun)
+                seconds.append(time.monotonic() - started_at)
                 host.kill()
             result[f"{name}_s"] = round(statistics.median(seconds), 2)
             result[f"{name}_bytes"] = size
-    with Direct(folder, 1) as cluster:
+    with DirectCluster(folder, 1) as cluster:
         cluster.hosts[0].kill()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         cluster.hosts[0].start()
         wait_until(lambda: revision_of(cluster) == 0, "the start")
-        result["empty_s"] = round(time.monotonic() - begun, 2)
+        result["empty_s"] = round(time.monotonic() - started_at, 2)
     return result
 
 
 def measure_idle(folder: Path) -> dict[str, object]:
-    """Leave 1, 3 and 5 replicas idle; processor share, memory, traffic."""
+    """Measure the CPU share, memory and traffic of 1, 3 and 5 idle replicas."""
     result: dict[str, object] = {}
     for count in REPLICA_COUNTS:
         path = folder / str(count)
         path.mkdir()
-        with Counted(path, count) as cluster:
+        with CountingCluster(path, count) as cluster:
             cluster.apply(0, 0)
             leader = cluster.leader()
             traffic = [
@@ -161,53 +168,57 @@
             ]
             before = {host.host_id: usage_of(host) for host in cluster.hosts}
             bytes_before = sum(item.bytes_passed for item in traffic)
-            pieces_before = sum(item.pieces for item in traffic)
+            chunks_before = sum(item.chunks for item in traffic)
             time.sleep(IDLE_SECONDS)
             after = {host.host_id: usage_of(host) for host in cluster.hosts}
             passed = sum(item.bytes_passed for item in traffic) - bytes_before
-            pieces = sum(item.pieces for item in traffic) - pieces_before
+            chunks = sum(item.chunks for item in traffic) - chunks_before
             hosts = [leader, *cluster.others(leader)]
-            shares = [
+            cpu_shares = [
                 (after[host.host_id].cpu_seconds - before[host.host_id].cpu_seconds)
                 / IDLE_SECONDS
                 for host in hosts
             ]
             result[f"{count}"] = {
-                "leader_cpu_percent": round(shares[0] * 100, 2),
-                "follower_cpu_percent": [round(item * 100, 2) for item in shares[1:]],
+                "leader_cpu_percent": round(cpu_shares[0] * 100, 2),
+                "follower_cpu_percent": [
+                    round(item * 100, 2) for item in cpu_shares[1:]
+                ],
                 "resident_mb": [
                     round(after[host.host_id].resident_bytes / 1e6, 1) for host in hosts
                 ],
                 "bytes_per_second_of_all": round(passed / IDLE_SECONDS),
-                "messages_per_second_of_all": round(pieces / IDLE_SECONDS, 1),
+                "messages_per_second_of_all": round(chunks / IDLE_SECONDS, 1),
             }
     return result
 
 
 def measure_state(folder: Path) -> dict[str, object]:
-    """Fill the state; memory, disk and processor time for each claim and change."""
+    """Fill the state; measure memory, disk and CPU time per claim and change."""
     result: dict[str, object] = {}
-    with Direct(folder, 3) as cluster:
+    with DirectCluster(folder, 3) as cluster:
         client = make_client(cluster.addresses, cluster.secret)
         cluster.apply(0, 0)
         hosts = [leader := cluster.leader(), *cluster.others(leader)]
         before = [usage_of(host) for host in hosts]
         claims = 30_000
-        offer_claims(cluster.addresses, cluster.secret, "state", 3, 10, claims // 30)
-        middle = [usage_of(host) for host in hosts]
+        claim_keys_in_processes(
+            cluster.addresses, cluster.secret, "state", 3, 10, claims // 30
+        )
+        after_claims = [usage_of(host) for host in hosts]
         changes, size = 1500, 10_000
         applied = apply_changes(client, 1, changes, size)
         after = [usage_of(host) for host in hosts]
         result["resident_mb_empty"] = per_unit(before, 1e6)
-        result["resident_mb_30000_claims"] = per_unit(middle, 1e6)
+        result["resident_mb_30000_claims"] = per_unit(after_claims, 1e6)
         result["resident_mb_1500_changes_more"] = per_unit(after, 1e6)
         result["resident_bytes_per_claim"] = [
             round((item.resident_bytes - start.resident_bytes) / claims)
-            for start, item in zip(before, middle, strict=True)
+            for start, item in zip(before, after_claims, strict=True)
         ]
         result["cpu_us_per_change_of_10_kb"] = [
             round((item.cpu_seconds - start.cpu_seconds) / changes * 1e6)
-            for start, item in zip(middle, after, strict=True)
+            for start, item in zip(after_claims, after, strict=True)
         ]
         result["change_p50_ms"] = applied.quantile_ms(0.5)
         result["change_p99_ms"] = applied.quantile_ms(0.99)
@@ -222,12 +233,12 @@
 
 
 def per_unit(usages: list, unit: float) -> list[float]:
-    """Return the resident memory of each host in this unit."""
+    """Return the resident memory of each host in the given unit."""
     return [round(item.resident_bytes / unit, 1) for item in usages]
 
 
 def revision_of(cluster: ControlCluster) -> int:
-    """Return the revision that the leader has applied, -1 before it leads."""
+    """Return the configuration revision of the first host, -1 without a leader."""
     status = cluster.hosts[0].status()
     if status is None or not status.leader_id:
         return -1
