--- a/bench/decisions/__init__.py
+++ b/bench/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the choice itself, without any process around it."""
+"""Measurements of the scheduling decision alone, in one process."""
--- a/bench/decisions/measure.py
+++ b/bench/decisions/measure.py
@@ -1,7 +1,8 @@
-"""Processor time of one grant at a home, by the number of endpoints.
+"""Measures the CPU time of a grant at a home, by the number of endpoints.
 
-`python -m bench.decisions.measure` prints one JSON line for each size: the median and
-the 95th percentile of the microseconds for reserve, and of all four calls of a grant.
+`python -m bench.decisions.measure` prints one JSON line for each size and seed: the
+median and the 95th percentile of the CPU time of the reserve call, and the median of
+all four calls of a grant, in microseconds.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 )
 
 SLOTS = 8
-# Share of the decode slots that is in use while the choice is measured.
-FILL = 0.5
+# Share of the decode slots that is in use during the measurement.
+SLOT_USE_SHARE = 0.5
 
 
 def build_pool(endpoints: int) -> Pool:
-    """Return a pool of half prefill and half decode endpoints, all usable."""
+    """Return a pool of half prefill and half decode endpoints, all available."""
     pool = Pool("service", "region", SchedulerOptions())
     for number in range(endpoints):
         role = EndpointRole.PREFILL if number % 2 else EndpointRole.DECODE
@@ -43,8 +44,8 @@
     return pool
 
 
-def request(number: int, randomness: random.Random) -> ReserveRequest:
-    """Return a request of an ordinary size."""
+def make_request(number: int, randomness: random.Random) -> ReserveRequest:
+    """Return a request of a random typical size."""
     prefix = randomness.randrange(50)
     return ReserveRequest(
         request_id=f"request-{number}",
@@ -63,16 +64,16 @@
 
 
 def measure(endpoints: int, rounds: int, seed: int) -> dict[str, float]:
-    """Return microseconds for a reserve call and for all calls of a grant."""
+    """Return the CPU time of a reserve call and of all calls of a grant."""
     randomness = random.Random(seed)
     pool = build_pool(endpoints)
-    capacity = int(endpoints / 2 * SLOTS * FILL)
+    capacity = int(endpoints / 2 * SLOTS * SLOT_USE_SHARE)
     open_grants: list[str] = []
     reserve_times: list[float] = []
     total_times: list[float] = []
     for number in range(rounds + capacity):
         started = time.process_time_ns()
-        reply: ReserveReply = pool.reserve(request(number, randomness))
+        reply: ReserveReply = pool.reserve(make_request(number, randomness))
         reserved = time.process_time_ns()
         assert reply.grant is not None, reply
         grant_id = reply.grant.grant_id
