--- a/bench/limits/__init__.py
+++ b/bench/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Compares fixed shares of client limits with a shared quota."""
+"""Measurements that compare fixed shares of client limits with a shared quota."""
--- a/bench/limits/measure.py
+++ b/bench/limits/measure.py
@@ -1,10 +1,10 @@
-"""Replays uneven load on one account's limit, with two policies and an ideal.
+"""Simulates uneven load on the limit of one account, with two policies and an ideal.
 
-Run as `python -m bench.limits.measure`. It uses the product's limits on a clock that
-is stepped; reports reach the keeper once a second, or early when demand surges, and are
-answered at once. The ideal is one token bucket that sees every request. A refusal is
-wrong if the ideal admits the request; the overshoot is what is admitted in any 5 s
-beyond the limit and its burst.
+Run as `python -m bench.limits.measure`. It uses the product's limits with a simulated
+clock. Reports reach the manager once per second, or early in a demand spike, and are
+answered immediately. The ideal is a single token bucket that receives every request. A
+refusal is wrong if the ideal admits the request. The overshoot is the excess over the
+limit and its burst that is admitted in any 5 s.
 """
 
 from __future__ import annotations
@@ -26,82 +26,82 @@
 LIMIT = 100.0
 SECONDS = 120
 SEEDS = (1, 2, 3, 4, 5)
-WINDOW = 5.0
+WINDOW_SECONDS = 5.0
 CLIENT = Client("account", ("0" * 64,), requests_per_second=LIMIT)
 
-# The load in parts of the limit at a time, and each host's part of it.
+# The load at a time as a share of the limit, and the share of each host in it.
 Load = Callable[[float], float]
-Spread = Callable[[float], list[float]]
+HostShares = Callable[[float], list[float]]
 
 
 class Clock:
-    """An instant that the replay steps."""
+    """A clock that the simulation advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
 
     def read(self) -> float:
-        """Return the present instant, in seconds."""
+        """Return the current time, in seconds."""
         return self.now
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A load over time and its spread over the hosts."""
+    """A load over time and its distribution over the hosts."""
 
     name: str
     load: Load
-    spread: Spread
+    host_shares: HostShares
 
 
-def one_host_90(at: float) -> list[float]:
-    """Return a spread with nine tenths at one host, another one each 40 s."""
-    busy = int(at // 40) % HOSTS
-    rest = 0.1 / (HOSTS - 1)
-    return [0.9 if host == busy else rest for host in range(HOSTS)]
+def mostly_one_host(at: float) -> list[float]:
+    """Return a distribution with 90 % at one host, which changes every 40 s."""
+    busiest_host = int(at // 40) % HOSTS
+    other_share = 0.1 / (HOSTS - 1)
+    return [0.9 if host == busiest_host else other_share for host in range(HOSTS)]
 
 
-def even(at: float) -> list[float]:
-    """Return the same part for each host."""
+def equal_shares(at: float) -> list[float]:
+    """Return the same share for each host."""
     return [1 / HOSTS] * HOSTS
 
 
 def bursts(at: float) -> float:
-    """Return a fifth of the limit, and three times the limit for 2 s in each 20 s."""
+    """Return 0.2 of the limit, and 3 times the limit for 2 s in every 20 s."""
     return 3.0 if at % 20 < 2 else 0.2
 
 
-def great_bursts(at: float) -> float:
-    """Return a fifth of the limit, and ten times the limit for 2 s in each 20 s."""
+def large_bursts(at: float) -> float:
+    """Return 0.2 of the limit, and 10 times the limit for 2 s in every 20 s."""
     return 10.0 if at % 20 < 2 else 0.2
 
 
 SCENARIOS = (
-    Scenario("90 % at one host, load 0.6", lambda at: 0.6, one_host_90),
-    Scenario("90 % at one host, load 0.95", lambda at: 0.95, one_host_90),
-    Scenario("90 % at one host, load 1.5", lambda at: 1.5, one_host_90),
-    Scenario("bursts of 3.0 at one host", bursts, one_host_90),
-    Scenario("bursts of 3.0 at all hosts", bursts, even),
-    Scenario("bursts of 10.0 at all hosts", great_bursts, even),
-    Scenario("even, load 0.95", lambda at: 0.95, even),
-    Scenario("even, load 1.5", lambda at: 1.5, even),
+    Scenario("90 % at one host, load 0.6", lambda at: 0.6, mostly_one_host),
+    Scenario("90 % at one host, load 0.95", lambda at: 0.95, mostly_one_host),
+    Scenario("90 % at one host, load 1.5", lambda at: 1.5, mostly_one_host),
+    Scenario("bursts of 3.0 at one host", bursts, mostly_one_host),
+    Scenario("bursts of 3.0 at all hosts", bursts, equal_shares),
+    Scenario("bursts of 10.0 at all hosts", large_bursts, equal_shares),
+    Scenario("even, load 0.95", lambda at: 0.95, equal_shares),
+    Scenario("even, load 1.5", lambda at: 1.5, equal_shares),
 )
 
 
 def arrivals(scenario: Scenario, seed: int) -> Iterator[tuple[float, int]]:
-    """Yield the instant and the host of each request, as a Poisson process."""
-    source = random.Random(seed)
+    """Yield the time and the host of each request of a Poisson process."""
+    randomness = random.Random(seed)
     at = 0.0
     while at < SECONDS:
-        at += source.expovariate(LIMIT * scenario.load(at))
-        yield at, source.choices(range(HOSTS), scenario.spread(at))[0]
+        at += randomness.expovariate(LIMIT * scenario.load(at))
+        yield at, randomness.choices(range(HOSTS), scenario.host_shares(at))[0]
 
 
 def replay(scenario: Scenario, seed: int, shared: bool) -> dict[str, float]:
-    """Return the wrong refusals and the overshoot of one policy."""
+    """Return the wrong refusals, the overshoot and the report rate of one policy."""
     clock = Clock()
     limits = [ClientLimits(lambda: HOSTS, clock.read) for _ in range(HOSTS)]
-    keeper = QuotaManager(clock.read)
+    quota_manager = QuotaManager(clock.read)
     ideal = TokenBucket(clock.read)
     next_report = [REPORT_SECONDS * host / HOSTS for host in range(HOSTS)]
     offered = wrong = reports = 0
@@ -111,12 +111,12 @@
             while shared and next_report[other] <= at:
                 clock.now = next_report[other]
                 next_report[other] += REPORT_SECONDS
-                _report(keeper, other, limits[other])
+                _report(quota_manager, other, limits[other])
                 reports += 1
         clock.now = at
         if shared and limits[host].wait_for_demand_spike(0):
             next_report[host] = at + REPORT_SECONDS
-            _report(keeper, host, limits[host])
+            _report(quota_manager, host, limits[host])
             reports += 1
         offered += 1
         ideal_admits = ideal.take(1, LIMIT) == 0
@@ -131,8 +131,8 @@
     }
 
 
-def _report(keeper: QuotaManager, host: int, limits: ClientLimits) -> None:
-    limits.apply_shares(keeper.report(str(host), limits.usages(), HOSTS))
+def _report(quota_manager: QuotaManager, host: int, limits: ClientLimits) -> None:
+    limits.apply_shares(quota_manager.report(str(host), limits.usages(), HOSTS))
 
 
 def _admits(limits: ClientLimits) -> bool:
@@ -144,14 +144,14 @@
 
 
 def _overshoot(admitted: list[float]) -> float:
-    """Return the greatest excess in any window, as a part of what is allowed there."""
-    allowed = LIMIT * (WINDOW + BURST_SECONDS)
-    greatest, first = 0, 0
+    """Return the maximum excess in any window, as a share of the allowed requests."""
+    allowed = LIMIT * (WINDOW_SECONDS + BURST_SECONDS)
+    maximum, first = 0, 0
     for last, at in enumerate(admitted):
-        while at - admitted[first] > WINDOW:
+        while at - admitted[first] > WINDOW_SECONDS:
             first += 1
-        greatest = max(greatest, last - first + 1)
-    return max(0.0, greatest / allowed - 1)
+        maximum = max(maximum, last - first + 1)
+    return max(0.0, maximum / allowed - 1)
 
 
 def main() -> None:
