--- a/bench/membership/__init__.py
+++ b/bench/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what membership costs and how fast it is."""
+"""Measurements of the cost and the latency of membership."""
--- a/bench/membership/host.py
+++ b/bench/membership/host.py
@@ -1,7 +1,8 @@
-"""A host that runs only the membership part, and counts what it costs.
+"""A host that runs only membership, and measures its cost.
 
 Run as `python -m bench.membership.host HOST_ID ADDRESS ZONE SEED...`. Each line on its
-standard input is a command: `report` prints one JSON line.
+standard input is a command: `report` prints one JSON line, `watch` prints a JSON line
+for each change of a host's status, and `revision N` sets the configuration revision.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 
 SECRET = "peer-secret-for-measurement"
 REGION = "region-1"
-# Headers of a TCP segment on Ethernet, with the timestamp option, in bytes.
-SEGMENT_HEADER_BYTES = 66
+# Size of the headers of a TCP segment on Ethernet, with the timestamp option.
+TCP_SEGMENT_HEADER_BYTES = 66
 
 
 class Traffic:
-    """Bytes and messages that this process wrote to and read from its sockets."""
+    """Bytes and messages that this process writes to and reads from its sockets."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
@@ -43,7 +44,7 @@
         self._lock = threading.Lock()
 
     def count(self) -> None:
-        """Count in the transport of all connections from now on."""
+        """Start counting, in the transport of all connections."""
         write, read = TSocket.TSocket.write, TSocket.TSocket.read
 
         def counting_write(transport: Any, data: bytes) -> None:
@@ -63,7 +64,7 @@
 
 
 class MembershipHandler:
-    """The calls of membership, and none of the others of an entry host."""
+    """The membership calls of an entry host, without its other calls."""
 
     def __init__(self, gossip: Gossip) -> None:
         self.gossip = gossip.receive
@@ -72,7 +73,7 @@
 
 
 class MembershipHost:
-    """The membership part of an entry host."""
+    """The membership of an entry host."""
 
     def __init__(
         self, host_id: str, address: str, zone: str, address_by_id: dict[str, str]
@@ -101,12 +102,12 @@
         )
 
     def start(self) -> None:
-        """Serve peers and start the tasks."""
+        """Serve peers and start the background tasks."""
         self.server.start()
         self.gossip.start(self.process)
 
     def stop(self) -> None:
-        """Stop the tasks; open connections end with the process."""
+        """Stop the background tasks; open connections close with the process."""
         self.process.stopped.set()
         self.server.close()
 
@@ -116,7 +117,7 @@
 
 
 def report(host: MembershipHost, traffic: Traffic) -> dict[str, Any]:
-    """Return what the process has cost since its start, and whom it knows."""
+    """Return the cost of the process since its start, and the hosts that it knows."""
     status_by_id = {
         state.host_id: state.status.name for state in host.directory.states()
     }
@@ -141,19 +142,21 @@
     return 0
 
 
-def watch(host: MembershipHost) -> None:
-    """Print a line with the instant of each change of a host's status."""
+def print_status_changes(host: MembershipHost) -> None:
+    """Print a line with the time of each change of a host's status."""
     known: dict[str, str] = {}
     while not host.process.stopped.wait(0.05):
         now = time.monotonic()
         for state in host.directory.states():
             if known.get(state.host_id) != state.status.name:
                 known[state.host_id] = state.status.name
-                _print({"changed": state.host_id, "to": state.status.name, "at": now})
+                _print_json(
+                    {"changed": state.host_id, "to": state.status.name, "at": now}
+                )
 
 
 def main() -> None:
-    """Run until the standard input ends."""
+    """Run the host until the standard input is closed."""
     host_id, address, zone, *seeds = sys.argv[1:]
     traffic = Traffic()
     traffic.count()
@@ -162,18 +165,20 @@
     host = MembershipHost(host_id, address, zone, address_by_id)
     host.start()
     gc.freeze()
-    _print({"ready": True})
+    _print_json({"ready": True})
     for line in sys.stdin:
         if line.strip() == "report":
-            _print(report(host, traffic))
+            _print_json(report(host, traffic))
         elif line.strip() == "watch":
-            threading.Thread(target=watch, args=(host,), daemon=True).start()
+            threading.Thread(
+                target=print_status_changes, args=(host,), daemon=True
+            ).start()
         elif line.startswith("revision "):
             host.revision = int(line.split()[1])
     host.stop()
 
 
-def _print(message: dict[str, Any]) -> None:
+def _print_json(message: dict[str, Any]) -> None:
     sys.stdout.write(json.dumps(message) + "\n")
     sys.stdout.flush()
 
--- a/bench/membership/measure.py
+++ b/bench/membership/measure.py
@@ -1,8 +1,8 @@
-"""Measures membership with real processes on loopback, one line a number of hosts.
+"""Measures membership with real processes on loopback; prints a line per host count.
 
 Run as `python -m bench.membership.measure --hosts 3 7 20 40`. Traffic is counted in the
-processes; the headers of TCP and IP are estimated, one segment a message and one
-acknowledgement for every second one.
+processes. The headers of TCP and IP are estimated, with one segment per message and one
+acknowledgement for every second segment.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from bench.membership.host import SEGMENT_HEADER_BYTES
+from bench.membership.host import TCP_SEGMENT_HEADER_BYTES
 
 ZONES = 3
 SEEDS = 3
-SETTLE_SECONDS = 60.0
-DETECT_SECONDS = 30.0
+REPLY_TIMEOUT_SECONDS = 60.0
+CONDITION_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.1
 
 
 class HostProcess:
-    """One started membership host."""
+    """A membership host in a process of its own."""
 
     def __init__(self, host_id: str, address: str, zone: str, seeds: list[str]) -> None:
         self.host_id = host_id
         self.changes: list[dict[str, Any]] = []
-        self._answers: queue.Queue[dict[str, Any]] = queue.Queue()
+        self._replies: queue.Queue[dict[str, Any]] = queue.Queue()
         self._process = subprocess.Popen(
             [sys.executable, "-m", "bench.membership.host"]
             + [host_id, address, zone, *seeds],
@@ -45,7 +45,7 @@
             text=True,
         )
         threading.Thread(target=self._read, daemon=True).start()
-        self._answers.get(timeout=SETTLE_SECONDS)
+        self._replies.get(timeout=REPLY_TIMEOUT_SECONDS)
 
     def _read(self) -> None:
         assert self._process.stdout is not None
@@ -54,32 +54,32 @@
             if "changed" in message:
                 self.changes.append(message)
             else:
-                self._answers.put(message)
+                self._replies.put(message)
 
     def tell(self, command: str) -> None:
-        """Send one command."""
+        """Send a command to the host."""
         assert self._process.stdin is not None
         self._process.stdin.write(command + "\n")
         self._process.stdin.flush()
 
     def report(self) -> dict[str, Any]:
-        """Return the host's account of itself."""
+        """Return the report of the host."""
         self.tell("report")
-        return self._answers.get(timeout=SETTLE_SECONDS)
+        return self._replies.get(timeout=REPLY_TIMEOUT_SECONDS)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process of this host."""
         self._process.send_signal(number)
 
     def end(self) -> None:
-        """End the process."""
+        """Kill the process if it runs, and wait until it has ended."""
         if self._process.poll() is None:
             self._process.kill()
         self._process.wait()
 
 
 def measure(count: int, seconds: float) -> dict[str, Any]:
-    """Start `count` hosts, measure them while quiet, then kill and freeze one each."""
+    """Start `count` hosts, measure them while idle, then kill one and freeze one."""
     addresses = _free_addresses(count)
     seeds = [f"host-{number}={addresses[number]}" for number in range(SEEDS)]
     hosts = [
@@ -88,11 +88,11 @@
     ]
     started = time.monotonic()
     try:
-        _wait_until(lambda: _all_know(hosts, count))
+        _wait_until(lambda: _all_hosts_live(hosts, count))
         joined = time.monotonic() - started
-        time.sleep(10.0)  # The news of the joins is told to its end.
+        time.sleep(10.0)  # Gossip about the joins completes meanwhile.
         result: dict[str, Any] = {"hosts": count, "joined_seconds": round(joined, 2)}
-        result |= _measure_quiet(hosts, seconds)
+        result |= _measure_idle(hosts, seconds)
         for host in hosts:
             host.tell("watch")
         time.sleep(1.0)
@@ -104,18 +104,21 @@
             host.end()
 
 
-def _measure_quiet(hosts: list[HostProcess], seconds: float) -> dict[str, Any]:
+def _measure_idle(hosts: list[HostProcess], seconds: float) -> dict[str, Any]:
     before = [host.report() for host in hosts]
     time.sleep(seconds)
     after = [host.report() for host in hosts]
     pairs = list(zip(before, after, strict=True))
 
     def rates(key: str) -> list[float]:
-        return [(b[key] - a[key]) / (b["at"] - a["at"]) for a, b in pairs]
+        return [
+            (later[key] - earlier[key]) / (later["at"] - earlier["at"])
+            for earlier, later in pairs
+        ]
 
     sent, received = rates("sent_bytes"), rates("received_bytes")
     messages, cpu = rates("sent_messages"), rates("cpu_seconds")
-    headers = 2 * statistics.mean(messages) * 1.5 * SEGMENT_HEADER_BYTES
+    headers = 2 * statistics.mean(messages) * 1.5 * TCP_SEGMENT_HEADER_BYTES
     both_ways = statistics.mean(sent) + statistics.mean(received)
     return {
         "sent_bytes_per_second": round(statistics.mean(sent)),
@@ -134,16 +137,18 @@
 def _measure_loss(
     others: list[HostProcess], lost: HostProcess, number: signal.Signals
 ) -> dict[str, Any]:
-    """Return the seconds until the others suspect the lost host and call it dead."""
+    """Return the seconds until the others report the lost host suspect and dead."""
     for host in others:
         host.changes.clear()
     at = time.monotonic()
     lost.signal(number)
     try:
-        _wait_until(lambda: all(_times(host, lost, "DEAD", at) for host in others))
+        _wait_until(
+            lambda: all(_detection_times(host, lost, "DEAD", at) for host in others)
+        )
         result: dict[str, Any] = {}
         for status in ("SUSPECT", "DEAD"):
-            times = [_times(host, lost, status, at)[0] for host in others]
+            times = [_detection_times(host, lost, status, at)[0] for host in others]
             result[f"{status.lower()}_median"] = round(statistics.median(times), 2)
             result[f"{status.lower()}_max"] = round(max(times), 2)
         wrong = [
@@ -158,7 +163,7 @@
         lost.end()
 
 
-def _times(
+def _detection_times(
     host: HostProcess, lost: HostProcess, status: str, since: float
 ) -> list[float]:
     return [
@@ -168,15 +173,17 @@
     ]
 
 
-def _all_know(hosts: list[HostProcess], count: int) -> bool:
+def _all_hosts_live(hosts: list[HostProcess], count: int) -> bool:
     return all(len(host.report()["live"]) == count for host in hosts)
 
 
 def _wait_until(condition: Callable[[], bool]) -> None:
-    end = time.monotonic() + DETECT_SECONDS
+    end = time.monotonic() + CONDITION_TIMEOUT_SECONDS
     while not condition():
         if time.monotonic() > end:
-            raise TimeoutError(f"not within {DETECT_SECONDS} s")
+            raise TimeoutError(
+                f"condition did not hold within {CONDITION_TIMEOUT_SECONDS} s"
+            )
         time.sleep(POLL_SECONDS)
 
 
@@ -189,7 +196,7 @@
 
 
 def main() -> None:
-    """Measure each number of hosts and print a JSON line for it."""
+    """Measure each number of hosts and print a JSON line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--hosts", type=int, nargs="+", default=[3, 7, 20, 40])
     parser.add_argument("--seconds", type=float, default=20.0)
