--- a/bench/replay/_patterns.py
+++ b/bench/replay/_patterns.py
@@ -198,7 +198,7 @@
 )
 
 
-def drawn_pattern(seed: int) -> Pattern:
+def random_pattern(seed: int) -> Pattern:
     """Return a pattern of five engines of which random ones are lost at random times.
 
     One or two leave permanently, and one crashes and recovers after a few seconds.
@@ -257,7 +257,7 @@
 )
 
 
-def drawn_pattern_with_lost_leader(seed: int) -> Pattern:
+def random_pattern_with_lost_leader(seed: int) -> Pattern:
     """Return a pattern in which an engine leaves before and one after leader loss.
 
     Of the five engines, a third one crashes at a random time and recovers after a few
--- a/bench/replay/_play.py
+++ b/bench/replay/_play.py
@@ -64,38 +64,38 @@
     refused: int = 0
     wasted_prefills: int = 0
     evicted: int = 0
-    owed: float = 0.0
+    total_worth: float = 0.0
     """The worth of all requests; a large one is worth more."""
-    earned: float = 0.0
-    large_owed: float = 0.0
+    earned_worth: float = 0.0
+    large_total_worth: float = 0.0
     """The worth of the tenth of the requests with the largest prompts."""
-    large_earned: float = 0.0
+    large_earned_worth: float = 0.0
     orders: list[tuple[float, EndpointRole]] = field(default_factory=list)
     """The role orders to engines, with their times in seconds from the start."""
 
     @property
     def worth(self) -> float:
         """Return the earned share of the worth of all requests."""
-        return self.earned / max(1.0, self.owed)
+        return self.earned_worth / max(1.0, self.total_worth)
 
     @property
     def large_worth(self) -> float:
         """Return the earned share of the worth of the large requests."""
-        return self.large_earned / max(1.0, self.large_owed)
+        return self.large_earned_worth / max(1.0, self.large_total_worth)
 
     def note_requested(self, size: float, is_large: bool) -> None:
         """Record the first arrival of a request."""
         self.requested += 1
-        self.owed += size
-        self.large_owed += size if is_large else 0.0
+        self.total_worth += size
+        self.large_total_worth += size if is_large else 0.0
 
     def note_served(self, size: float, is_large: bool, in_time: bool) -> None:
         """Record a complete answer."""
         self.in_time += in_time
         self.late += not in_time
-        earned = size if in_time else size * LATE_WORTH
-        self.earned += earned
-        self.large_earned += earned if is_large else 0.0
+        earned_worth = size if in_time else size * LATE_WORTH
+        self.earned_worth += earned_worth
+        self.large_earned_worth += earned_worth if is_large else 0.0
 
 
 @dataclass(frozen=True)
--- a/tests/bench/test_few_engines.py
+++ b/tests/bench/test_few_engines.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.replay._patterns import FEW_ENGINES_PATTERNS, Pattern, drawn_pattern
+from bench.replay._patterns import FEW_ENGINES_PATTERNS, Pattern, random_pattern
 from bench.replay._play import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions
 from jujubeslip.kernel import ControlSettings
@@ -14,7 +14,7 @@
 MINIMUM_WORTH = 0.5
 SEEDS = (1, 2, 3)
 # Seeds whose patterns lose two engines permanently, at least one a decode engine.
-DRAWN_SEEDS = (7, 9, 11, 13, 32, 39, 46)
+PATTERN_SEEDS = (7, 9, 11, 13, 32, 39, 46)
 
 
 def default_options() -> DecisionOptions:
@@ -27,7 +27,7 @@
     )
 
 
-def played(pattern: Pattern, seed: int) -> Outcome:
+def simulate(pattern: Pattern, seed: int) -> Outcome:
     return Simulation(pattern, default_options(), seed).run()
 
 
@@ -37,8 +37,8 @@
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("name", PATTERN_BY_NAME)
     def test_earns_half_of_the_worth(self, name: str, seed: int) -> None:
-        assert played(PATTERN_BY_NAME[name], seed).worth >= MINIMUM_WORTH
+        assert simulate(PATTERN_BY_NAME[name], seed).worth >= MINIMUM_WORTH
 
-    @pytest.mark.parametrize("seed", DRAWN_SEEDS)
+    @pytest.mark.parametrize("seed", PATTERN_SEEDS)
     def test_earns_half_of_the_worth_with_random_losses(self, seed: int) -> None:
-        assert played(drawn_pattern(seed), seed).worth >= MINIMUM_WORTH
+        assert simulate(random_pattern(seed), seed).worth >= MINIMUM_WORTH
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -27,8 +27,8 @@
     return [Simulation(PATTERN_BY_NAME[name], options, seed).run() for seed in SEEDS]
 
 
-def worth(played: Iterable[Outcome]) -> float:
-    return statistics.mean(outcome.worth for outcome in played)
+def worth(results: Iterable[Outcome]) -> float:
+    return statistics.mean(outcome.worth for outcome in results)
 
 
 class TestPrefillEngineLostInABurst:
@@ -63,25 +63,28 @@
 
 
 class TestBurstsAtFullEngines:
-    """Bursts demand more memory than the engines have.
+    """Three bursts demand more memory than the engines have.
 
     The memory use of an engine is a forecast. If the safety margin is larger than its
     usual deviation, capacity for some answers is never used.
     """
 
     @staticmethod
-    def played(safety_deviations: float) -> list[Outcome]:
+    def simulate(safety_deviations: float) -> list[Outcome]:
         memory = MemoryOptions(margin=0.05, safety_deviations=safety_deviations)
         return outcomes(
             "engines lost in a burst", DecisionOptions(memory, PREFILL_ON_DECODE_ENGINE)
         )
 
     def test_serve_more_with_a_smaller_safety_margin(self) -> None:
-        careful, usual = self.played(2.5), self.played(DEFAULT_MEMORY.safety_deviations)
+        careful, usual = (
+            self.simulate(2.5),
+            self.simulate(DEFAULT_MEMORY.safety_deviations),
+        )
         assert worth(usual) > worth(careful)
 
     def test_evict_hardly_any_answer(self) -> None:
-        usual = self.played(DEFAULT_MEMORY.safety_deviations)
+        usual = self.simulate(DEFAULT_MEMORY.safety_deviations)
         evicted = sum(item.evicted for item in usual)
         assert evicted <= 0.01 * sum(item.requested for item in usual)
 
