--- a/bench/_client.py
+++ b/bench/_client.py
@@ -100,7 +100,7 @@
         while (self._timers or self._open_exchanges) and time.monotonic() < end:
             self._run_cycle(end)
         for exchange in tuple(self._open_exchanges):
-            self._finish(exchange, Outcome.GAVE_UP)
+            self._finish(exchange, Outcome.ABANDONED)
 
     def _plan(self, request: PlannedRequest, due: float, *, probe: bool) -> None:
         content = self._content(request, probe)
@@ -195,12 +195,12 @@
             self._connect(exchange)
             return
         unreachable = refused or not exchange.reader.parser.status
-        outcome = Outcome.UNREACHABLE if unreachable else Outcome.CUT
+        outcome = Outcome.UNREACHABLE if unreachable else Outcome.INTERRUPTED
         self._finish(exchange, outcome)
 
     def _abandon_without_first_token(self, exchange: Exchange) -> None:
         if not exchange.done and not exchange.reader.tokens:
-            self._finish(exchange, Outcome.GAVE_UP)
+            self._finish(exchange, Outcome.ABANDONED)
 
     def _close(self, exchange: Exchange) -> None:
         if exchange.socket is not None:
@@ -248,9 +248,9 @@
     if parser.status == 0:
         return Outcome.UNREACHABLE
     if parser.status != HTTP_OK:
-        return Outcome.REFUSED if parser.complete else Outcome.CUT
+        return Outcome.REFUSED if parser.complete else Outcome.INTERRUPTED
     complete = reader.ended if reader.is_stream else parser.complete
-    return Outcome.WHOLE if complete else Outcome.CUT
+    return Outcome.COMPLETE if complete else Outcome.INTERRUPTED
 
 
 def _describe(exchange: Exchange, outcome: Outcome) -> RequestOutcome:
@@ -258,7 +258,7 @@
     finished = time.monotonic() - exchange.due
     times = reader.token_times
     first = times[0] if times else None
-    if outcome is Outcome.WHOLE and not reader.is_stream:
+    if outcome is Outcome.COMPLETE and not reader.is_stream:
         first = finished
     error = reader.error or {}
     if outcome is Outcome.REFUSED:
--- a/bench/_measure.py
+++ b/bench/_measure.py
@@ -122,7 +122,7 @@
 def counts_for_goodput(item: RequestClass, outcome: RequestOutcome) -> bool:
     """Return whether a request counts for goodput."""
     return (
-        outcome.outcome is Outcome.WHOLE
+        outcome.outcome is Outcome.COMPLETE
         and meets_first_token_target(item, outcome)
         and meets_between_tokens_target(item, outcome)
     )
@@ -243,7 +243,7 @@
                 continue
             prompt = make_prompt(planned, self._class_by_name[item.class_name])
             text = answer_text(prompt, item.tokens)
-            short = item.outcome is Outcome.WHOLE and (
+            short = item.outcome is Outcome.COMPLETE and (
                 item.tokens != planned.output_tokens
             )
             wrong += item.text != text or item.out_of_order or short
@@ -276,7 +276,7 @@
             given=len(given),
             missing=len(refused) - len(given),
             probed=len(self._probes),
-            answered=sum(item.outcome is Outcome.WHOLE for item in self._probes),
+            answered=sum(item.outcome is Outcome.COMPLETE for item in self._probes),
             median_seconds=percentile(given, 0.5),
         )
 
@@ -287,7 +287,7 @@
         by_outcome: defaultdict[Outcome, list[RequestOutcome]] = defaultdict(list)
         for found in class_outcomes:
             by_outcome[found.outcome].append(found)
-        complete = by_outcome.get(Outcome.WHOLE, [])
+        complete = by_outcome.get(Outcome.COMPLETE, [])
         refused = by_outcome.get(Outcome.REFUSED, [])
         return ClassFigures(
             offered=sum(planned.class_name == item.name for planned in self._planned),
@@ -315,7 +315,7 @@
 
 
 def _is_incomplete(outcome: RequestOutcome) -> bool:
-    return outcome.begun and outcome.outcome is not Outcome.WHOLE
+    return outcome.begun and outcome.outcome is not Outcome.COMPLETE
 
 
 def _first_token_percentiles(outcomes: Iterable[RequestOutcome]) -> Percentiles:
--- a/bench/_outcomes.py
+++ b/bench/_outcomes.py
@@ -12,11 +12,11 @@
 class Outcome(enum.Enum):
     """How a request ended for its caller."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     ERROR = "error"
-    CUT = "cut"
-    GAVE_UP = "gave_up"
+    INTERRUPTED = "cut"
+    ABANDONED = "gave_up"
     UNREACHABLE = "unreachable"
 
 
--- a/bench/accounts/measure.py
+++ b/bench/accounts/measure.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 
 from bench.accounts.model import (
-    WAYS,
+    POLICY_BY_NAME,
     ChargedAtLeader,
     Load,
     Outcome,
@@ -36,24 +36,24 @@
 
 def loads(hosts: int, limit: RateLimit) -> dict[str, Load]:
     """Return the loads by name, for this number of hosts."""
-    base = Load(hosts, limit, BOUNDS, SECONDS, usual=0.55)
-    spike = replace(base, surge=7.5, spike_span=Span(8, 16))
+    base = Load(hosts, limit, BOUNDS, SECONDS, demand_share=0.55)
+    spike = replace(base, spike_factor=7.5, spike_span=Span(8, 16))
     leader_loss = (Span(10, 11.5),)
-    partition, cut_share = Span(9, 15), 1 / 3
+    partition, partitioned_share = Span(9, 15), 1 / 3
     return {
         "0.55 of the limit": base,
-        "0.9 of the limit": replace(base, usual=0.9),
-        "at the limit": replace(base, usual=1.0),
-        "0.9, most at one host": replace(base, usual=0.9, one_host=0.9),
+        "0.9 of the limit": replace(base, demand_share=0.9),
+        "at the limit": replace(base, demand_share=1.0),
+        "0.9, most at one host": replace(base, demand_share=0.9, one_host=0.9),
         "surge to 4 limits": spike,
-        "surge to 11 limits": replace(spike, surge=20),
+        "surge to 11 limits": replace(spike, spike_factor=20),
         "surge, leader lost": replace(spike, without_leader=leader_loss),
         "0.55, leader lost": replace(base, without_leader=leader_loss),
         "surge, a third cut off": replace(
-            spike, partition=partition, cut_share=cut_share
+            spike, partition=partition, partitioned_share=partitioned_share
         ),
         "0.55, a third cut off": replace(
-            base, partition=partition, cut_share=cut_share
+            base, partition=partition, partitioned_share=partitioned_share
         ),
     }
 
@@ -93,7 +93,7 @@
     for size, limit in LIMIT_BY_SIZE.items():
         for hosts in (7, 65, 300):
             for name, load in loads(hosts, limit).items():
-                for policy, make_policy in WAYS.items():
+                for policy, make_policy in POLICY_BY_NAME.items():
                     outcomes = [
                         replay(load, seed, make_policy) for seed in range(seeds)
                     ]
--- a/bench/accounts/model.py
+++ b/bench/accounts/model.py
@@ -59,16 +59,16 @@
     limit: RateLimit
     bounds: LimitBounds
     seconds: float
-    usual: float
+    demand_share: float
     """Tokens per second, as a share of the limit."""
-    surge: float = 1.0
+    spike_factor: float = 1.0
     """Factor of the demand in the demand spike."""
     spike_span: Span = Span(0, 0)
     one_host: float = 0.0
     """Share of its requests that always arrive at the first host."""
     without_leader: tuple[Span, ...] = ()
     partition: Span = Span(0, 0)
-    cut_share: float = 0.0
+    partitioned_share: float = 0.0
     """Share of the hosts that cannot reach a leader in that span."""
     lost_replies: float = 0.0
     restarts_per_second: float = 0.0
@@ -102,8 +102,8 @@
     plain_share = (1 - STREAM_SHARE) / PLAIN_COST * mean_cost
     at = 0.0
     while True:
-        factor = load.surge if load.spike_span.contains(at) else 1.0
-        rate = load.usual * factor * load.limit.per_second / mean_cost
+        factor = load.spike_factor if load.spike_span.contains(at) else 1.0
+        rate = load.demand_share * factor * load.limit.per_second / mean_cost
         at += randomness.expovariate(rate)
         if at >= load.seconds:
             return
@@ -306,7 +306,7 @@
 
 def is_partitioned(load: Load, host: int, now: float) -> bool:
     """Return whether the host is partitioned."""
-    return host < load.hosts * load.cut_share and load.partition.contains(now)
+    return host < load.hosts * load.partitioned_share and load.partition.contains(now)
 
 
 @dataclass(frozen=True)
@@ -376,19 +376,19 @@
         ),
         bounds=LimitBounds(8, 0.1, randomness.choice((20_000, 120_000))),
         seconds=24,
-        usual=randomness.uniform(0.2, 1.2),
-        surge=randomness.choice((1, 4, 8, 20)),
+        demand_share=randomness.uniform(0.2, 1.2),
+        spike_factor=randomness.choice((1, 4, 8, 20)),
         spike_span=Span(spike_at, spike_at + randomness.uniform(1, 12)),
         one_host=randomness.choice((0, 0, 0.5, 1)),
         without_leader=randomness.choice(((), (lost,), (lost, second_loss))),
         partition=Span(partition_at, partition_at + randomness.uniform(1, 8)),
-        cut_share=randomness.choice((0, 1 / 3, 0.6)),
+        partitioned_share=randomness.choice((0, 1 / 3, 0.6)),
         lost_replies=randomness.choice((0, 0.1, 0.6)),
         restarts_per_second=randomness.choice((0, 0, 1, 10)),
     )
 
 
-WAYS: dict[str, Callable[[Load, random.Random], LimitPolicy]] = {
+POLICY_BY_NAME: dict[str, Callable[[Load, random.Random], LimitPolicy]] = {
     "even parts": lambda load, _: EvenShares(load),
     "shares by demand": lambda load, _: DemandShares(load),
     "charged at the leader": ChargedAtLeader,
--- a/bench/membership/measure.py
+++ b/bench/membership/measure.py
@@ -56,7 +56,7 @@
             else:
                 self._replies.put(message)
 
-    def tell(self, command: str) -> None:
+    def send_command(self, command: str) -> None:
         """Send a command to the host."""
         assert self._process.stdin is not None
         self._process.stdin.write(command + "\n")
@@ -64,7 +64,7 @@
 
     def report(self) -> dict[str, Any]:
         """Return the report of the host."""
-        self.tell("report")
+        self.send_command("report")
         return self._replies.get(timeout=REPLY_TIMEOUT_SECONDS)
 
     def signal(self, number: signal.Signals) -> None:
@@ -94,7 +94,7 @@
         result: dict[str, Any] = {"hosts": count, "joined_seconds": round(joined, 2)}
         result |= _measure_idle(hosts, seconds)
         for host in hosts:
-            host.tell("watch")
+            host.send_command("watch")
         time.sleep(1.0)
         result["killed"] = _measure_loss(hosts, hosts.pop(), signal.SIGKILL)
         result["frozen"] = _measure_loss(hosts, hosts.pop(), signal.SIGSTOP)
--- a/tests/accounts/test_account_limits_model.py
+++ b/tests/accounts/test_account_limits_model.py
@@ -6,7 +6,7 @@
 
 from bench.accounts.measure import BOUNDS, LIMIT_BY_SIZE, loads
 from bench.accounts.model import (
-    WAYS,
+    POLICY_BY_NAME,
     ChargedAtLeader,
     Load,
     Span,
@@ -41,7 +41,7 @@
     def test_is_exceeded_if_shares_follow_the_demand(self) -> None:
         """An account with little previous demand gets its limit at each of 65 hosts."""
         load = loads(65, LIMIT_BY_SIZE["large"])["surge to 11 limits"]
-        assert replay(load, 0, WAYS["shares by demand"]).worst_share > 1
+        assert replay(load, 0, POLICY_BY_NAME["shares by demand"]).worst_share > 1
         assert replay(load, 0, ChargedAtLeader).worst_share <= 1
 
 
@@ -63,7 +63,7 @@
 
     def test_is_refused_with_equal_shares(self) -> None:
         load = loads(65, LIMIT_BY_SIZE["small"])["0.55 of the limit"]
-        outcome = replay(load, 0, WAYS["even parts"])
+        outcome = replay(load, 0, POLICY_BY_NAME["even parts"])
         assert outcome.wrong > outcome.offered / 10
 
     def test_is_rarely_refused_during_a_leader_election(self) -> None:
@@ -77,6 +77,6 @@
     def test_keeps_the_exact_limit(self) -> None:
         exact = LimitBounds(8, 0, 0)
         limit = RateLimit(29_000, 29_000)
-        load = Load(65, limit, exact, 20, usual=2, without_leader=(Span(8, 9),))
+        load = Load(65, limit, exact, 20, demand_share=2, without_leader=(Span(8, 9),))
         assert replay(load, 1, ChargedAtLeader).worst_share <= 1
         assert BOUNDS.most(limit) > exact.most(limit)
--- a/tests/accounts/test_endpoint_limits_model.py
+++ b/tests/accounts/test_endpoint_limits_model.py
@@ -30,8 +30,8 @@
         bounds=LimitBounds(
             bounds.window_seconds, bounds.overage, bounds.slack * PLAIN_COST
         ),
-        usual=source.uniform(0.5, 8),
-        surge=1,
+        demand_share=source.uniform(0.5, 8),
+        spike_factor=1,
     )
 
 
@@ -53,8 +53,8 @@
             hosts=hosts,
             limit=RateLimit(2.5 * PLAIN_COST, PLAIN_COST),
             without_leader=(),
-            cut_share=0,
-            usual=4,
+            partitioned_share=0,
+            demand_share=4,
             restarts_per_second=0,
         )
         outcome = replay(load, 1, ChargedAtLeader)
--- a/tests/bench/test_measure.py
+++ b/tests/bench/test_measure.py
@@ -23,7 +23,7 @@
         request_id=PLANNED.request_id,
         entry_address="127.0.0.1:1",
         class_name=PLANNED.class_name,
-        outcome=Outcome.WHOLE,
+        outcome=Outcome.COMPLETE,
         status=200,
         sent_late=0.0,
         finished=0.3,
@@ -61,7 +61,7 @@
         for bad in (
             replace(good, first_token=1.1),
             replace(good, gaps_ms=(20.0, 200.0)),
-            replace(good, outcome=Outcome.CUT),
+            replace(good, outcome=Outcome.INTERRUPTED),
         ):
             assert measure(bad, []).figures().goodput == 0.0
 
@@ -92,7 +92,7 @@
         runs = [prefill_run("kv-1", 100), prefill_run("kv-2", 300), decode]
         assert measure(complete_outcome(), runs).figures().wasted_prefill == 0.25
         gave_up = replace(
-            complete_outcome(), outcome=Outcome.GAVE_UP, tokens=0, text=""
+            complete_outcome(), outcome=Outcome.ABANDONED, tokens=0, text=""
         )
         assert measure(gave_up, runs).figures().wasted_prefill == 1.0
 
--- a/tests/membership/hosts.py
+++ b/tests/membership/hosts.py
@@ -45,7 +45,7 @@
     def __enter__(self) -> Hosts:
         try:
             for host in self.by_id.values():
-                host.tell("watch")
+                host.send_command("watch")
             all_hosts = set(self.by_id)
             self.wait(lambda: all(self.live(host) == all_hosts for host in all_hosts))
             self.wait(lambda: all(self._is_settled(host) for host in all_hosts))
