--- a/bench/_run.py
+++ b/bench/_run.py
@@ -13,7 +13,7 @@
 
 from bench._capacity import classes_of, pool_capacity
 from bench._client import ClientTask
-from bench._disturbances import FaultInjector
+from bench._fault_injection import FaultInjector
 from bench._measure import RunMeasure, as_json
 from bench._outcomes import RequestOutcome, read_outcomes
 from bench._plan import PlannedRequest, plan_requests
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -7,7 +7,7 @@
 import click
 
 from bench.replay._patterns import FEW_ENGINES_PATTERNS, PATTERNS
-from bench.replay._play import DecisionOptions, Outcome, Simulation
+from bench.replay._simulation import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions
 
 TABLE_HEAD = (
--- a/bench/replay/_play.py
+++ b/bench/replay/_simulation.py
@@ -13,7 +13,7 @@
 from bench.replay._clock import VirtualClock
 from bench.replay._engines import Answer, DecodeEngine, PrefillEngine
 from bench.replay._patterns import Loss, Pattern, Workload
-from bench.replay._roles import ReplayedRoles
+from bench.replay._role_orders import ReplayedRoles
 from jujubeslip.admission import MemoryOptions, WaitingOptions, lengths_of
 from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._models import Grant, GrantRequest
--- a/tests/bench/test_few_engines.py
+++ b/tests/bench/test_few_engines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bench.replay._patterns import FEW_ENGINES_PATTERNS, Pattern, random_pattern
-from bench.replay._play import DecisionOptions, Outcome, Simulation
+from bench.replay._simulation import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions
 from jujubeslip.kernel import ControlSettings
 
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.replay._patterns import PATTERNS
-from bench.replay._play import DecisionOptions, Outcome, Simulation
+from bench.replay._simulation import DecisionOptions, Outcome, Simulation
 from jujubeslip.admission import MemoryOptions, WaitingOptions, _unservable_waits
 from jujubeslip.kernel import ControlSettings
 
