--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -42,7 +42,7 @@
         found = run_soak(SoakOptions(item.seed, item.seconds, folder))
         broken += bool(found) and not item.open
         verdict = "broken" if found else "kept"
-        state = "open" if item.open else "fixed"
+        state = "open" if item.open else "mended"
         print(f"REGRESSION seed {item.seed} ({state}): {verdict}; {item.cause}")
     return 1 if broken else 0
 
--- a/src/jujubeslip/control/_meters.py
+++ b/src/jujubeslip/control/_meters.py
@@ -27,28 +27,28 @@
     meter.create_observable_gauge(
         "jujubeslip.control.term",
         [gauge_callback(lambda: replica.term)],
-        description="Term of the replicated log; each leader has its own.",
+        description="Term of the replicated log, one for each leader.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.commit_index",
         [gauge_callback(lambda: replica.commit_index)],
-        description="Index of the newest log entry that a majority has synced.",
+        description="Entries of the log that a majority has synced.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.configuration_version",
         [gauge_callback(lambda: replica.machine.configurations.current.revision)],
-        description="Version of the configuration applied on this host.",
+        description="Version of the configuration that is applied here.",
     )
     meter.create_observable_gauge(
         "jujubeslip.control.failed",
         [gauge_callback(lambda: int(bool(replica.failure)))],
-        description="1 once a write failed and this replica confirms nothing more.",
+        description="1 once a write has failed and nothing is promised any more.",
     )
 
     meter.create_observable_gauge(
         "jujubeslip.control.quarantined_contents",
         [gauge_callback(lambda: len(crash_registry.quarantined_contents()))],
-        description="Quarantined contents of requests, which crash endpoints.",
+        description="Contents of requests that are held back, as they crash endpoints.",
     )
 
     def endpoints(_: CallbackOptions) -> Iterable[Observation]:
@@ -68,5 +68,5 @@
     meter.create_observable_gauge(
         "jujubeslip.control.endpoints",
         [endpoints],
-        description="Known endpoints, by service, role and whether they are leaving.",
+        description="Endpoints that are known, by service, role and leaving.",
     )
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -55,7 +55,7 @@
         print("--known-red-is-invalid")
         return 1
     for test in tests:
-        print(f"KNOWN RED, deselected: {test}", file=sys.stderr)
+        print(f"KNOWN RED, passed over: {test}", file=sys.stderr)
     # The shell splits the output of a command substitution at spaces, and doesn't
     # remove quotes.
     print(" ".join(f"--deselect={test}" for test in tests))
