--- a/src/jujubeslip/_reload_signal.py
+++ b/src/jujubeslip/_reload_signal.py
@@ -17,7 +17,7 @@
 
 
 def reload_was_asked() -> bool:
-    """Say whether SIGHUP came before the process could act on it."""
+    """Return whether SIGHUP came before the process could act on it."""
     return _asked
 
 
--- a/src/jujubeslip/accounts/_leaderless_pool.py
+++ b/src/jujubeslip/accounts/_leaderless_pool.py
@@ -1,9 +1,10 @@
 """The pooled limits of hosts without a leader.
 
-While a leader is being elected, or a zone is partitioned from it, the share of each
-host is only a fraction of a stream. Hosts therefore pool their shares at one control
-host that they all reach, where the sum admits whole streams, whichever host a client
-calls. The pool has no clock and no lock; callers pass the time and synchronize access.
+While a leader is being elected, or a zone is partitioned from it, each host may spend
+a share of a limit. One share is less than the cost of a streamed request, so hosts add
+their shares at one control host that they all reach. The sum is enough for streamed
+requests, whichever host a client calls. The pool has no clock and no lock; callers pass
+the time and synchronize access.
 """
 
 from __future__ import annotations
@@ -15,13 +16,15 @@
 from jujubeslip.accounts._models import RateLimit
 
 # How long a host must have been without a leader before its equal share of the rate
-# counts, in seconds: by then, the leader no longer hears from it and withholds that
-# share. The share then counts until RATE_DURATION_SECONDS, which is shorter than the
-# leader withholds it for a host that it does not hear from.
+# counts, in seconds. By then the leader, whose WATCHER_TIMEOUT_SECONDS is shorter,
+# counts the host as partitioned and withholds that share. The share counts until
+# RATE_DURATION_SECONDS, which is shorter than the leader's ENTRY_HOST_RETENTION_SECONDS
+# after which it no longer withholds the share.
 RATE_DELAY_SECONDS = 3.5
 RATE_DURATION_SECONDS = 300.0
 # A host that has not joined again for this long no longer counts, in seconds. Hosts
-# join several times as often, and lend their share to no other pool for a whole window.
+# join several times as often, and add their share to another pool only once a whole
+# window has passed.
 JOIN_LIFETIME_SECONDS = 2.0
 # A host that joins again after a longer pause than this had a leader in between, in
 # seconds: hosts without one join several times as often.
@@ -54,7 +57,7 @@
         self._spent_by_name: dict[str, deque[_Spent]] = {}
 
     def join(self, host_id: str, now: float) -> None:
-        """Add a host's shares of all accounts' margins, or renew them."""
+        """Add a host's leaderless shares of all limits to the pool, or renew them."""
         self._remove_expired(now)
         member = self._member_by_host.setdefault(host_id, _Member(now, now))
         if member.last_join_at < now - REJOIN_SECONDS:
@@ -67,7 +70,8 @@
     ) -> bool:
         """Charge a request if the pooled shares allow it; return whether they do.
 
-        `hosts` is the number of hosts among which the limit's margin is divided.
+        `hosts` is the number of hosts among which the limit's rate, its overage and the
+        leaderless share of its slack are divided.
         """
         spent = self._spent_by_name.setdefault(name, deque())
         while spent and spent[0].spent_at < now - self._bounds.window_seconds:
--- a/src/jujubeslip/accounts/_limit_bounds.py
+++ b/src/jujubeslip/accounts/_limit_bounds.py
@@ -21,7 +21,7 @@
 # until the ledger refills.
 INITIAL_LEVEL_SHARE = 0.25
 # The cost that hosts without a leader may spend together, as a share of the slack, in
-# addition to the whole overage. With the shares above, this uses up the whole margin.
+# addition to the whole overage. With the shares above, this uses up the whole slack.
 LEADERLESS_SHARE = 0.125
 
 
--- a/src/jujubeslip/admission/_answer_lengths.py
+++ b/src/jujubeslip/admission/_answer_lengths.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-# Error of the client's own estimate, as the standard deviation of its logarithm.
-# Measured over 5,900 answers: docs/design/admission.md.
+# Error of the client's own estimate, as the standard deviation of its logarithm over
+# 5,900 answers; see docs/design/admission.md.
 ESTIMATE_DEVIATION = 0.5
 # Estimates are rounded to multiples of this many events, so that few distributions are
 # computed.
--- a/src/jujubeslip/admission/_capacity_search.py
+++ b/src/jujubeslip/admission/_capacity_search.py
@@ -32,7 +32,7 @@
         self._profile_by_longest: dict[int, MemoryProfile] = {}
 
     def set_avoided(self, avoided: Collection[str]) -> bool:
-        """Replace the avoided engines; say whether they have changed."""
+        """Replace the avoided engines; return whether they have changed."""
         if self.avoided == frozenset(avoided):
             return False
         self.avoided = frozenset(avoided)
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -35,8 +35,8 @@
 # itself, in seconds. Each of its answers gets some events in this time.
 DECODE_SECONDS_BETWEEN_PREFILLS = 0.3
 # Events that an engine adds to each answer in a second: the initial value, used until
-# there are two reports (15 to 18 were measured with a dozen answers), and the weight of
-# the latest two reports in the moving average.
+# there are two reports (an engine with a dozen answers adds 15 to 18), and the weight
+# of the latest two reports in the moving average.
 INITIAL_EVENT_RATE = 15.0
 EVENT_RATE_WEIGHT = 0.2
 
@@ -78,7 +78,7 @@
 
     @property
     def usable(self) -> bool:
-        """Say whether the engine may be granted requests.
+        """Return whether the engine may be granted requests.
 
         An engine that carries out an order to change its role refuses all requests,
         and the prefill of each of their prompts would be wasted.
@@ -102,12 +102,12 @@
 
     @property
     def is_prefilling(self) -> bool:
-        """Say whether the engine prefills a prompt, which pauses its answers."""
+        """Return whether the engine prefills a prompt, which pauses its answers."""
         return bool(self._prefilling)
 
     @property
     def has_decoded_since_prefill(self) -> bool:
-        """Say whether its answers have continued since the last prompt it prefilled.
+        """Return whether its answers have continued since the last prompt it prefilled.
 
         Two prefills in a row are one long pause, which makes all of its answers late.
         """
--- a/src/jujubeslip/admission/_engine_pool.py
+++ b/src/jujubeslip/admission/_engine_pool.py
@@ -80,7 +80,7 @@
 
     @property
     def accepts_any_engine(self) -> bool:
-        """Say whether the request may run on any engine, like most others.
+        """Return whether the request may run on any engine, like most others.
 
         A request that avoids some engines, or needs a decode engine that also prefills
         its prompt, may wait for seconds while there is capacity for all others.
@@ -88,15 +88,16 @@
         return not self.search.avoided and not self.grant_request.reads_itself
 
     def blocks_others(self, now: float, bypass_seconds: float) -> bool:
-        """Say whether freed capacity may go to no other request before this one."""
+        """Return whether freed capacity may go to no other request before this one."""
         return self.accepts_any_engine and now - self.since >= bypass_seconds
 
 
 class EnginePool:
-    """Gives grants in the order of targets; requests past their target come last.
+    """Grants requests by earliest target time; those past their target come last.
 
     The requests of all hosts wait in one queue. If each host polled the engines on its
-    own, the grant would go to whichever host asked at the right moment.
+    own, freed capacity would go to the host that happened to poll next, whichever
+    request is the most urgent.
 
     The thread that delivers an engine's report or the end of a request decides for all
     waiting requests and wakes only those that it decided: hundreds of hosts wait in a
@@ -116,7 +117,7 @@
         self._waiting_by_id: dict[str, _WaitingRequest] = {}
         self._queue = WaitingQueue()
         self._interval = INITIAL_INTERVAL_SECONDS
-        self._busy_since = steady_seconds()
+        self._interval_began_at = steady_seconds()
         self._lock = threading.Lock()
 
     # Engines
@@ -148,12 +149,12 @@
 
     @property
     def usable(self) -> bool:
-        """Say whether the state of any engine is recent enough to grant requests."""
+        """Return whether the state of any engine is recent enough to grant requests."""
         with self._lock:
             return self._engines.usable
 
     def reported_within(self, start_id: str, seconds: float) -> bool:
-        """Say whether a start has reported within this time and is reachable."""
+        """Return whether a start has reported within this time and is reachable."""
         with self._lock:
             return self._engines.reported_within(start_id, seconds)
 
@@ -209,7 +210,7 @@
             self._grant_waiting()
 
     def end(self, request_id: str, attempt: int) -> bool:
-        """Note that a request has ended or will not be sent; say if it was waiting."""
+        """Note that a request ended or will not be sent; return whether it was waiting."""
         with self._lock:
             waiting = self._waiting_by_id.get(request_id)
             waited = waiting is not None and waiting.grant_request.attempt == attempt
@@ -257,7 +258,7 @@
         """Add a request to the queue."""
         now = steady_seconds()
         if not self._waiting_by_id:
-            self._busy_since = now
+            self._interval_began_at = now
         forecast = self._forecast(grant_request, now)
         is_unservable = is_wait_unservable(forecast, grant_request.limit.remaining())
         search = CapacitySearch(grant_request, avoided)
@@ -278,12 +279,12 @@
             return
         now = steady_seconds()
         prefill_candidates = self._engines.prefill_candidates()
-        too_large = math.inf
+        smallest_ungranted = math.inf
         for entry in self._queue.head(now, MAXIMUM_TRIED):
             waiting = self._waiting_by_id[entry.request_id]
             if (
                 self._drop_if_abandoned(waiting, now)
-                or waiting.prompt_tokens >= too_large
+                or waiting.prompt_tokens >= smallest_ungranted
             ):
                 continue
             may_use_decode_engine = (
@@ -298,7 +299,7 @@
             elif waiting.blocks_others(now, self._options.bypass_seconds):
                 return
             elif waiting.accepts_any_engine:
-                too_large = waiting.prompt_tokens
+                smallest_ungranted = waiting.prompt_tokens
 
     def _drop_if_abandoned(self, waiting: _WaitingRequest, now: float) -> bool:
         """Drop a request whose host no longer asks; it would block all others."""
@@ -314,8 +315,10 @@
 
     def _admit(self, waiting: _WaitingRequest, grant: Grant, now: float) -> None:
         self._engines.admit(waiting.grant_request, grant)
-        self._interval += INTERVAL_WEIGHT * (now - self._busy_since - self._interval)
-        self._busy_since = now
+        self._interval += INTERVAL_WEIGHT * (
+            now - self._interval_began_at - self._interval
+        )
+        self._interval_began_at = now
         self._decide(waiting, Decision(grant, False, waiting.forecast))
 
     def _refuse(self, waiting: _WaitingRequest) -> None:
--- a/src/jujubeslip/admission/_engine_reachability.py
+++ b/src/jujubeslip/admission/_engine_reachability.py
@@ -22,7 +22,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Say whether the engine is considered unreachable."""
+        """Return whether the engine is considered unreachable."""
         return self._lost_at is not None
 
     def note_lost(self) -> None:
--- a/src/jujubeslip/admission/_engine_report_poller.py
+++ b/src/jujubeslip/admission/_engine_report_poller.py
@@ -79,7 +79,7 @@
             self._on_lost(self._engine)
 
     def _request_report(self) -> bool:
-        """Request a report; say whether this start of the engine was reached."""
+        """Request a report; return whether this start of the engine was reached."""
         try:
             status, body = self._call()
         except EndpointOnHoldError as error:
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -159,7 +159,7 @@
         return self._pool(engine.service_name).answer_count(engine.start_id)
 
     def has_recent_report(self, engine: Endpoint) -> bool:
-        """Say whether an engine has recently replied to a poll for its report."""
+        """Return whether an engine has recently replied to a poll for its report."""
         pool = self._pool(engine.service_name)
         return pool.reported_within(engine.start_id, RECENT_REPORT_SECONDS)
 
--- a/src/jujubeslip/admission/_prefill_candidates.py
+++ b/src/jujubeslip/admission/_prefill_candidates.py
@@ -38,7 +38,7 @@
         return next(ready, None)
 
     def any_except(self, avoided: Collection[str]) -> bool:
-        """Say whether any prefill engine is usable, even if it is busy."""
+        """Return whether any prefill engine is usable, even if it is busy."""
         return any(item.endpoint.start_id not in avoided for item in self.usable)
 
 
--- a/src/jujubeslip/admission/_prefill_queue.py
+++ b/src/jujubeslip/admission/_prefill_queue.py
@@ -59,7 +59,7 @@
 
     @property
     def usable(self) -> bool:
-        """Say whether the engine accepts prompts or has yet to send its first report.
+        """Return whether the engine accepts prompts or has not sent a report yet.
 
         Requests wait for an engine that has not reported yet. Otherwise decode engines
         would prefill their prompts meanwhile and pause all their answers.
@@ -91,7 +91,7 @@
 
     @property
     def accepts_more(self) -> bool:
-        """Say whether a further prompt should be assigned now."""
+        """Return whether a further prompt should be assigned now."""
         return self._has_reported and self.seconds_left <= PREFILL_AHEAD_SECONDS
 
     def take_report(self, report: EngineReport) -> None:
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -31,7 +31,7 @@
         self._tokens = 0
 
     def note(self, request_id: str, tokens: int, now: float) -> bool:
-        """Note a request for a prefill engine; say whether it had not asked recently.
+        """Note a request for a prefill engine; return False if it asked recently too.
 
         `now` is the time of the steady clock.
         """
--- a/src/jujubeslip/admission/_service_engines.py
+++ b/src/jujubeslip/admission/_service_engines.py
@@ -30,16 +30,16 @@
 MayPrefill = Callable[[EngineMemory, GrantRequest], bool]
 
 # How much fuller an engine in the entry host's own availability zone may be than one
-# in another zone, as a share of its memory. When a zone is cut off, the answers that
-# cross its border are lost. During such a cut, 49 to 61 of 100 streams were in time
-# with this cost and with the bound on prompts that a decode engine prefills beside its
-# answers, and 39 to 54 without both.
+# in another zone, as a share of its memory. When a zone is partitioned, the answers
+# that cross its border are lost. With this cost and the bound on prompts that a decode
+# engine prefills beside its answers, 49 to 61 of 100 streams are in time during such a
+# partition; without both, 39 to 54.
 OTHER_ZONE_COST = 0.25
 # Prefill speed of a decode engine, as a share of the speed of a prefill engine, as
 # engines are specified.
 DECODE_ENGINE_SPEED_SHARE = 0.5
-# Measured time that a full engine takes for one event, in seconds. A pause in decoding
-# is longer than the prefill that causes it by this time.
+# Time that a full engine takes for one event, in seconds. A pause in decoding is longer
+# than the prefill that causes it by this time.
 EVENT_SECONDS = 0.08
 
 
@@ -98,7 +98,7 @@
             self._demand.prefill_speed = prefill_queue.speed
 
     def reported_within(self, start_id: str, seconds: float) -> bool:
-        """Say whether a start has reported within this time and is reachable."""
+        """Return whether a start has reported within this time and is reachable."""
         prefill_queue = self._prefill_queue_by_start.get(start_id)
         if prefill_queue is not None:
             return (
@@ -140,7 +140,7 @@
 
     @property
     def usable(self) -> bool:
-        """Say whether the state of any engine is recent enough to grant requests."""
+        """Return whether the state of any engine is recent enough to grant requests."""
         return any(engine.usable for engine in self._engine_by_start.values())
 
     def admit(self, grant_request: GrantRequest, grant: Grant) -> None:
@@ -305,7 +305,7 @@
     def _may_prefill_after_pause(
         self, engine: EngineMemory, grant_request: GrantRequest
     ) -> bool:
-        """Say whether the engine may prefill the prompt while prefill engines are busy.
+        """Return whether the engine may prefill the prompt if prefill engines are busy.
 
         Two prefills in a row would be one long pause for its answers, so it must have
         decoded for a while since its last prefill.
@@ -315,7 +315,7 @@
         )
 
     def _may_prefill(self, engine: EngineMemory, grant_request: GrantRequest) -> bool:
-        """Say whether the decode engine may prefill the prompt beside its answers.
+        """Return whether the decode engine may prefill the prompt beside its answers.
 
         It prefills one prompt at a time and none that takes too long. Otherwise its
         dozen answers would exceed their maximum gap, and all of them would be late.
--- a/src/jujubeslip/admission/_unservable_waits.py
+++ b/src/jujubeslip/admission/_unservable_waits.py
@@ -15,5 +15,5 @@
 
 
 def is_wait_unservable(forecast: float, limit: float) -> bool:
-    """Say whether to refuse a request at once that may wait `limit` seconds."""
+    """Return whether to refuse a request at once that may wait `limit` seconds."""
     return forecast > CERTAIN_TIMES * max(0.0, limit)
--- a/src/jujubeslip/control/_election.py
+++ b/src/jujubeslip/control/_election.py
@@ -27,6 +27,7 @@
 # How long a campaign waits for pre-votes, as a share of the election timeout. Voters
 # answer them without a write to disk.
 PRE_VOTE_SHARE = 0.5
+# How long a replica that may not campaign waits before it checks again, in seconds.
 IDLE_SECONDS = 1.0
 
 
@@ -106,7 +107,7 @@
                 self._campaign()
 
     def _wait_until_due(self) -> bool:
-        """Wait for the next deadline; say whether it is time to campaign."""
+        """Wait for the next deadline; return whether it is time to campaign."""
         replica = self._replica
         with replica.lock:
             deadline = self._next_deadline()
@@ -137,7 +138,7 @@
 
         The pre-vote guards against a replica that was partitioned from the others:
         without it, its term would grow with each campaign, and on its return it would
-        depose a working leader.
+        make a working leader step down.
         """
         with self._replica.lock:
             transfer, self._replica.transferring = self._replica.transferring, False
@@ -146,6 +147,7 @@
             until = Deadline.after(self._replica.election_seconds * PRE_VOTE_SHARE)
             term = self._replica.term + 1
             pre_vote = self._build_campaign(term, True, transfer, until)
+            # Also logged when the leader transfers its leadership to this replica.
             logger.info("no leader heard", extra={"term": self._replica.term})
         if not transfer and self._gather_votes(pre_vote) is None:
             return
@@ -200,8 +202,8 @@
         Returns None if the campaign has become invalid. A campaign after a cold start
         is invalid once this replica has answered a leader, since a vote for itself
         would break that leader's lease. A campaign by pre-votes is invalid once this
-        replica is in a later term: it may have voted in that term, and would depose
-        the leader that was just elected.
+        replica is in a later term: it may have voted in that term, and would make the
+        leader that was just elected step down.
         """
         replica = self._replica
         with replica.disk_lock, replica.lock, replica.requiring_working_disk():
--- a/src/jujubeslip/control/_joining.py
+++ b/src/jujubeslip/control/_joining.py
@@ -53,7 +53,7 @@
                 replica.role_changed.wait(RETRY_SECONDS)
 
     def _needs_to_join(self) -> bool:
-        """Say whether this replica is in no cluster, or may have been removed from it.
+        """Return whether this replica is in no cluster or may have been removed.
 
         A replica that has heard from no leader since its start may have been removed
         before. The request of one that is still a member has no effect.
@@ -111,7 +111,7 @@
             return None
 
     def _should_bootstrap(self, others: list[ReplicaDescription]) -> bool:
-        """Say whether this is the one host that writes the first entry.
+        """Return whether this is the one host that writes the first entry.
 
         A host that is not among the seeds of its settings leaves it to the seeds.
         """
--- a/src/jujubeslip/control/_membership.py
+++ b/src/jujubeslip/control/_membership.py
@@ -68,7 +68,7 @@
 
 
 def may_exclude_lost(membership: Membership) -> bool:
-    """Say whether its voters may elect a leader without those with lost disks."""
+    """Return whether its voters may elect a leader without those with lost disks."""
     count = len(voters(membership))
     return count >= MINIMUM_VOTERS_EXCLUDING_LOST and count % 2 == 0
 
@@ -82,7 +82,7 @@
 
 
 def is_voter(membership: Membership, replica_id: str) -> bool:
-    """Say whether the replica votes."""
+    """Return whether the replica votes."""
     member = find_member(membership, replica_id)
     return member is not None and member.voter
 
@@ -159,7 +159,7 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Say whether the log shows that the newest membership is committed.
+        """Return whether the log shows that the newest membership is committed.
 
         It does if the membership comes from a snapshot, or if a second entry repeats
         it.
@@ -170,13 +170,13 @@
 
     @property
     def needs_confirmation(self) -> bool:
-        """Say whether the leader has to repeat the newest membership in the log."""
+        """Return whether the leader has to repeat the newest membership in the log."""
         may_exclude = map(may_exclude_lost, (self.current, self.previous))
         return any(may_exclude) and not self.is_confirmed
 
     @property
     def needs_previous_majority(self) -> bool:
-        """Say whether the newest membership also needs a majority of the previous one.
+        """Return whether a majority of the previous membership is needed, too.
 
         This is so if the previous voters may elect a leader without those with lost
         disks: their quorum has to include a replica with the newest membership. It does
@@ -197,7 +197,7 @@
         return self._by_index[-1][0]
 
     def append(self, entry: LogEntry) -> bool:
-        """Add a new entry of the log; say whether it changes the membership."""
+        """Add a new entry of the log; return whether it changes the membership."""
         if entry.kind != EntryKind.MEMBERSHIP:
             return False
         membership = command_of(entry)
@@ -206,7 +206,7 @@
         return True
 
     def truncate_from(self, index: int) -> bool:
-        """Drop entries removed from the log; say whether the membership changed."""
+        """Drop entries removed from the log; return whether the membership changed."""
         kept = [item for item in self._by_index if item[0] < index]
         changed = len(kept) != len(self._by_index)
         self._by_index = kept
--- a/src/jujubeslip/control/_membership_planner.py
+++ b/src/jujubeslip/control/_membership_planner.py
@@ -52,7 +52,7 @@
         return self._without_unresponsive_surplus(membership)
 
     def is_unresponsive(self, member: Member) -> bool:
-        """Say whether another replica has not answered for too long."""
+        """Return whether another replica has not answered for too long."""
         if member.replica_id == self._replica.replica_id:
             return False
         return self._silence_of(member) > self.unresponsive_seconds
@@ -96,7 +96,7 @@
         return without_replica(membership, silent.replica_id)
 
     def _tolerates_losses(self, membership: Membership) -> bool:
-        """Say whether the responsive voters keep a majority after further losses."""
+        """Return whether the responsive voters keep a majority after further losses."""
         unresponsive = sum(map(self.is_unresponsive, self._other_voters(membership)))
         remaining = len(voters(membership)) - unresponsive
         tolerated = self._replica.settings.tolerated_losses
@@ -120,7 +120,7 @@
         return caught_up and self._answers(learner)
 
     def _answers(self, member: Member) -> bool:
-        """Say whether the member has answered within an election timeout."""
+        """Return whether the member has answered within an election timeout."""
         silence = steady_seconds() - self._progress_of(member).acknowledged_at
         return silence < self._replica.election_seconds
 
@@ -137,12 +137,12 @@
 def is_surplus_voter(
     membership: Membership, replica_id: str, settings: ControlSettings
 ) -> bool:
-    """Say whether a voter may be removed, since enough others remain without it."""
+    """Return whether a voter may be removed, since enough others remain without it."""
     return is_voter(membership, replica_id) and _has_surplus_voter(membership, settings)
 
 
 def _has_surplus_voter(membership: Membership, settings: ControlSettings) -> bool:
-    """Say whether there are more voters than the tolerated losses require.
+    """Return whether there are more voters than the tolerated losses require.
 
     False where operators admit each host: then only they remove one.
     """
--- a/src/jujubeslip/control/_receiver.py
+++ b/src/jujubeslip/control/_receiver.py
@@ -41,7 +41,7 @@
         self._snapshots = SnapshotReceiver(replica.storage.folder)
 
     def pre_vote(self, request: VoteRequest) -> VoteReply:
-        """Say whether this replica would vote for the candidate; changes nothing."""
+        """Return whether this replica would vote for the candidate; changes nothing."""
         replica = self._replica
         with self._addressed(request):
             would_vote = request.term > replica.term and self._is_up_to_date(request)
@@ -92,7 +92,7 @@
                 return AppendReply(replica.term, True, last_index)
 
     def _is_heartbeat(self, request: AppendRequest) -> bool:
-        """Say whether a message can be answered without a write to disk."""
+        """Return whether a message can be answered without a write to disk."""
         replica = self._replica
         is_addressed = request.target_id == replica.replica_id
         is_in_cluster = request.cluster_id == replica.cluster_id
@@ -191,7 +191,7 @@
             )
 
     def _lease_forbids_vote(self, request: VoteRequest) -> bool:
-        """Say whether the lease of a possibly live leader forbids any vote.
+        """Return whether the lease of a possibly live leader forbids any vote.
 
         After a cold start of all replicas no lease is left. The vote request must then
         name the current start number of this process: an earlier run of the process
@@ -216,7 +216,7 @@
         return theirs >= (log.last_term, log.last_index)
 
     def _matches_log(self, request: AppendRequest) -> bool:
-        """Say whether the log holds the entry before the leader's first one."""
+        """Return whether the log holds the entry before the leader's first one."""
         replica = self._replica
         if request.previous_index <= replica.commit_index:
             return True
--- a/src/jujubeslip/control/_records.py
+++ b/src/jujubeslip/control/_records.py
@@ -102,7 +102,7 @@
 
 
 def has_record_after(data: bytes, position: int) -> bool:
-    """Say whether a valid record begins anywhere after the position.
+    """Return whether a valid record begins anywhere after the position.
 
     If so, the bytes at the position are damage, and not the torn tail of a write that
     was never acknowledged.
--- a/src/jujubeslip/control/_replica.py
+++ b/src/jujubeslip/control/_replica.py
@@ -112,7 +112,7 @@
 
     @property
     def hears_leader(self) -> bool:
-        """Say whether a leader is known to be alive.
+        """Return whether a leader is known to be alive.
 
         As long as it is, this replica votes for no other.
         """
@@ -120,7 +120,7 @@
 
     @property
     def may_campaign(self) -> bool:
-        """Say whether this replica may become leader.
+        """Return whether this replica may become leader.
 
         A stopping replica may not: the leadership would end again with its process.
         """
@@ -130,7 +130,7 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Say whether enough entries were applied since the last snapshot."""
+        """Return whether enough entries were applied since the last snapshot."""
         taken = self.snapshot.header.last_index if self.snapshot else 0
         applied = self.applied_index - taken
         return (
@@ -153,7 +153,7 @@
         return self.leadership.lease(self.membership, seconds)
 
     def reads_are_current(self) -> bool:
-        """Say whether the applied state covers every change that was acknowledged.
+        """Return whether the applied state covers every change that was acknowledged.
 
         A leader that resumes after a freeze finds its lease expired and serves no
         stale read. A new leader first applies an entry of its own term, and with it
@@ -420,14 +420,14 @@
 
     @property
     def is_membership_settled(self) -> bool:
-        """Say whether the newest membership is committed, and confirmed if needed."""
+        """Return whether the newest membership is committed, confirmed if needed."""
         return not (
             self._has_uncommitted_membership or self.memberships.needs_confirmation
         )
 
     @property
     def _has_uncommitted_membership(self) -> bool:
-        """Say whether the newest membership is not committed yet."""
+        """Return whether the newest membership is not committed yet."""
         return self.memberships.current_index > self.commit_index
 
     def replication_targets(self) -> list[Member]:
@@ -443,7 +443,7 @@
         return list(members.values())
 
     def is_replication_target(self, replica_id: str) -> bool:
-        """Say whether entries are replicated to a replica; needs `lock`."""
+        """Return whether entries are replicated to a replica; needs `lock`."""
         return any(item.replica_id == replica_id for item in self.replication_targets())
 
     def membership_changed(self) -> None:
--- a/src/jujubeslip/control/_replication.py
+++ b/src/jujubeslip/control/_replication.py
@@ -99,7 +99,7 @@
         self._set_late(bool(self._in_flight))
 
     def _may_send_entries(self) -> bool:
-        """Say whether the next append carries entries or is only a heartbeat.
+        """Return whether the next append carries entries or is only a heartbeat.
 
         Unacknowledged entries are sent a second time, over another connection, if the
         follower answers other messages in the meantime.
--- a/src/jujubeslip/control/_role_manager.py
+++ b/src/jujubeslip/control/_role_manager.py
@@ -50,11 +50,12 @@
 # Number of recent requests, over all hosts, that must have waited for free capacity
 # before it counts as short.
 SHORTAGE_WAITED_REQUESTS = 3
-# How much longer than the order lease leaders must have used a log before its first
-# order, in seconds: a newly bootstrapped log lacks the orders of the previous one.
+# Leaders give the first order of a log once they have used it for the order lease and
+# this margin, in seconds. A newly bootstrapped log lacks the orders of the previous
+# log, which have expired by then.
 BOOTSTRAP_MARGIN_SECONDS = 2.0
-# Timeout for a response from an engine, in seconds; it needs a millisecond or two. An
-# order is sent only while the lease lasts for longer than this.
+# Timeout for a response from an engine, which takes a millisecond or two, in seconds.
+# It is kept short because an order is sent only while the lease lasts for longer.
 ENGINE_TIMEOUT_SECONDS = 0.25
 # How long the commit of an order may take, in seconds.
 COMMIT_TIMEOUT_SECONDS = 0.5
@@ -136,9 +137,9 @@
             if may_order:
                 self._balance(name, fence)
             else:
-                self._report_young_log(name)
+                self._record_log_too_young(name)
 
-    def _report_young_log(self, service_name: str) -> None:
+    def _record_log_too_young(self, service_name: str) -> None:
         inputs = self._inputs(service_name, 0.0)
         self._balance_log.record(service_name, NoOrderReason.LOG_TOO_YOUNG, inputs)
 
@@ -220,10 +221,10 @@
         return prefill_bounds(engines, load, shares, steady_seconds(), lacks_memory)
 
     def _fence(self) -> Fence | None:
-        """Return the right to give orders, None unless this host surely leads.
+        """Return the fence for orders, None unless this host is certain to lead.
 
-        It surely leads once it has applied an entry of its own term, and with it all
-        orders of earlier leaders.
+        It is certain once its lease is valid and it has applied an entry of its own
+        term, and with it all orders of earlier leaders.
         """
         return self._replica.fence()
 
@@ -266,14 +267,15 @@
     def _order_missing_prefill_engines(
         self, service_name: str, pressure: ServicePressure, fence: Fence
     ) -> int:
-        """Order decode engines to prefill when prompts have needed more for long.
+        """Order decode engines to prefill if the sustained prefill load needs more.
 
         Return how many were ordered.
         """
         engines = self._engines(service_name)
         now = steady_seconds()
         sustained = self._prefill_load(service_name).sustained(now)
-        # With few engines, a decode engine is worth more than a spare prefill engine.
+        # The minimum has no spare prefill engine: with few engines, a decode engine adds
+        # more capacity than a spare one would.
         useful = self._role_shares(service_name).useful_prefill_engines(
             engines, now, minimum=1
         )
--- a/src/jujubeslip/control/_stopping.py
+++ b/src/jujubeslip/control/_stopping.py
@@ -90,7 +90,7 @@
 
 
 def _was_handled(replica: Replica, clients: ReplicaClients, address: str) -> bool:
-    """Say whether the leader removed this replica or decided to keep it."""
+    """Return whether the leader removed this replica or decided to keep it."""
     try:
         clients.to_address(address).call(
             lambda peer: peer.leave(replica.replica_id), ANSWER_SECONDS
--- a/src/jujubeslip/discovery/_registry.py
+++ b/src/jujubeslip/discovery/_registry.py
@@ -23,12 +23,13 @@
 # A start that has not been heard from for this long is replaced by one with an earlier
 # start time, in seconds. The clock of an endpoint may go back between two starts, and
 # the new start would otherwise be ignored for as long as the previous one is retained.
-# Entry hosts skip a start by then, so little is lost if it is only partitioned. An
-# announcement of a start that has ended would need a longer delay to be accepted.
+# By then, entry hosts skip a start that they have not heard from, so replacing one that
+# is only partitioned costs little. An announcement of a start that has ended could be
+# accepted only if it were delayed for longer than this.
 STALE_START_SECONDS = 10.0
 # The leader grants no requests to an engine that has not been heard from for this long,
-# in seconds. Engines announce themselves about once a second, sometimes several seconds
-# late.
+# in seconds. Engines announce themselves about once a second, and an announcement that
+# is several seconds late is tolerated.
 ENGINE_TIMEOUT_SECONDS = 5.0
 
 
@@ -145,7 +146,7 @@
         return self.apply_removals([self.removal_of(endpoint_id, started_at_ms)])
 
     def removal_of(self, endpoint_id: str, started_at_ms: int = 0) -> Removal:
-        """Return the removal of an endpoint that signs off now.
+        """Return a removal, dated now, of an endpoint that signs off.
 
         It applies to the given start, or else to the known one.
         """
@@ -153,14 +154,14 @@
         if started_at_ms:
             scope = RemovalScope.NAMED_START
             return Removal(endpoint_id, now, started_at_ms, scope=scope)
-        unbound = Removal(endpoint_id, now, 0)
+        without_start = Removal(endpoint_id, now, 0)
         known = self.find(endpoint_id)
         if known is None:
-            return unbound
+            return without_start
         scope = (
             RemovalScope.LATEST_START if known.restarted else RemovalScope.ONLY_START
         )
-        return replace(unbound, started_at_ms=known.started_at_ms, scope=scope)
+        return replace(without_start, started_at_ms=known.started_at_ms, scope=scope)
 
     def apply_removals(self, reported: Iterable[Removal]) -> int:
         """Apply removals and return the version that includes them."""
@@ -210,9 +211,9 @@
     def _update_endpoint(self, reported: Endpoint) -> None:
         known = self._entry_by_id.get(reported.endpoint_id)
         if known is None:
-            unbound = self._removals.pop_unbound(reported.endpoint_id)
-            if unbound is not None:
-                self._add_removal(unbound.for_start(reported))
+            without_start = self._removals.pop_without_start(reported.endpoint_id)
+            if without_start is not None:
+                self._add_removal(without_start.for_start(reported))
             self._store(self._with_removal(reported), significant=True)
             return
         older = known.endpoint
@@ -235,23 +236,23 @@
         """
         entry = self._entry_by_id.get(removal.endpoint_id)
         known = entry.endpoint if entry else None
-        bound = removal.for_start(known) if known else removal
-        numbered = replace(bound, version=self._version + 1)
-        if not self._removals.add(numbered, steady_seconds()):
+        with_start = removal.for_start(known) if known else removal
+        versioned = replace(with_start, version=self._version + 1)
+        if not self._removals.add(versioned, steady_seconds()):
             return
         self._version += 1
         self._significant_version = self._version
         self._changed.notify_all()
         extra = {
-            "endpoint_id": bound.endpoint_id,
-            "removed_start_ms": bound.started_at_ms,
-            "scope": bound.scope.name,
+            "endpoint_id": with_start.endpoint_id,
+            "removed_start_ms": with_start.started_at_ms,
+            "scope": with_start.scope.name,
             "known_start_ms": known.started_at_ms if known else None,
             "book_version": self._version,
         }
         logger.info("endpoint removed", extra=extra)
         if known:
-            self._replace(known, bound.apply_to(known))
+            self._replace(known, with_start.apply_to(known))
 
     def _replace(self, older: Endpoint, newer: Endpoint) -> None:
         if newer != older:
--- a/src/jujubeslip/discovery/_removals.py
+++ b/src/jujubeslip/discovery/_removals.py
@@ -73,7 +73,7 @@
         return self.removed_at > kept.removed_at + SAME_REMOVAL_SECONDS
 
     def for_start(self, known: Endpoint) -> Removal:
-        """Return the removal bound to the known start of its endpoint.
+        """Return the removal with the known start of its endpoint.
 
         A removal that names no start may be a delayed one of an earlier start, unless
         the endpoint reports no starts.
@@ -86,13 +86,13 @@
 
     def apply_to(self, endpoint: Endpoint) -> Endpoint:
         """Return the endpoint with the removal applied."""
-        bound = self.for_start(endpoint)
-        if bound.started_at_ms != endpoint.started_at_ms:
+        with_start = self.for_start(endpoint)
+        if with_start.started_at_ms != endpoint.started_at_ms:
             return endpoint
-        if bound.scope == RemovalScope.NAMED_START:
+        if with_start.scope == RemovalScope.NAMED_START:
             return replace(endpoint, leaving=True)
-        may_be_earlier = bound.scope == RemovalScope.LATEST_START
-        removed_at = latest_removal(endpoint.removed_at, bound.removed_at)
+        may_be_earlier = with_start.scope == RemovalScope.LATEST_START
+        removed_at = latest_removal(endpoint.removed_at, with_start.removed_at)
         return replace(
             endpoint,
             removed_at=removed_at,
@@ -133,8 +133,8 @@
         key = RemovalKey(endpoint.endpoint_id, endpoint.started_at_ms)
         return self._removal_by_key.get(key)
 
-    def pop_unbound(self, endpoint_id: str) -> Removal | None:
-        """Remove and return the removal that is bound to no start."""
+    def pop_without_start(self, endpoint_id: str) -> Removal | None:
+        """Remove and return the removal that names no start."""
         return self._removal_by_key.pop(RemovalKey(endpoint_id, None), None)
 
     def since(self, version: int) -> Sequence[Removal]:
--- a/src/jujubeslip/forwarding/_leader_contact.py
+++ b/src/jujubeslip/forwarding/_leader_contact.py
@@ -19,8 +19,8 @@
 
 # How long a host that did not answer, or does not lead, is skipped, in seconds.
 PAUSE_SECONDS = 0.7
-# How long a leader whose lease has lapsed is skipped, in seconds. Its followers answer
-# late, and the next answer renews the lease.
+# How long a leader whose lease has lapsed is skipped, in seconds. The pause is short,
+# since the next answer of its delayed followers renews the lease.
 LAPSED_PAUSE_SECONDS = 0.1
 
 
@@ -78,8 +78,9 @@
     def _newest_reports(self) -> list[_LeaderReport]:
         """Return the reports of the newest term; the caller holds the lock.
 
-        A report counts while its sender or the leader that it names is reachable. All
-        control hosts may have been replaced, and count their terms anew.
+        A report counts while its sender or the leader that it names is reachable.
+        Otherwise, if all control hosts were replaced and their terms began at 1 again,
+        the reports of the previous ones would still count as the newest.
         """
         reports = [
             report
@@ -246,9 +247,9 @@
         """Record a call and return the term in which it is made.
 
         While one request waits for a host that did not answer before, the others skip
-        that host. A host beyond a network partition is known to be lost after two
-        seconds; until then each request that comes after the pause would wait for a
-        call that cannot succeed.
+        that host. A host beyond a network partition counts as unreachable once watch
+        requests to it have failed for up to two seconds; until then, each request that
+        comes after the pause would wait for a call that cannot succeed.
         """
         with self._lock:
             if address in self._unresponsive_addresses:
--- a/src/jujubeslip/forwarding/_stream_path.py
+++ b/src/jujubeslip/forwarding/_stream_path.py
@@ -39,9 +39,9 @@
 from jujubeslip.peers import EndpointRole
 
 # Share of the client's maximum pause between events after which a silent engine is
-# given up and a resumable stream continues at another one. An engine that recomputes
-# an evicted prompt is silent for a second or two; the rest of the pause is enough to
-# start elsewhere.
+# given up and a resumable stream continues at another one. The share leaves an engine
+# the one to two seconds that it needs to recompute an evicted prompt, and the rest of
+# the pause leaves time to start at another engine.
 SILENCE_SHARE = 2 / 3
 
 
@@ -61,10 +61,10 @@
     """Obtains a grant at an engine, prefills the prompt, and relays the stream."""
 
     def __init__(
-        self, sender: EndpointSender, prompts: Prefiller, grants: Grants
+        self, sender: EndpointSender, prefiller: Prefiller, grants: Grants
     ) -> None:
         self._sender = sender
-        self._prompts = prompts
+        self._prefiller = prefiller
         self._grants = grants
 
     def answer(self, context: ForwardContext, attempts: Attempts) -> Answer:
@@ -81,9 +81,10 @@
         self, context: ForwardContext, attempts: Attempts, resume_after: str
     ) -> _Run | WholeAnswer:
         """Start a run at an engine, or raise the refusal that fits the attempts."""
-        failed: WholeAnswer | None = None
-        # None until a prefill engine was asked; NOT_PREFILLED once the decode engine
-        # has to prefill the prompt itself.
+        failed_answer: WholeAnswer | None = None
+        # None while the leader may still grant a prefill engine: none was asked yet, or
+        # the granted one failed. NOT_PREFILLED once the decode engine has to prefill
+        # the prompt itself.
         prompt_location = NOT_PREFILLED if resume_after else None
         while self._sender.is_open(context, attempts):
             grant = self._find_grant(
@@ -119,10 +120,10 @@
             if isinstance(started, _Run):
                 grant.report_prefilled()
                 return started
-            failed = started
+            failed_answer = started
             self._note_failed(attempts, grant.endpoint)
-        if failed is not None:
-            return failed
+        if failed_answer is not None:
+            return failed_answer
         raise self._sender.refusal(context, attempts, EndpointRole.DECODE)
 
     def _can_start(
@@ -155,7 +156,7 @@
         refuse, too, and the decode engine would then prefill the prompt, which stalls
         its other streams.
         """
-        if prompt_location is not None and self._prompts.is_lost(prompt_location):
+        if prompt_location is not None and self._prefiller.is_lost(prompt_location):
             attempts.note("-", "prompt lost, its prefill engine restarted")
             prompt_location = NOT_PREFILLED
         if grant.reads_itself:
@@ -169,11 +170,11 @@
         self, context: ForwardContext, attempts: Attempts, grant: Grant
     ) -> PromptLocation | None:
         prefill_engine = grant.prefill_engine
-        location = self._prompts.prefill(
+        location = self._prefiller.prefill(
             context, attempts, prefill_engine, grant.prefill_seconds
         )
         not_prefilled = location == NOT_PREFILLED and prefill_engine is not None
-        asks_again = not_prefilled and self._prompts.may_ask(context, attempts)
+        asks_again = not_prefilled and self._prefiller.may_ask(context, attempts)
         return None if asks_again else location
 
     def _note_error(
@@ -270,7 +271,8 @@
 
         An engine behind a network partition, or one whose answer was lost, stays silent
         until the client leaves. If the stream must not continue elsewhere, or the retry
-        budget does not allow it, nothing is gained by ending the wait sooner.
+        budget does not allow it, the engine has the whole time of the request: ending
+        the wait sooner would only fail the stream sooner.
         """
         route = context.route
         may_resume = attempts.runs + 1 < route.maximum_attempts and route.repeatable
--- a/src/jujubeslip/forwarding/_waiting_queue.py
+++ b/src/jujubeslip/forwarding/_waiting_queue.py
@@ -31,7 +31,7 @@
         self._targets_by_ticket: dict[int, float] = {}
         self._last_ticket = 0
         self._interval = FIRST_INTERVAL_SECONDS
-        self._busy_since = steady_seconds()
+        self._interval_began_at = steady_seconds()
         self._changed = threading.Condition()
 
     @contextmanager
@@ -39,7 +39,7 @@
         """Hold a place in the queue; yield its ticket number."""
         with self._changed:
             if not self._targets_by_ticket:
-                self._busy_since = steady_seconds()
+                self._interval_began_at = steady_seconds()
             self._last_ticket += 1
             ticket = self._last_ticket
             self._targets_by_ticket[ticket] = context.target_by.timestamp
@@ -82,9 +82,9 @@
         """Record that a request has found capacity, for the forecast."""
         now = steady_seconds()
         with self._changed:
-            sample = now - self._busy_since
+            sample = now - self._interval_began_at
             self._interval += INTERVAL_WEIGHT * (sample - self._interval)
-            self._busy_since = now
+            self._interval_began_at = now
 
     def _is_next(self, ticket: int) -> bool:
         now = steady_seconds()
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -261,7 +261,7 @@
             choice.decode.endpoint_id,
             choice.prefill_ends,
             choice.transfer_seconds,
-            choice.releases,
+            choice.releases_at,
         )
         self.scheduler.grants.add(record)
         grant = Grant(
--- a/src/jujubeslip/homes/_progress.py
+++ b/src/jujubeslip/homes/_progress.py
@@ -46,7 +46,7 @@
         seconds = now - max(grant.progressed_at, grant.granted_at)
         estimates.transfer_seconds.add(grant.request.prompt_tokens, seconds)
     hold = estimates.hold_seconds(grant.request.output_tokens)
-    grant.releases = Deadline(now + hold)
+    grant.releases_at = Deadline(now + hold)
 
 
 def _apply_release(
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -152,7 +152,7 @@
     decode_id: str
     prefill_ends: Deadline
     transfer_seconds: float
-    releases: Deadline
+    releases_at: Deadline
     prefill_finished: bool = False
     transfer_finished_at: float = 0.0
     granted_at: float = field(default_factory=steady_seconds)
@@ -170,9 +170,9 @@
         A grant that exceeded its forecast is expected to last longer by a fixed share
         of its planned duration, counted from `now` at each call.
         """
-        if self.releases.timestamp > now:
-            return self.releases.timestamp
-        planned = self.releases.timestamp - self.granted_at
+        if self.releases_at.timestamp > now:
+            return self.releases_at.timestamp
+        planned = self.releases_at.timestamp - self.granted_at
         return now + max(MINIMUM_OVERDUE_SECONDS, OVERDUE_SHARE * planned)
 
     @property
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class SchedulerOptions:
-    """Switches for each scheduling decision, so that its effect can be measured."""
+    """Switches that turn scheduling decisions off, to compare results without them."""
 
     reserve_decode_slot: bool = True
     priority_order: bool = True
@@ -52,7 +52,7 @@
     decode: EndpointRecord
     prefill_ends: Deadline
     transfer_seconds: float
-    releases: Deadline
+    releases_at: Deadline
     cached_tokens: int
 
 
@@ -149,10 +149,10 @@
         decode = self._choose_decode(waiter, ready, now)
         if decode is None:
             return None
-        releases = ready + self.estimates.hold_seconds(waiter.request.output_tokens)
+        releases_at = ready + self.estimates.hold_seconds(waiter.request.output_tokens)
         cached = cached_by_id.get(prefill.endpoint_id, 0)
         return Choice(
-            prefill, decode, Deadline(ends), transfer, Deadline(releases), cached
+            prefill, decode, Deadline(ends), transfer, Deadline(releases_at), cached
         )
 
     def is_paced(self, waiter: Waiter) -> bool:
@@ -178,8 +178,8 @@
         if not free:
             return None
         best = min(free, key=lambda record: len(record.decode_grants))
-        releases = Deadline(now + self.estimates.hold_seconds(1))
-        return Choice(None, best, Deadline(now), 0.0, releases, 0)
+        releases_at = Deadline(now + self.estimates.hold_seconds(1))
+        return Choice(None, best, Deadline(now), 0.0, releases_at, 0)
 
     def _choose_prefill(
         self, waiter: Waiter, cached_by_id: dict[str, int], now: float
--- a/src/jujubeslip/membership/_directory.py
+++ b/src/jujubeslip/membership/_directory.py
@@ -13,7 +13,12 @@
 from jujubeslip.membership._rings import successors
 from jujubeslip.peers import HostState, HostStatus
 
-_ORDER = (HostStatus.ALIVE, HostStatus.LEAVING, HostStatus.SUSPECT, HostStatus.DEAD)
+_STATUSES_BEST_FIRST = (
+    HostStatus.ALIVE,
+    HostStatus.LEAVING,
+    HostStatus.SUSPECT,
+    HostStatus.DEAD,
+)
 
 
 class HostDirectory:
@@ -76,14 +81,17 @@
         with self._lock:
             self.own.status = HostStatus.LEAVING
             self._table.raise_heartbeat()
-            self._table.urgent = True
+            self._table.has_urgent_change = True
             self._refresh()
 
-    def take_urgent(self) -> bool:
-        """Return and reset whether the neighbours must get a change at once."""
+    def pop_urgent_change(self) -> bool:
+        """Return and reset whether a change must be sent to the neighbours at once."""
         with self._lock:
-            urgent, self._table.urgent = self._table.urgent, False
-            return urgent
+            is_urgent, self._table.has_urgent_change = (
+                self._table.has_urgent_change,
+                False,
+            )
+            return is_urgent
 
     # Updates from peers and from probes
 
@@ -95,7 +103,7 @@
             self._refresh()
 
     def suspect(self, host_id: str) -> None:
-        """Mark a host as suspected that neither this host nor its helpers reached."""
+        """Mark a host as suspected; neither this host nor those it asked reached it."""
         with self._lock:
             self._table.suspect(host_id)
             self._refresh()
@@ -277,7 +285,10 @@
             return [copy(self.own)] if self.own.host_id > host_id else []
 
     def neighbours(self) -> dict[str, HostState]:
-        """Return the host to probe on each ring; rings without others are left out."""
+        """Return the hosts that this host probes, the next one on each ring, by ring.
+
+        A ring orders hosts by a hash of their ids. Rings without others are left out.
+        """
         with self._lock:
             return dict(self._successor_by_ring)
 
@@ -301,4 +312,4 @@
 
 
 def _worse(one: HostStatus, other: HostStatus) -> HostStatus:
-    return max(one, other, key=_ORDER.index)
+    return max(one, other, key=_STATUSES_BEST_FIRST.index)
--- a/src/jujubeslip/membership/_gossip.py
+++ b/src/jujubeslip/membership/_gossip.py
@@ -89,7 +89,7 @@
         if self._directory.superseded and not self._process.stopping.is_set():
             logger.error("host stops: a later incarnation of it runs")
             self._process.request_stop()
-        if not self._directory.take_urgent():
+        if not self._directory.pop_urgent_change():
             return
         neighbours = self._directory.neighbours().values()
         for host_id in {state.host_id for state in neighbours}:
--- a/src/jujubeslip/membership/_host_table.py
+++ b/src/jujubeslip/membership/_host_table.py
@@ -34,7 +34,7 @@
         self.record_by_id: dict[str, HostRecord] = {}
         self.hosts_to_verify: set[str] = set()
         self.updates = UpdateQueue()
-        self.urgent = False
+        self.has_urgent_change = False
         self.superseded = False
         self.changed = True
         self._address_by_id = dict(address_by_id)
@@ -62,7 +62,7 @@
         suspected = state.status in (HostStatus.SUSPECT, HostStatus.DEAD)
         if suspected and state.heartbeat >= self.own.heartbeat:
             self.raise_heartbeat(above=state.heartbeat)
-            self.urgent = True
+            self.has_urgent_change = True
 
     def _merge_other(self, state: HostState) -> None:
         record = self.record_by_id.get(state.host_id)
@@ -94,7 +94,7 @@
             record.trusted_until = known.trusted_until
         self.record_by_id[state.host_id] = record
         self.updates.add(state.host_id)
-        self.urgent |= state.status != HostStatus.ALIVE
+        self.has_urgent_change |= state.status != HostStatus.ALIVE
         self.changed = True
 
     def suspect(self, host_id: str) -> None:
@@ -103,7 +103,7 @@
         if record is not None and record.healthy:
             record.suspect()
             self.updates.add(host_id)
-            self.urgent = True
+            self.has_urgent_change = True
             self.changed = True
 
     def suspect_unlisted(self, listed: Iterable[str]) -> None:
--- a/src/jujubeslip/notices/_registry.py
+++ b/src/jujubeslip/notices/_registry.py
@@ -141,7 +141,7 @@
         return expired_starts
 
     def _forget_unknown(self) -> None:
-        """Drop the oldest notices of unknown starts beyond MAXIMUM_UNKNOWN.
+        """Drop the oldest notices of unknown starts beyond MAXIMUM_UNKNOWN_STARTS.
 
         The others are kept, since a start that was unreachable may be announced again
         and its notice is still valid then.
--- a/src/jujubeslip/quarantine/_registry.py
+++ b/src/jujubeslip/quarantine/_registry.py
@@ -55,7 +55,7 @@
         self.version = 0
         """The version of the latest change."""
         self.suspects_version = 0
-        """The version of the latest change that is reported to entry hosts."""
+        """The version of the latest change to a suspected or cleared content."""
 
     @property
     def is_empty(self) -> bool:
@@ -113,16 +113,16 @@
             self.clear(fingerprint)
 
     def changes_since(
-        self, version: int, suspects_only: bool = False
+        self, version: int, suspected_or_cleared_only: bool = False
     ) -> tuple[int, list[CrashHistory]]:
         """Return the current version, and the histories changed since the given one.
 
-        With `suspects_only`, histories with too few crashes to be suspected are left
-        out.
+        With `suspected_or_cleared_only`, contents that have crashes, but too few to be
+        suspected, are left out.
         """
         newest, changed = self._changed_since(version)
-        if suspects_only:
-            changed = list(filter(_is_reported_to_entry_hosts, changed))
+        if suspected_or_cleared_only:
+            changed = list(filter(_is_suspect_or_cleared, changed))
         return newest, changed
 
     def changes_for_entry_host(self, version: int) -> tuple[int, list[CrashHistory]]:
@@ -131,12 +131,8 @@
         These are all changed suspects, and the latest MAXIMUM_UNSUSPECTED others.
         """
         newest, changed = self._changed_since(version)
-        suspects = [
-            history for history in changed if _is_reported_to_entry_hosts(history)
-        ]
-        others = [
-            history for history in changed if not _is_reported_to_entry_hosts(history)
-        ]
+        suspects = [history for history in changed if _is_suspect_or_cleared(history)]
+        others = [history for history in changed if not _is_suspect_or_cleared(history)]
         others.sort(key=lambda history: history.latest_at)
         return newest, suspects + others[-MAXIMUM_UNSUSPECTED:]
 
@@ -181,14 +177,15 @@
             self._store(known, merged)
 
     def _update_excused(self) -> None:
-        """Update which crashes don't count against contents that were being answered.
+        """Update which crashes of each content are attributed to another content.
 
-        Such a crash is attributed to another content at the same endpoint that had no
-        answer yet, if that content is a suspect by its crashes without an answer. A
-        content that was at just one crashed endpoint is not blamed for it.
+        If a request was already being answered when its endpoint crashed, the crash is
+        attributed to a content that had no answer there yet, provided that this content
+        has enough crashes without an answer to be a suspect. A single crash is not
+        enough.
         """
         histories = list(self._history_by_fingerprint.values())
-        ended = {
+        starts_crashed_by_suspects = {
             crash.start_id
             for history in histories
             if history.unanswered_count >= SUSPECT_CRASHES
@@ -197,7 +194,9 @@
         }
         for known in histories:
             answering = {crash.start_id for crash in known.crashes if crash.answered}
-            history = replace(known, excused=frozenset(answering & ended))
+            history = replace(
+                known, excused=frozenset(answering & starts_crashed_by_suspects)
+            )
             if history.count > known.count:
                 self._store(known, history)
             else:
@@ -208,7 +207,7 @@
         self.version += 1
         self._history_by_fingerprint[fingerprint] = history
         self._version_by_fingerprint[fingerprint] = self.version
-        if _is_reported_to_entry_hosts(history):
+        if _is_suspect_or_cleared(history):
             self.suspects_version = self.version
         _log_change(known, history)
         if len(self._history_by_fingerprint) > MAXIMUM_CONTENTS:
@@ -224,7 +223,7 @@
         del self._version_by_fingerprint[fingerprint]
 
 
-def _is_reported_to_entry_hosts(history: CrashHistory) -> bool:
+def _is_suspect_or_cleared(history: CrashHistory) -> bool:
     return history.is_suspect or not history.crashes
 
 
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -209,7 +209,7 @@
     def finish(self, claim: KeyClaim, outcome: bytes) -> None:
         """Record the answer durably; retry in the background if control is unreachable.
 
-        Retries end after RECORD_AGAIN_FOR seconds.
+        Retries end after RECORD_RETRY_SECONDS.
         """
 
         def record() -> None:
--- a/src/jujubeslip/routes/_models.py
+++ b/src/jujubeslip/routes/_models.py
@@ -55,7 +55,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Say whether a request may run at a second endpoint."""
+        """Return whether a request may run at a second endpoint."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.SAFE
--- a/src/jujubeslip/rules/_checks.py
+++ b/src/jujubeslip/rules/_checks.py
@@ -41,7 +41,7 @@
 
 
 def covers(general: Condition, special: Condition) -> bool:
-    """Say whether `general` holds for every request for which `special` holds."""
+    """Return whether `general` holds for every request for which `special` holds."""
     special_by_key = special.wanted_by_key
     return all(
         _key_covers(key, wanted, special_by_key.get(key))
--- a/tests/control/cluster.py
+++ b/tests/control/cluster.py
@@ -102,7 +102,7 @@
             return None
 
     def leads(self) -> bool:
-        """Say whether the host leads according to its own status."""
+        """Return whether the host leads according to its own status."""
         status = self.status()
         return status is not None and status.leader_id == status.replica_id
 
--- a/tests/control/test_cold_start_election.py
+++ b/tests/control/test_cold_start_election.py
@@ -113,7 +113,7 @@
 
 class TestCandidateAfterColdStart:
     def elected(self, replica: Replica, other: StubVoter) -> bool:
-        """Say whether the replica leads well before the first election deadline."""
+        """Return whether the replica leads well before the first election deadline."""
         clients: Any = other
         replica.process.start_task(Elections(replica, clients).run)
         deadline = Deadline.after(0.5 * ELECTION_SECONDS)
--- a/tests/control/test_power_loss.py
+++ b/tests/control/test_power_loss.py
@@ -40,7 +40,7 @@
 
 
 def is_repaired(cluster: ControlCluster, before: set[str], lost: int) -> bool:
-    """Say whether new replicas vote in place of those with the lost disks."""
+    """Return whether new replicas vote in place of those with the lost disks."""
     ids = cluster.voter_ids()
     return len(ids) == len(before) and len(ids - before) == lost
 
--- a/tests/control/test_replacement.py
+++ b/tests/control/test_replacement.py
@@ -42,7 +42,7 @@
 
 
 def accepts_changes(system: PlatformSystem) -> bool:
-    """Say whether a host that has run throughout accepts a change."""
+    """Return whether a host that has run throughout accepts a change."""
     return system.put(configuration(2, ROUTES, [PLAIN]), control=2) == 200
 
 
--- a/tests/control/test_role_manager.py
+++ b/tests/control/test_role_manager.py
@@ -49,7 +49,7 @@
     return ServicePressure("model", waited, prompt_ms)
 
 
-class TestWantedChange:
+class TestRoleChangeForShortage:
     """Guards against a lasting shortage of decode memory beside idle prefill engines.
 
     Two decode engines are lost while two prefill engines have time to spare. Half of
@@ -394,8 +394,8 @@
 
     One of two prefill engines crashes, and a decode engine is ordered to prefill. Half
     a second later the crashed one is back. If all three count as prefill engines, the
-    only one that works is ordered to decode: no prompt was granted a prefill engine for
-    26.7 s, and 215 of 573 attempts were refused for lack of memory.
+    only one that works is ordered to decode. Prompts are then granted no prefill engine
+    until another one works, and requests are refused for lack of memory.
     """
 
     @pytest.mark.parametrize(("changes", "orders"), [(True, 1), (False, 2)])
@@ -456,8 +456,8 @@
     """Guards against scans that choose the same engine again while it changes.
 
     One engine was ordered to prefill and takes ten seconds to change, while prompts
-    need another one. Eight scans in a row logged "prompts need a further prefill
-    engine", each for the engine that was already ordered.
+    need another one. If the ordered engine counts as orderable, each scan in that time
+    logs "prompts need a further prefill engine" for it and orders no other one.
     """
 
     def test_are_ordered_beside_one_that_still_changes(
--- a/tests/forwarding/test_endpoint_starts.py
+++ b/tests/forwarding/test_endpoint_starts.py
@@ -81,7 +81,7 @@
 class TestStartThatWasSkipped:
     """Guards against skipping an endpoint for failures of its earlier start.
 
-    An endpoint dies, another one answers at its address, and it starts again. If it
+    An endpoint crashes, another one answers at its address, and it starts again. If it
     were skipped by its endpoint id, the new start would get no requests for an hour.
     """
 
@@ -210,7 +210,7 @@
     def call(self, call: EndpointCall, deadline: Deadline) -> None:
         self._calls.append(call)
         self._callback()
-        raise EndpointUnreachableError("nobody there")
+        raise EndpointUnreachableError("connection refused")
 
 
 class TestPromptPrefilledByTheEarlierStart:
@@ -229,9 +229,9 @@
         later = start(SECOND, EndpointRole.PREFILL, endpoint_id="reader")
         registry = registry_of(prefill_engine, start(FIRST))
         sender = build_sender(registry)
-        prompts = Prefiller(sender, True, Pressures())
+        prefiller = Prefiller(sender, True, Pressures())
         monkeypatch.setattr(
-            prompts, "prefill", lambda *_: PromptLocation(prefill_engine, "h1")
+            prefiller, "prefill", lambda *_: PromptLocation(prefill_engine, "h1")
         )
         calls: list[EndpointCall] = []
         asked: list[bool] = []
@@ -262,7 +262,7 @@
             route=SimpleNamespace(repeatable=False, maximum_attempts=1),
             check_account=lambda: None,
         )
-        path = StreamPath(stubbed, prompts, grants)
+        path = StreamPath(stubbed, prefiller, grants)
         with pytest.raises(RequestRefusedError):
             path.answer(context, Attempts())
         location = f"{prefill_engine.address}/h1"
@@ -290,13 +290,13 @@
         earlier, later = start(FIRST), start(SECOND, address="127.0.0.1:2")
         registry = registry_of(prefill_engine, earlier)
         sender = build_sender(registry)
-        prompts = Prefiller(sender, True, Pressures())
+        prefiller = Prefiller(sender, True, Pressures())
 
         def prefill(*_: object) -> PromptLocation:
             registry.merge([later])
             return PromptLocation(prefill_engine, "h1")
 
-        monkeypatch.setattr(prompts, "prefill", prefill)
+        monkeypatch.setattr(prefiller, "prefill", prefill)
         given = [Grant(earlier, prefill_engine), Grant(later, prefill_engine)]
         calls: list[EndpointCall] = []
         sent_to: list[str] = []
@@ -326,5 +326,5 @@
             check_account=lambda: None,
         )
         with pytest.raises(RequestRefusedError):
-            StreamPath(stubbed, prompts, grants).answer(context, Attempts())
+            StreamPath(stubbed, prefiller, grants).answer(context, Attempts())
         assert sent_to == [later.address]
--- a/tests/forwarding/test_refused_prefills.py
+++ b/tests/forwarding/test_refused_prefills.py
@@ -52,7 +52,7 @@
         budgets = RetryBudgets(BudgetOptions(0.0, 10.0, budget), lambda: 1)
         registry = registry_of(engine("engine"), *prefill_engines)
         sender = replace(build_sender(registry), budgets=budgets)
-        prompts = Prefiller(sender, True, Pressures())
+        prefiller = Prefiller(sender, True, Pressures())
         self.asked: list[str] = []
         self.granted: list[str] = []
 
@@ -63,7 +63,7 @@
                 raise outcome
             return outcome
 
-        monkeypatch.setattr(prompts, "_ask", ask)
+        monkeypatch.setattr(prefiller, "_ask", ask)
         not_granted = list(prefill_engines)
 
         def find(_: object, __: object, reads_itself: bool) -> Grant:
@@ -77,7 +77,7 @@
             raise SentError
 
         grants: Any = SimpleNamespace(find=find)
-        self._path = StreamPath(sender, prompts, grants)
+        self._path = StreamPath(sender, prefiller, grants)
         monkeypatch.setattr(self._path, "_run", run)
 
     def answer(self) -> None:
--- a/tests/homes/test_pool.py
+++ b/tests/homes/test_pool.py
@@ -118,7 +118,7 @@
         first = granted(reserve(pool, "a"))
         pool.progress(GrantProgress(first.grant_id, True, True, False, 100, 0, ""))
         record = pool.scheduler.grants.by_id[first.grant_id]
-        record.releases = _in_30_seconds()
+        record.releases_at = _in_30_seconds()
         assert reserve(pool, "b").status == ReserveStatus.PENDING
         release(pool, first)
         granted(reserve(pool, "b"))
@@ -178,7 +178,7 @@
     def test_urgent_requests_overtake_waiting_ones(self) -> None:
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
+        pool.scheduler.grants.by_id[first.grant_id].releases_at = _in_30_seconds()
         assert reserve(pool, "bulk", BULK).status == ReserveStatus.PENDING
         assert reserve(pool, "urgent", URGENT).status == ReserveStatus.PENDING
         release(pool, first)
@@ -188,7 +188,7 @@
     def test_the_earlier_deadline_is_first_within_a_class(self) -> None:
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
+        pool.scheduler.grants.by_id[first.grant_id].releases_at = _in_30_seconds()
         reserve(pool, "late", first_token_ms=600_000)
         reserve(pool, "soon", first_token_ms=300_000)
         release(pool, first)
@@ -200,7 +200,7 @@
         """Guards against callers that wait for a first token that cannot be in time."""
         pool = make_pool("p1", "d1")
         first = granted(reserve(pool, "a"))
-        pool.scheduler.grants.by_id[first.grant_id].releases = _in_30_seconds()
+        pool.scheduler.grants.by_id[first.grant_id].releases_at = _in_30_seconds()
         reply = reserve(pool, "b", first_token_ms=1000)
         assert reply.status == ReserveStatus.REFUSED
         # The first token is 29 s late, and two requests in 5 s demand 40% of the slot.
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -82,7 +82,7 @@
         host = RunningHost(clock, 1)
         host.directory.merge([state("own", HostStatus.DEAD, heartbeat=4)])
         assert host.directory.own.heartbeat == 5
-        assert host.directory.take_urgent()
+        assert host.directory.pop_urgent_change()
 
     def test_death_is_never_adopted(self, clock: Clock) -> None:
         """Each side of a healed partition announces deaths of hosts that are alive."""
--- a/tests/quarantine/test_concurrent_contents.py
+++ b/tests/quarantine/test_concurrent_contents.py
@@ -146,18 +146,18 @@
 
     def report_all(self) -> None:
         for host in self.all:
-            _report(host.registry, self._control, suspects_only=False)
+            _report(host.registry, self._control, suspected_or_cleared_only=False)
         for host in self.all:
-            _report(self._control, host.registry, suspects_only=True)
+            _report(self._control, host.registry, suspected_or_cleared_only=True)
 
     def refusing(self, content: str) -> list[int]:
         return [n for n, host in enumerate(self.all) if host.refuses(content)]
 
 
 def _report(
-    sender: CrashRegistry, receiver: CrashRegistry, suspects_only: bool
+    sender: CrashRegistry, receiver: CrashRegistry, suspected_or_cleared_only: bool
 ) -> None:
-    _, found = sender.changes_since(0, suspects_only)
+    _, found = sender.changes_since(0, suspected_or_cleared_only)
     records = [to_crash_record(history) for history in found]
     receiver.merge(usable_histories("host", records))
 
--- a/tests/quarantine/test_many_hosts.py
+++ b/tests/quarantine/test_many_hosts.py
@@ -90,11 +90,15 @@
     def _watch(self, host: Host) -> None:
         for control in self.controls:
             if control is not host and self.reaches(host, control):
-                self._report(host, control, suspects_only=False)
-                self._report(control, host, suspects_only=host in self.entries)
+                self._report(host, control, suspected_or_cleared_only=False)
+                self._report(
+                    control, host, suspected_or_cleared_only=host in self.entries
+                )
 
-    def _report(self, sender: Host, receiver: Host, suspects_only: bool) -> None:
-        _, found = sender.registry.changes_since(0, suspects_only)
+    def _report(
+        self, sender: Host, receiver: Host, suspected_or_cleared_only: bool
+    ) -> None:
+        _, found = sender.registry.changes_since(0, suspected_or_cleared_only)
         records = [to_crash_record(history) for history in found]
         receiver.registry.merge(usable_histories("host", records))
 
--- a/tests/quarantine/test_registry.py
+++ b/tests/quarantine/test_registry.py
@@ -213,7 +213,7 @@
         record_all(registry, crashes(1, clock.now), OTHER)
         record_all(registry, crashes(2, clock.now))
         assert registry.suspects_version == registry.version
-        found = registry.changes_since(0, suspects_only=True)[1]
+        found = registry.changes_since(0, suspected_or_cleared_only=True)[1]
         assert [history.fingerprint for history in found] == [FATAL]
         assert len(registry.changes_since(0)[1]) == 2
 
