--- a/src/jujubeslip/accounts/_leaderless_pool.py
+++ b/src/jujubeslip/accounts/_leaderless_pool.py
@@ -18,8 +18,8 @@
 # How long a host must have been without a leader before its equal share of the rate
 # counts, in seconds. By then the leader, whose WATCHER_TIMEOUT_SECONDS is shorter,
 # counts the host as partitioned and withholds that share. The share counts until
-# RATE_DURATION_SECONDS, which is shorter than the leader's ENTRY_HOST_RETENTION_SECONDS
-# after which it no longer withholds the share.
+# RATE_DURATION_SECONDS, which is shorter than ENTRY_HOST_RETENTION_SECONDS, after which
+# the leader no longer withholds it.
 RATE_DELAY_SECONDS = 3.5
 RATE_DURATION_SECONDS = 300.0
 # A host that has not joined again for this long no longer counts, in seconds. Hosts
--- a/src/jujubeslip/admission/_engine_pool.py
+++ b/src/jujubeslip/admission/_engine_pool.py
@@ -210,7 +210,7 @@
             self._grant_waiting()
 
     def end(self, request_id: str, attempt: int) -> bool:
-        """Note that a request ended or will not be sent; return whether it was waiting."""
+        """Note the end of a request, sent or not; return whether it was waiting."""
         with self._lock:
             waiting = self._waiting_by_id.get(request_id)
             waited = waiting is not None and waiting.grant_request.attempt == attempt
--- a/src/jujubeslip/admission/_prompt_demand.py
+++ b/src/jujubeslip/admission/_prompt_demand.py
@@ -31,7 +31,7 @@
         self._tokens = 0
 
     def note(self, request_id: str, tokens: int, now: float) -> bool:
-        """Note a request for a prefill engine; return False if it asked recently too.
+        """Note a request for a prefill engine; return whether it is a new request.
 
         `now` is the time of the steady clock.
         """
--- a/src/jujubeslip/control/_role_manager.py
+++ b/src/jujubeslip/control/_role_manager.py
@@ -274,8 +274,8 @@
         engines = self._engines(service_name)
         now = steady_seconds()
         sustained = self._prefill_load(service_name).sustained(now)
-        # The minimum has no spare prefill engine: with few engines, a decode engine adds
-        # more capacity than a spare one would.
+        # The minimum has no spare prefill engine: with few engines, a decode engine
+        # adds more capacity than a spare one would.
         useful = self._role_shares(service_name).useful_prefill_engines(
             engines, now, minimum=1
         )
--- a/src/jujubeslip/forwarding/_leader_contact.py
+++ b/src/jujubeslip/forwarding/_leader_contact.py
@@ -247,9 +247,9 @@
         """Record a call and return the term in which it is made.
 
         While one request waits for a host that did not answer before, the others skip
-        that host. A host beyond a network partition counts as unreachable once watch
-        requests to it have failed for up to two seconds; until then, each request that
-        comes after the pause would wait for a call that cannot succeed.
+        that host. A host beyond a network partition counts as reachable until a watch
+        request to it fails, which takes up to two seconds. In that time, each request
+        that comes after the pause would wait for a call that cannot succeed.
         """
         with self._lock:
             if address in self._unresponsive_addresses:
--- a/src/jujubeslip/forwarding/_prefill.py
+++ b/src/jujubeslip/forwarding/_prefill.py
@@ -26,9 +26,9 @@
 # prompts take. After that the decode engine prefills the prompt itself.
 PREFILL_SECONDS = 1.5
 # If the leader gave the expected duration of the prefill, the timeout is this multiple
-# of it, and at least the minimum, in seconds: of 12,000 prompts one in a thousand took
-# half a second. An engine that has stopped answering thus costs a request only part of
-# its time.
+# of it, and at least the minimum, in seconds. The minimum exceeds the half second that
+# one prompt in a thousand takes, of 12,000 prompts. An engine that has stopped answering
+# thus costs a request only part of its time.
 EXPECTED_TIME_FACTOR = 3.0
 MINIMUM_SECONDS = 0.6
 # Maximum prefill calls for one prompt.
