--- a/src/jujubeslip/accounts/_spending.py
+++ b/src/jujubeslip/accounts/_spending.py
@@ -47,7 +47,7 @@
     """Admits small requests immediately, up to a bound on the unreported cost.
 
     The bound holds with and without a leader, so that the sum over all hosts stays
-    within the leader's margin through a network partition and the loss of the leader.
+    within the limit's slack through a network partition and the loss of the leader.
     It grows over the first window after a start: a host that restarts repeatedly loses
     its unreported cost each time, and one of many hosts that start at the same time
     does not know their number yet.
--- a/src/jujubeslip/control/_client.py
+++ b/src/jujubeslip/control/_client.py
@@ -176,7 +176,7 @@
         )
 
     def abandon_key(self, claim: KeyClaim, deadline: Deadline) -> None:
-        """Release a claim whose request surely did not run, so that a resend may."""
+        """Release a claim whose request certainly did not run, so that a resend may."""
         self._call_leader(
             lambda peer: peer.abandon_key(claim, deadline.remaining_ms()), deadline
         )
--- a/src/jujubeslip/control/_handler.py
+++ b/src/jujubeslip/control/_handler.py
@@ -241,7 +241,7 @@
         self._replica.propose(command, Deadline.from_remaining_ms(remaining_ms))
 
     def abandon_key(self, claim: KeyClaim, remaining_ms: int) -> None:
-        """Release a claim whose request surely did not run."""
+        """Release a claim whose request certainly did not run."""
         check_claim(claim)
         command = AbandonCommand(claim)
         self._replica.propose(command, Deadline.from_remaining_ms(remaining_ms))
--- a/src/jujubeslip/control/_role_balance.py
+++ b/src/jujubeslip/control/_role_balance.py
@@ -127,7 +127,7 @@
     def sustained(self, now: float) -> float:
         """Return the lowest load of the last `SATURATED_SECONDS`.
 
-        Returns 0 until samples cover that time, since a single moment proves nothing.
+        Returns 0 until samples cover that time, since a brief load is not sustained.
         """
         if (
             self._first_sample_at is None
--- a/src/jujubeslip/forwarding/_prefill.py
+++ b/src/jujubeslip/forwarding/_prefill.py
@@ -27,8 +27,8 @@
 PREFILL_SECONDS = 1.5
 # If the leader gave the expected duration of the prefill, the timeout is this multiple
 # of it, and at least the minimum, in seconds. The minimum exceeds the half second that
-# one prompt in a thousand takes, of 12,000 prompts. An engine that has stopped answering
-# thus costs a request only part of its time.
+# one prompt in a thousand takes, of 12,000 prompts. An engine that has stopped
+# answering thus costs a request only part of its time.
 EXPECTED_TIME_FACTOR = 3.0
 MINIMUM_SECONDS = 0.6
 # Maximum prefill calls for one prompt.
@@ -119,9 +119,9 @@
     def is_lost(self, location: PromptLocation) -> bool:
         """Return whether the engine that prefilled the prompt has restarted since.
 
-        The KV cache ended with the earlier start. The next start numbers its handles
-        anew: the same handle may name another request's prompt, from which the answer
-        would then be made, because no engine checks whose prompt it is.
+        The KV cache ended with the earlier start. The next start begins to number its
+        handles again: the same handle may name another request's prompt, from which the
+        answer would then be made, because no engine checks whose prompt it is.
         """
         prefill_engine = location.prefill_engine
         return prefill_engine is not None and self._sender.chooser.is_superseded(
--- a/src/jujubeslip/forwarding/_reservations.py
+++ b/src/jujubeslip/forwarding/_reservations.py
@@ -103,8 +103,8 @@
         """Release the reservation at its engine.
 
         Reservations end with the start of the engine that gave them. The next start at
-        the same address numbers its reservations anew, so the same token may belong to
-        another request.
+        the same address begins to number its reservations again, so the same token may
+        belong to another request.
         """
         endpoint = reservation.endpoint
         if self._sender.chooser.is_superseded(endpoint):
--- a/src/jujubeslip/quarantine/_registry.py
+++ b/src/jujubeslip/quarantine/_registry.py
@@ -128,13 +128,16 @@
     def changes_for_entry_host(self, version: int) -> tuple[int, list[CrashHistory]]:
         """Return the changes since a version that are reported to an entry host.
 
-        These are all changed suspects, and the latest MAXIMUM_UNSUSPECTED others.
+        These are all changed histories of suspected or cleared contents, and the latest
+        MAXIMUM_UNSUSPECTED others.
         """
         newest, changed = self._changed_since(version)
-        suspects = [history for history in changed if _is_suspect_or_cleared(history)]
+        suspects_and_cleared = [
+            history for history in changed if _is_suspect_or_cleared(history)
+        ]
         others = [history for history in changed if not _is_suspect_or_cleared(history)]
         others.sort(key=lambda history: history.latest_at)
-        return newest, suspects + others[-MAXIMUM_UNSUSPECTED:]
+        return newest, suspects_and_cleared + others[-MAXIMUM_UNSUSPECTED:]
 
     def quarantined_contents(self) -> list[CrashHistory]:
         """Return the histories of the contents that are currently quarantined."""
--- a/tests/control/test_leader_loss.py
+++ b/tests/control/test_leader_loss.py
@@ -155,7 +155,7 @@
         """Guards against an election that a host causes on its return.
 
         Without the pre-vote its term would grow with each campaign during the
-        partition, and the higher term would depose the leader.
+        partition, and the higher term would make the leader step down.
         """
         with ControlCluster(tmp_path, 3) as cluster:
             cluster.apply(1, 0)
--- a/tests/control/test_two_candidates.py
+++ b/tests/control/test_two_candidates.py
@@ -44,10 +44,10 @@
 
 
 class TestCandidateThatVotesForAnother:
-    """Guards against a leader that is deposed milliseconds after its election.
+    """Guards against a leader that steps down milliseconds after its election.
 
     A replica votes for another candidate during its own pre-vote round; if its campaign
-    continued, its higher term would depose the other one.
+    continued, its higher term would make the other one step down.
     """
 
     @pytest.mark.parametrize("has_campaigned", [True, False])
