--- a/bench/replay/_simulation.py
+++ b/bench/replay/_simulation.py
@@ -18,7 +18,7 @@
 from jujubeslip.admission._engine_pool import EnginePool
 from jujubeslip.admission._models import Grant, GrantRequest
 from jujubeslip.discovery import Endpoint
-from jujubeslip.forwarding._pressure import MIN_WAIT_SECONDS
+from jujubeslip.forwarding._pressure import MINIMUM_WAIT_SECONDS
 from jujubeslip.forwarding._retry_after import retry_after_seconds
 from jujubeslip.kernel import Deadline
 from jujubeslip.peers import EndpointRole
@@ -405,7 +405,7 @@
         is_decided = decision.grant is not None or decision.refused
         if self._roles is not None and is_decided:
             waited = self._clock.now - request.requested_at
-            self._roles.note_wait(waited if decision.grant else MIN_WAIT_SECONDS)
+            self._roles.note_wait(waited if decision.grant else MINIMUM_WAIT_SECONDS)
         if decision.grant is not None:
             self._start_prefill(request, decision.grant)
         elif decision.refused:
--- a/src/jujubeslip/admission/_engine_memory.py
+++ b/src/jujubeslip/admission/_engine_memory.py
@@ -84,7 +84,7 @@
         and the prefill of each of their prompts would be wasted.
         """
         report = self._report
-        if report is None or self.reachability.is_lost:
+        if report is None or self.reachability.is_unreachable:
             return False
         if self.report_age >= USABLE_SECONDS:
             return False
--- a/src/jujubeslip/admission/_engine_pool.py
+++ b/src/jujubeslip/admission/_engine_pool.py
@@ -142,10 +142,10 @@
             self._engines.take_report(start_id, report)
             self._grant_waiting()
 
-    def note_lost(self, start_id: str) -> None:
+    def note_unreachable(self, start_id: str) -> None:
         """Give no requests to an unreachable start of an engine until it is back."""
         with self._lock:
-            self._engines.note_lost(start_id)
+            self._engines.note_unreachable(start_id)
 
     @property
     def usable(self) -> bool:
--- a/src/jujubeslip/admission/_engine_reachability.py
+++ b/src/jujubeslip/admission/_engine_reachability.py
@@ -18,18 +18,21 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
         """The start as last announced."""
-        self._lost_at: float | None = None
+        self._unreachable_since: float | None = None
 
     @property
-    def is_lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Return whether the engine is considered unreachable."""
-        return self._lost_at is not None
+        return self._unreachable_since is not None
 
-    def note_lost(self) -> None:
+    def note_unreachable(self) -> None:
         """Note that the engine no longer reports."""
-        self._lost_at = steady_seconds()
+        self._unreachable_since = steady_seconds()
 
     def note_report(self) -> None:
         """Note that a report was received from the engine's address."""
-        if self._lost_at is not None and self.endpoint.heard_at > self._lost_at:
-            self._lost_at = None
+        if (
+            self._unreachable_since is not None
+            and self.endpoint.heard_at > self._unreachable_since
+        ):
+            self._unreachable_since = None
--- a/src/jujubeslip/admission/_home.py
+++ b/src/jujubeslip/admission/_home.py
@@ -71,7 +71,7 @@
     def __init__(
         self,
         process: Process,
-        book: EndpointRegistry,
+        registry: EndpointRegistry,
         interface: Interface,
         options: MemoryOptions,
         leads: Callable[[], bool],
@@ -85,7 +85,7 @@
         self._charges = charges
         self._ordered_role = ordered_role
         self._process = process
-        self._book = book
+        self._registry = registry
         self._interface = interface
         self._options = options
         self._waiting = waiting
@@ -99,7 +99,7 @@
 
     def start(self) -> None:
         """Poll the engines until the process stops."""
-        self._process.repeat(SCAN_SECONDS, self.look)
+        self._process.repeat(SCAN_SECONDS, self.run_once)
         self._process.repeat(RETRY_SECONDS, self._retry_waiting)
 
     def admit(self, request: AdmissionRequest) -> AdmissionReply:
@@ -109,7 +109,7 @@
         self._last_request_at = steady_seconds()
         pool = self._pool(request.service_name)
         if not pool.usable:
-            self.look()
+            self.run_once()
             raise _engines_unknown()
         retry_seconds = self._charge(request)
         if retry_seconds > 0:
@@ -163,7 +163,7 @@
         pool = self._pool(engine.service_name)
         return pool.reported_within(engine.start_id, RECENT_REPORT_SECONDS)
 
-    def look(self) -> None:
+    def run_once(self) -> None:
         """Update the set of polled engines; poll none unless this host is in use."""
         active = steady_seconds() - self._last_request_at < ACTIVE_SECONDS
         services = (
@@ -195,7 +195,9 @@
         Any program may announce an engine of any service at any address, so an engine
         of a service that no configuration names must not be polled.
         """
-        return self._book.engine_services().intersection(self._configured_services())
+        return self._registry.engine_services().intersection(
+            self._configured_services()
+        )
 
     def _engines(
         self, service_name: str, services: Collection[str]
@@ -212,7 +214,7 @@
         """Return the engines of a role that neither leave nor are ordered to change."""
         return [
             engine
-            for engine in self._book.engines(service_name, role)
+            for engine in self._registry.engines(service_name, role)
             if self._ordered_role(engine) in (None, role)
             and not self._notices.leaves(engine.start_id)
         ]
@@ -230,7 +232,7 @@
                     self._interface,
                     self._process,
                     self._take_report,
-                    self._note_lost,
+                    self._note_unreachable,
                     self._notices,
                 )
                 self._poller_by_start[engine.start_id] = poller
@@ -240,8 +242,8 @@
     def _take_report(self, engine: Endpoint, report: EngineReport) -> None:
         self._pool(engine.service_name).take_report(engine.start_id, report)
 
-    def _note_lost(self, engine: Endpoint) -> None:
-        self._pool(engine.service_name).note_lost(engine.start_id)
+    def _note_unreachable(self, engine: Endpoint) -> None:
+        self._pool(engine.service_name).note_unreachable(engine.start_id)
         extra = {"endpoint_id": engine.endpoint_id, "service": engine.service_name}
         logger.warning("engine lost, no requests granted until it returns", extra=extra)
 
--- a/src/jujubeslip/admission/_prefill_queue.py
+++ b/src/jujubeslip/admission/_prefill_queue.py
@@ -65,7 +65,7 @@
         would prefill their prompts meanwhile and pause all their answers.
         """
         fresh = self.report_age < USABLE_SECONDS
-        return fresh and self._accepts_prompts and not self.reachability.is_lost
+        return fresh and self._accepts_prompts and not self.reachability.is_unreachable
 
     @property
     def report_age(self) -> float:
--- a/src/jujubeslip/admission/_service_engines.py
+++ b/src/jujubeslip/admission/_service_engines.py
@@ -103,10 +103,10 @@
         if prefill_queue is not None:
             return (
                 prefill_queue.report_age < seconds
-                and not prefill_queue.reachability.is_lost
+                and not prefill_queue.reachability.is_unreachable
             )
         engine = self._engine_by_start.get(start_id)
-        if engine is None or engine.reachability.is_lost:
+        if engine is None or engine.reachability.is_unreachable:
             return False
         return engine.report_age < seconds
 
@@ -129,14 +129,14 @@
         """Note a request that asks for a grant."""
         self._demand.note_requested(grant_request)
 
-    def note_lost(self, start_id: str) -> None:
+    def note_unreachable(self, start_id: str) -> None:
         """Give no requests to an unreachable start of an engine until it is back."""
         engine = self._engine_by_start.get(start_id)
         if engine is not None:
-            engine.reachability.note_lost()
+            engine.reachability.note_unreachable()
         prefill_queue = self._prefill_queue_by_start.get(start_id)
         if prefill_queue is not None:
-            prefill_queue.reachability.note_lost()
+            prefill_queue.reachability.note_unreachable()
 
     @property
     def usable(self) -> bool:
--- a/src/jujubeslip/cli/_change_commands.py
+++ b/src/jujubeslip/cli/_change_commands.py
@@ -29,8 +29,8 @@
 from jujubeslip.peers import ApplyReply, ApplyRequest, HostStatus
 
 APPLY_SECONDS = 10.0
-ENTRY_TIMEOUT = 1.0
-POLL_INTERVAL = 0.1
+ENTRY_TIMEOUT_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 0.1
 
 
 @click.command()
@@ -112,7 +112,7 @@
     deadline = Deadline.after(seconds)
     while True:
         with exit_on_refusal():
-            status = client.call(lambda peer: peer.status(), ENTRY_TIMEOUT)
+            status = client.call(lambda peer: peer.status(), ENTRY_TIMEOUT_SECONDS)
         living = [host for host in status.hosts if host.status == HostStatus.ALIVE]
         behind = [
             host.host_id for host in living if host.configuration_revision < revision
@@ -123,7 +123,7 @@
                 "in_force": len(living) - len(behind),
                 "not_in_force": behind,
             }
-        time.sleep(POLL_INTERVAL)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
 @click.command()
--- a/src/jujubeslip/cli/_status_commands.py
+++ b/src/jujubeslip/cli/_status_commands.py
@@ -19,9 +19,9 @@
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.peers import PeerClient, PeerRefusal
 
-TIMEOUT = 2.0
-POLL_INTERVAL = 0.5
-ABANDON_INTERVAL = 0.05
+TIMEOUT_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 0.5
+ABANDON_INTERVAL_SECONDS = 0.05
 NOT_STOPPING = "not_stopping"
 
 
@@ -48,7 +48,7 @@
     with exit_on_refusal():
         if entry:
             client = open_entry(entry, peer_secret)
-            answer = client.call(lambda peer: peer.status(), TIMEOUT)
+            answer = client.call(lambda peer: peer.status(), TIMEOUT_SECONDS)
             print_fields(thrift_fields(answer), as_json)
         if control_addresses:
             control = open_control(control_addresses, peer_secret)
@@ -76,20 +76,20 @@
             _abandon(client)
         while (count := _open_requests(client)) is not None:
             click.echo(f"open requests: {count}")
-            time.sleep(POLL_INTERVAL)
+            time.sleep(POLL_INTERVAL_SECONDS)
     click.echo("stopped")
 
 
 def _abandon(client: PeerClient) -> None:
     """End open requests, once the host has handled the signal."""
-    deadline = Deadline.after(TIMEOUT)
+    deadline = Deadline.after(TIMEOUT_SECONDS)
     while True:
         try:
-            count = client.call(lambda peer: peer.abandon(), TIMEOUT)
+            count = client.call(lambda peer: peer.abandon(), TIMEOUT_SECONDS)
         except PeerRefusal as error:
             if error.error_id != NOT_STOPPING or deadline.expired:
                 raise
-            time.sleep(ABANDON_INTERVAL)
+            time.sleep(ABANDON_INTERVAL_SECONDS)
             continue
         except PeerUnavailableError:
             # The host has already stopped.
@@ -101,7 +101,9 @@
 def _open_requests(client: PeerClient) -> int | None:
     """Return how many requests are open, or None once the process has ended."""
     try:
-        return int(client.call(lambda peer: peer.status(), TIMEOUT).open_requests)
+        return int(
+            client.call(lambda peer: peer.status(), TIMEOUT_SECONDS).open_requests
+        )
     except PeerUnavailableError:
         return None
 
--- a/src/jujubeslip/control/_cold_start_election.py
+++ b/src/jujubeslip/control/_cold_start_election.py
@@ -24,7 +24,7 @@
 
 # Pause between two rounds, in seconds. Each replica draws its own from this range, so
 # that one of them campaigns first.
-LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS = 0.02, 0.12
+MINIMUM_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS = 0.02, 0.12
 # Timeout for a voter's answer, in seconds; an answer takes a millisecond or two.
 ANSWER_SECONDS = 0.2
 
@@ -44,7 +44,7 @@
 
     def run(self) -> None:
         """Run until regular elections take over."""
-        pause = random.uniform(LEAST_PAUSE_SECONDS, MOST_PAUSE_SECONDS)
+        pause = random.uniform(MINIMUM_PAUSE_SECONDS, MAXIMUM_PAUSE_SECONDS)
         while self._may_continue() and not self._replica.process.stopped.wait(pause):
             start_by_id = self._ask_all()
             if start_by_id is not None and self._may_continue():
--- a/src/jujubeslip/control/_disk_probe.py
+++ b/src/jujubeslip/control/_disk_probe.py
@@ -34,7 +34,7 @@
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
-    def look(self) -> None:
+    def run_once(self) -> None:
         """End the process if its disk had failed and accepts writes again."""
         if not self._replica.failure or not self._takes_writes():
             return
--- a/src/jujubeslip/control/_leadership.py
+++ b/src/jujubeslip/control/_leadership.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class LeaderContact:
+class KnownLeader:
     """The leader from which a follower last received a message."""
 
     replica_id: str = ""
--- a/src/jujubeslip/control/_receiver.py
+++ b/src/jujubeslip/control/_receiver.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from jujubeslip.control._leadership import LeaderContact, Role
+from jujubeslip.control._leadership import KnownLeader, Role
 from jujubeslip.control._membership import MembershipLog
 from jujubeslip.control._replica import Replica
 from jujubeslip.control._snapshots import (
@@ -78,7 +78,7 @@
                 self._check_addressed(request)
                 if request.term < replica.term:
                     return AppendReply(replica.term, False, 0)
-                leader = LeaderContact(request.leader_id, request.leader_address)
+                leader = KnownLeader(request.leader_id, request.leader_address)
                 replica.follow(request.term, leader)
                 if not self._matches_log(request):
                     return AppendReply(
@@ -106,7 +106,7 @@
     def _answer_heartbeat(self, request: AppendRequest) -> AppendReply:
         """Acknowledge the entries that are synced; others are still being written."""
         replica = self._replica
-        leader = LeaderContact(request.leader_id, request.leader_address)
+        leader = KnownLeader(request.leader_id, request.leader_address)
         replica.follow(request.term, leader)
         synced_index = min(request.previous_index, replica.written_index)
         replica.commit_to(min(request.commit_index, synced_index))
@@ -118,7 +118,7 @@
         with self._addressed(piece):
             if piece.term < replica.term:
                 return SnapshotReply(replica.term, 0, False)
-            leader = LeaderContact(piece.leader_id, piece.leader_address)
+            leader = KnownLeader(piece.leader_id, piece.leader_address)
             replica.follow(piece.term, leader)
             if replica.log.term_at(piece.last_index) == piece.last_term:
                 # The log holds all entries of the snapshot, and possibly acknowledged
--- a/src/jujubeslip/control/_replica.py
+++ b/src/jujubeslip/control/_replica.py
@@ -18,7 +18,7 @@
 
 from jujubeslip.control._commands import Command, NoOp, make_entry
 from jujubeslip.control._errors import LeadershipLostError, StorageFailedError
-from jujubeslip.control._leadership import Fence, LeaderContact, Leadership, Role
+from jujubeslip.control._leadership import Fence, KnownLeader, Leadership, Role
 from jujubeslip.control._loading import load_state
 from jujubeslip.control._membership import is_voter, voters, without_lost
 from jujubeslip.control._state_machine import Outcome
@@ -74,7 +74,7 @@
         # Notified when enough entries were applied since the last snapshot.
         self.snapshot_due = threading.Condition(self.lock)
         self.role = Role.FOLLOWER
-        self.leader = LeaderContact()
+        self.leader = KnownLeader()
         self.leadership: Leadership | None = None
         self.failure = ""
         self.transferring = False
@@ -203,7 +203,7 @@
                 "acknowledged_ago_ms": led.acknowledged_ago_ms() if led else None,
             }
             logger.warning("no longer leading", extra=extra)
-            self.leader = LeaderContact()
+            self.leader = KnownLeader()
         self.role = Role.FOLLOWER
         if self.leadership is not None:
             self.leadership.fail_waiters()
@@ -212,7 +212,7 @@
         self.role_changed.notify_all()
         self.work.notify_all()
 
-    def follow(self, term: int, leader: LeaderContact) -> None:
+    def follow(self, term: int, leader: KnownLeader) -> None:
         """Follow the leader of this term after a message from it; needs both locks."""
         self.adopt_term(term)
         if self.role is not Role.FOLLOWER:
@@ -238,7 +238,7 @@
         last_index = self.log.last_index
         self.no_leader_since_start = False
         self.role = Role.LEADER
-        self.leader = LeaderContact(
+        self.leader = KnownLeader(
             self.replica_id, self.settings.peer_address, self.term
         )
         self.leadership = Leadership(
--- a/src/jujubeslip/control/_role_manager.py
+++ b/src/jujubeslip/control/_role_manager.py
@@ -56,7 +56,7 @@
 BOOTSTRAP_MARGIN_SECONDS = 2.0
 # Timeout for a response from an engine, which takes a millisecond or two, in seconds.
 # It is kept short because an order is sent only while the lease lasts for longer.
-ENGINE_TIMEOUT_SECONDS = 0.25
+ENGINE_RESPONSE_TIMEOUT_SECONDS = 0.25
 # How long the commit of an order may take, in seconds.
 COMMIT_TIMEOUT_SECONDS = 0.5
 ACCEPTED_STATUSES = (200, 202)
@@ -474,14 +474,14 @@
 
     def _may_send(self, endpoint: Endpoint, role: EndpointRole, fence: Fence) -> bool:
         """Record an order; return whether the lease then still covers its response."""
-        if fence.lease.remaining() < ENGINE_TIMEOUT_SECONDS:
+        if fence.lease.remaining() < ENGINE_RESPONSE_TIMEOUT_SECONDS:
             return False
         recorded_by = Deadline.after(COMMIT_TIMEOUT_SECONDS)
         if not self._engine_log.record_order(endpoint.start_id, role, recorded_by):
             return False
         now = self._replica.fence()
         if now is not None and now.number == fence.number:
-            if now.lease.remaining() >= ENGINE_TIMEOUT_SECONDS:
+            if now.lease.remaining() >= ENGINE_RESPONSE_TIMEOUT_SECONDS:
                 return True
         self._engine_log.withdraw_order(endpoint.start_id, endpoint.role)
         return False
@@ -510,7 +510,7 @@
     def _ask(
         self, endpoint: Endpoint, internal_request: InternalRequest
     ) -> tuple[int, bytes]:
-        deadline = Deadline.after(ENGINE_TIMEOUT_SECONDS)
+        deadline = Deadline.after(ENGINE_RESPONSE_TIMEOUT_SECONDS)
         return send_internal_request(
             self._connections,
             self._interface,
--- a/src/jujubeslip/control/_run.py
+++ b/src/jujubeslip/control/_run.py
@@ -205,7 +205,7 @@
         process.start_task(self._watches.follow_configuration)
         process.start_task(self._watches.follow_leader)
         process.repeat(MEMBERSHIP_CHECK_SECONDS, self._changes.promote_learners)
-        process.repeat(PROBE_SECONDS, DiskProbe(self._replica).look)
+        process.repeat(PROBE_SECONDS, DiskProbe(self._replica).run_once)
         process.repeat(CLEANUP_INTERVAL_SECONDS, self._crash_registry.forget_old)
         process.repeat(CLEANUP_INTERVAL_SECONDS, self._endpoint_limits.forget_old)
         process.repeat(CLEANUP_INTERVAL_SECONDS, self._notices.forget_old)
@@ -242,7 +242,7 @@
             self._routes.engine_services,
             self._orders,
             admissions.busy_prefill_engines if admissions else lambda _: 0.0,
-            admissions.look if admissions else lambda: None,
+            admissions.run_once if admissions else lambda: None,
             admissions.engine_use if admissions else lambda _: EngineUse(0.0, 0.0),
             self._notices,
             admissions.has_recent_report if admissions else lambda _: True,
--- a/src/jujubeslip/discovery/_control_followers.py
+++ b/src/jujubeslip/discovery/_control_followers.py
@@ -114,7 +114,7 @@
                     follower = _Follower(self, address)
                     self._follower_by_address[address] = follower
                     self._process.start_task(follower.run)
-            follower.note_named()
+            follower.record_listed()
 
     def reaches(self, address: str) -> bool:
         """Return whether the control host replied to the latest watch request."""
@@ -193,12 +193,12 @@
         """Version of the local crash registry that the control host has received."""
         self._retry_seconds = RETRY_SECONDS
         self.reachable = False
-        self._named_at = steady_seconds()
+        self._listed_at = steady_seconds()
         self.answered_at = float("-inf")
 
-    def note_named(self) -> None:
+    def record_listed(self) -> None:
         """Record that a seed or another control host still lists this host."""
-        self._named_at = steady_seconds()
+        self._listed_at = steady_seconds()
 
     def run(self) -> None:
         """Run until the process stops or the host is no longer followed."""
@@ -210,7 +210,7 @@
             self._watch()
 
     def _is_expired(self) -> bool:
-        latest = max(self._named_at, self.answered_at)
+        latest = max(self._listed_at, self.answered_at)
         return steady_seconds() - latest > DROP_AFTER_SECONDS
 
     def _watch(self) -> None:
--- a/src/jujubeslip/discovery/_registry.py
+++ b/src/jujubeslip/discovery/_registry.py
@@ -30,7 +30,7 @@
 # The leader grants no requests to an engine that has not been heard from for this long,
 # in seconds. Engines announce themselves about once a second, and an announcement that
 # is several seconds late is tolerated.
-ENGINE_TIMEOUT_SECONDS = 5.0
+ENGINE_SILENCE_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         return {endpoint.service_name for endpoint in self._live_engines()}
 
     def _live_engines(self) -> list[Endpoint]:
-        recent_since = steady_seconds() - ENGINE_TIMEOUT_SECONDS
+        recent_since = steady_seconds() - ENGINE_SILENCE_SECONDS
         return [
             endpoint
             for endpoint in self.endpoints()
--- a/src/jujubeslip/endpoints/_http.py
+++ b/src/jujubeslip/endpoints/_http.py
@@ -21,14 +21,14 @@
 
 CONNECT_SECONDS = 1.0
 # Interval at which a wait checks that the client is still connected, in seconds.
-POLL_INTERVAL = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 READ_SIZE = 65536
 # Longest pause within an answer that has begun, and in sending a request, in seconds.
 STALL_SECONDS = 2.0
 SEND_SECONDS = 5.0
 # Interval at which the endpoint is asked, while its answer is pending, whether it still
 # works on the attempt, in seconds.
-PROBE_INTERVAL = 1.5
+PROBE_INTERVAL_SECONDS = 1.5
 # Consecutive failed probes that end a call. One is not conclusive: it may be lost, and
 # an endpoint that no longer holds the attempt may have an answer in transit.
 FAILED_PROBES = 2
@@ -157,7 +157,7 @@
         failed = 0
         while True:
             try:
-                self._wait_readable(PROBE_INTERVAL)
+                self._wait_readable(PROBE_INTERVAL_SECONDS)
                 return
             except EndpointTimeoutError:
                 if self._deadline.expired:
@@ -179,7 +179,9 @@
             limit = limit.earlier_of(Deadline.after(silence_timeout))
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
-        while not poller.poll(int(min(POLL_INTERVAL, limit.remaining()) * 1000) + 1):
+        while not poller.poll(
+            int(min(POLL_INTERVAL_SECONDS, limit.remaining()) * 1000) + 1
+        ):
             if self._interrupted():
                 raise ClientDisconnectedError("The client closed its connection.")
             if limit.expired:
--- a/src/jujubeslip/endpoints/_monitor.py
+++ b/src/jujubeslip/endpoints/_monitor.py
@@ -17,7 +17,7 @@
 from jujubeslip.kernel import Deadline
 
 HTTP_OK = 200
-MINIMUM_TIMEOUT = 0.001
+MINIMUM_TIMEOUT_SECONDS = 0.001
 
 
 class EndpointMonitor:
@@ -64,7 +64,7 @@
         self._connection = None
         sock = connection.sock
         try:
-            sock.settimeout(max(MINIMUM_TIMEOUT, deadline.remaining()))
+            sock.settimeout(max(MINIMUM_TIMEOUT_SECONDS, deadline.remaining()))
             connection.request("GET", path)
             response = connection.getresponse()
             body = response.read()
@@ -83,7 +83,7 @@
     def _open(self, deadline: Deadline) -> http.client.HTTPConnection:
         host, port = self.address.rsplit(":", 1)
         connection = http.client.HTTPConnection(
-            host, int(port), timeout=max(MINIMUM_TIMEOUT, deadline.remaining())
+            host, int(port), timeout=max(MINIMUM_TIMEOUT_SECONDS, deadline.remaining())
         )
         try:
             connection.connect()
--- a/src/jujubeslip/entry/_configuration_follower.py
+++ b/src/jujubeslip/entry/_configuration_follower.py
@@ -17,8 +17,8 @@
 logger = logging.getLogger(__name__)
 
 POLL_MS = 2000
-RETRY_PAUSE = 0.5
-PEER_TIMEOUT = 1.0
+RETRY_PAUSE_SECONDS = 0.5
+PEER_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
                     "configuration poll failed: control unavailable",
                     extra={"error": str(error)},
                 )
-                process.stopped.wait(RETRY_PAUSE)
+                process.stopped.wait(RETRY_PAUSE_SECONDS)
                 continue
             self.apply(configuration)
 
@@ -80,7 +80,7 @@
         """Fetch a newer configuration that a peer announced by gossip."""
         try:
             configuration = self._clients.get(address).call(
-                lambda peer: peer.get_configuration(self.revision), PEER_TIMEOUT
+                lambda peer: peer.get_configuration(self.revision), PEER_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal) as error:
             logger.info(
--- a/src/jujubeslip/forwarding/_account_limits.py
+++ b/src/jujubeslip/forwarding/_account_limits.py
@@ -49,7 +49,7 @@
 # The shortest time after which a refused client should retry, in seconds, and the
 # largest random addition as a share of the wait. If all refused clients retried at
 # once, the first ones would use up the limit.
-MIN_RETRY_SECONDS = 0.1
+MINIMUM_RETRY_SECONDS = 0.1
 RETRY_JITTER_SHARE = 0.3
 
 
@@ -177,7 +177,7 @@
         jitter = 1 + RETRY_JITTER_SHARE * random.random()
         counts_tokens = context.account is not None and context.account.counts_tokens
         kind = "tokens" if counts_tokens else "requests"
-        return limit_reached(kind, max(MIN_RETRY_SECONDS, wait * jitter))
+        return limit_reached(kind, max(MINIMUM_RETRY_SECONDS, wait * jitter))
 
     def charge_at_leader(self, context: ForwardContext, attempts: Attempts) -> bool:
         """Charge the request; return whether a leader that knows the limit answered.
--- a/src/jujubeslip/forwarding/_admissions.py
+++ b/src/jujubeslip/forwarding/_admissions.py
@@ -36,7 +36,7 @@
 # than to wait for it.
 ANSWER_SECONDS = 0.25
 # Maximum number of updates sent in one call, and the timeout of that call in seconds.
-MAX_UPDATES_PER_CALL = 50
+MAXIMUM_UPDATES_PER_CALL = 50
 UPDATE_TIMEOUT_SECONDS = 0.5
 
 
@@ -205,6 +205,6 @@
         updates: list[AdmissionNews] = []
         with contextlib.suppress(queue.Empty):
             updates.append(self._pending_updates.get(timeout=UPDATE_TIMEOUT_SECONDS))
-            while len(updates) < MAX_UPDATES_PER_CALL:
+            while len(updates) < MAXIMUM_UPDATES_PER_CALL:
                 updates.append(self._pending_updates.get_nowait())
         return updates
--- a/src/jujubeslip/forwarding/_app.py
+++ b/src/jujubeslip/forwarding/_app.py
@@ -108,12 +108,14 @@
     ) -> Iterable[bytes]:
         try:
             request = self._interface.read_request(environ)
-            client_gone = environ["waitress.client_disconnected"]
-            answer = self._service.answer(request, client_gone)
+            client_disconnected = environ["waitress.client_disconnected"]
+            answer = self._service.answer(request, client_disconnected)
         except RequestRefusedError as refusal:
             return self._refuse(start_response, refusal, request_id)
         except ClientDisconnectedError as error:
-            return self._refuse(start_response, _client_gone_refusal(error), request_id)
+            return self._refuse(
+                start_response, _client_disconnected_refusal(error), request_id
+            )
         except Exception:
             logger.exception("request failed", extra={"request_id": request_id})
             return self._refuse(start_response, _internal_error_refusal(), request_id)
@@ -201,7 +203,7 @@
     )
 
 
-def _client_gone_refusal(error: ClientDisconnectedError) -> RequestRefusedError:
+def _client_disconnected_refusal(error: ClientDisconnectedError) -> RequestRefusedError:
     """Return a refusal that nobody receives: the client has closed its connection."""
     return RequestRefusedError(
         error.error_id, error.message, status=502, ran=Ran.UNKNOWN
--- a/src/jujubeslip/forwarding/_endpoint_limits.py
+++ b/src/jujubeslip/forwarding/_endpoint_limits.py
@@ -24,7 +24,7 @@
 FORGET_SECONDS = 10.0
 # The longest random time added to the wait that the leader gives, in seconds. Without
 # it, all hosts would ask for the endpoint's next request at once.
-MAX_JITTER_SECONDS = 1.0
+MAXIMUM_JITTER_SECONDS = 1.0
 # How long a host waits after the pool of hosts without a leader had nothing left.
 NO_LEADER_WAIT_SECONDS = 0.5
 
@@ -119,7 +119,7 @@
         wait = float(state.wait_seconds or 0.0)
         if wait > 0:
             others = max(0, self._hosts() - 1)
-            jitter = min(MAX_JITTER_SECONDS, others / (2 * per_second))
+            jitter = min(MAXIMUM_JITTER_SECONDS, others / (2 * per_second))
             wait += random.uniform(0, jitter)
             self._record_wait(start_id, wait)
         return wait
--- a/src/jujubeslip/forwarding/_exchange.py
+++ b/src/jujubeslip/forwarding/_exchange.py
@@ -79,7 +79,7 @@
         connection.watch(deadline, self._client_disconnected)
         head = self._read_own_head(connection)
         if not head.misdirected:
-            self._notices.note_answer(self._endpoint, head, sent_at)
+            self._notices.record_answer(self._endpoint, head, sent_at)
         if head.not_run:
             self.read_rest()
             raise _refusal(head, self._endpoint)
--- a/src/jujubeslip/forwarding/_grants.py
+++ b/src/jujubeslip/forwarding/_grants.py
@@ -14,7 +14,7 @@
 from jujubeslip.forwarding._account_limits import AccountLimits
 from jujubeslip.forwarding._admissions import AdmissionAnswer, Admissions
 from jujubeslip.forwarding._models import Attempts, CapacityRequest, ForwardContext
-from jujubeslip.forwarding._pressure import MIN_WAIT_SECONDS, Pressures
+from jujubeslip.forwarding._pressure import MINIMUM_WAIT_SECONDS, Pressures
 from jujubeslip.forwarding._reservations import Reservations
 from jujubeslip.forwarding._sender import EndpointSender
 from jujubeslip.kernel import Deadline
@@ -23,7 +23,7 @@
 logger = logging.getLogger(__name__)
 
 # A request with less time left than this can't be answered completely, in seconds.
-MIN_RUN_SECONDS = 1.5
+MINIMUM_RUN_SECONDS = 1.5
 # Time from a grant to the first event, in seconds. In nine of ten cases the prompt is
 # prefilled and its KV cache transferred within a quarter of a second.
 FIRST_EVENT_SECONDS = 0.25
@@ -101,7 +101,7 @@
         grant = self._find_capacity(capacity_request)
         if grant is not None and attempts.granted_ms is None:
             attempts.granted_ms = attempts.elapsed_ms
-        waited = context.request.arrived.overdue() if grant else MIN_WAIT_SECONDS
+        waited = context.request.arrived.overdue() if grant else MINIMUM_WAIT_SECONDS
         self._pressures.note_wait(context.service_name, waited)
         return grant
 
@@ -219,7 +219,7 @@
     until the client's timeout: its client won't retry again, or has a part of the
     answer.
     """
-    end = Deadline(context.end_by.timestamp - MIN_RUN_SECONDS)
+    end = Deadline(context.end_by.timestamp - MINIMUM_RUN_SECONDS)
     is_first_try = not context.is_client_retry and attempts.granted_ms is None
     if is_first_try and not attempts.may_have_run:
         start = Deadline(context.target_by.timestamp - FIRST_EVENT_SECONDS)
--- a/src/jujubeslip/forwarding/_meters.py
+++ b/src/jujubeslip/forwarding/_meters.py
@@ -15,7 +15,7 @@
 
 # Maximum number of accounts with their own metric labels. Labels are never removed, and
 # configurations may add new accounts for years.
-MAX_LABELED_ACCOUNTS = 200
+MAXIMUM_LABELED_ACCOUNTS = 200
 OTHER_ACCOUNTS = "other"
 LIMIT_OUTCOMES = ("client_limit", "limit_unknown")
 
@@ -96,7 +96,7 @@
             explicit_bucket_boundaries_advisory=MILLISECOND_BUCKETS,
         )
 
-    def note_request(
+    def record_request(
         self, context: ForwardContext, attempts: Attempts, outcome: str
     ) -> None:
         """Record a request that has ended."""
@@ -123,7 +123,7 @@
 
     def _account_label(self, name: str) -> str:
         """Return an account's name, or a common label beyond the maximum number."""
-        if len(self._labeled_accounts) < MAX_LABELED_ACCOUNTS:
+        if len(self._labeled_accounts) < MAXIMUM_LABELED_ACCOUNTS:
             self._labeled_accounts.add(name)
         return name if name in self._labeled_accounts else OTHER_ACCOUNTS
 
--- a/src/jujubeslip/forwarding/_prefill.py
+++ b/src/jujubeslip/forwarding/_prefill.py
@@ -79,11 +79,11 @@
         context: ForwardContext,
         attempts: Attempts,
         prefill_engine: Endpoint | None = None,
-        read_seconds: float = 0.0,
+        prompt_seconds: float = 0.0,
     ) -> PromptLocation:
         """Have an engine prefill the prompt; return its location or NOT_PREFILLED.
 
-        If `prefill_engine` is given, it is asked and expected to need `read_seconds`.
+        If `prefill_engine` is given, it is asked and expected to need `prompt_seconds`.
         Otherwise this host chooses an engine, and a second one if the first fails. A
         decode engine can prefill the prompt itself, but all its other streams stall
         meanwhile.
@@ -92,7 +92,7 @@
             return NOT_PREFILLED
         if prefill_engine is not None:
             return self._prefill_at_granted(
-                context, attempts, prefill_engine, read_seconds
+                context, attempts, prefill_engine, prompt_seconds
             )
         while self.may_ask(context, attempts):
             endpoint = self._choose(context)
@@ -133,19 +133,19 @@
         context: ForwardContext,
         attempts: Attempts,
         prefill_engine: Endpoint,
-        read_seconds: float,
+        prompt_seconds: float,
     ) -> PromptLocation:
         """Have the granted engine prefill the prompt; ask again if its answer is cut.
 
         An engine whose answer was cut has prefilled the prompt and still has it.
         """
         location = self._prefill_at(
-            context, attempts, prefill_engine, _prefill_deadline(read_seconds)
+            context, attempts, prefill_engine, _prefill_deadline(prompt_seconds)
         )
         was_cut = isinstance(attempts.prefill_error, AnswerCutError)
         if location == NOT_PREFILLED and was_cut and self.may_ask(context, attempts):
             return self._prefill_at(
-                context, attempts, prefill_engine, _prefill_deadline(read_seconds)
+                context, attempts, prefill_engine, _prefill_deadline(prompt_seconds)
             )
         return location
 
@@ -221,8 +221,8 @@
         attempts.note(endpoint.start_id, f"prompt not read, {error.error_id}")
 
 
-def _prefill_deadline(read_seconds: float) -> Deadline:
+def _prefill_deadline(prompt_seconds: float) -> Deadline:
     """Return the prefill deadline for an expected duration, 0 if that is unknown."""
-    if not read_seconds:
+    if not prompt_seconds:
         return Deadline.after(PREFILL_SECONDS)
-    return Deadline.after(max(MINIMUM_SECONDS, EXPECTED_TIME_FACTOR * read_seconds))
+    return Deadline.after(max(MINIMUM_SECONDS, EXPECTED_TIME_FACTOR * prompt_seconds))
--- a/src/jujubeslip/forwarding/_pressure.py
+++ b/src/jujubeslip/forwarding/_pressure.py
@@ -12,7 +12,7 @@
 # Period that a report covers, in seconds: long enough for a few requests of each host.
 WINDOW_SECONDS = 2.0
 # A request that got capacity sooner than this counts as not having waited, in seconds.
-MIN_WAIT_SECONDS = 0.15
+MINIMUM_WAIT_SECONDS = 0.15
 
 
 @dataclass
@@ -30,7 +30,7 @@
 
     def note_wait(self, service_name: str, seconds: float) -> None:
         """Record how long a request waited for capacity, whether it got any or not."""
-        if seconds >= MIN_WAIT_SECONDS:
+        if seconds >= MINIMUM_WAIT_SECONDS:
             with self._lock:
                 self._observations(service_name).waits.append(steady_seconds())
 
--- a/src/jujubeslip/forwarding/_service.py
+++ b/src/jujubeslip/forwarding/_service.py
@@ -166,7 +166,7 @@
             self._log(context, attempts, outcome)
 
     def _log(self, context: ForwardContext, attempts: Attempts, outcome: str) -> None:
-        self._meters.note_request(context, attempts, outcome)
+        self._meters.record_request(context, attempts, outcome)
         started = context.request.arrived
         logger.info(
             "request ended",
--- a/src/jujubeslip/homes/_endpoint_tracker.py
+++ b/src/jujubeslip/homes/_endpoint_tracker.py
@@ -23,20 +23,20 @@
 
 logger = logging.getLogger(__name__)
 
-STATUS_INTERVAL = 0.5
-IDLE_STATUS_INTERVAL = 1.0
-EVENTS_INTERVAL = 1.0
-STATUS_TIMEOUT = 1.0
+STATUS_INTERVAL_SECONDS = 0.5
+IDLE_STATUS_INTERVAL_SECONDS = 1.0
+EVENTS_INTERVAL_SECONDS = 1.0
+STATUS_TIMEOUT_SECONDS = 1.0
 # Younger requests than this, in milliseconds, are not checked: their entry host may not
 # have recorded them yet.
 SWEEP_AGE_MS = 1500
-SWEEP_INTERVAL = 1.0
-OWNER_TIMEOUT = 0.6
-CONNECT_TIMEOUT = 0.5
+SWEEP_INTERVAL_SECONDS = 1.0
+OWNER_TIMEOUT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.5
 # An owner that does not respond for this long, in seconds, is considered ended. If it
 # was only partitioned, its streams are resumed elsewhere.
 OWNER_ABSENCE_SECONDS = 30.0
-CANCEL_TIMEOUT = 1.0
+CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 class EndpointTracker:
@@ -80,15 +80,15 @@
         home = self._directory.home_of(self._pool.service_name, self._pool.locality)
         is_home = home.host_id == self._directory.own.host_id
         if is_home and self._record.in_use:
-            return STATUS_INTERVAL
-        return IDLE_STATUS_INTERVAL
+            return STATUS_INTERVAL_SECONDS
+        return IDLE_STATUS_INTERVAL_SECONDS
 
     def poll(self, process: Process) -> None:
         """Poll once; without an answer, the endpoint's last status expires."""
         requested_at = steady_seconds()
         monitor = self._monitor_of_address()
         try:
-            status = monitor.status(Deadline.after(STATUS_TIMEOUT))
+            status = monitor.status(Deadline.after(STATUS_TIMEOUT_SECONDS))
         except EndpointError as error:
             logger.debug("endpoint status request failed", extra={"error": str(error)})
             return
@@ -113,9 +113,9 @@
     def _read_events(self, monitor: EndpointMonitor, status: EndpointStatus) -> None:
         if status.role != EndpointRole.PREFILL or not self._events_due.expired:
             return
-        self._events_due = Deadline.after(EVENTS_INTERVAL)
+        self._events_due = Deadline.after(EVENTS_INTERVAL_SECONDS)
         try:
-            deadline = Deadline.after(STATUS_TIMEOUT)
+            deadline = Deadline.after(STATUS_TIMEOUT_SECONDS)
             events, self._next_event = monitor.events(self._next_event, deadline)
         except EndpointError:
             return
@@ -133,7 +133,7 @@
         running = self._sweep_task is not None and not self._sweep_task.done()
         if not self._sweeps or running or not self._next_sweep.expired:
             return
-        self._next_sweep = Deadline.after(SWEEP_INTERVAL)
+        self._next_sweep = Deadline.after(SWEEP_INTERVAL_SECONDS)
         self._sweep_task = process.start_task(self._sweep, adapter, status)
 
     def _sweep(self, adapter: EngineAdapter, status: EndpointStatus) -> None:
@@ -168,7 +168,7 @@
         try:
             closed: list[HeldRequest] = self._clients.get(address).call(
                 lambda client: client.closed_requests(incarnation, requests),
-                OWNER_TIMEOUT,
+                OWNER_TIMEOUT_SECONDS,
             )
         except (PeerUnavailableError, PeerRefusal):
             # A suspected owner is not enough: its callers may still be connected.
@@ -193,7 +193,9 @@
         logger.info("cancelling orphaned request", extra=extra)
         try:
             adapter.cancel(
-                request.request_id, request.attempt, Deadline.after(CANCEL_TIMEOUT)
+                request.request_id,
+                request.attempt,
+                Deadline.after(CANCEL_TIMEOUT_SECONDS),
             )
         except EndpointError as error:
             # The request is still in the engine's status; the next sweep tries again.
@@ -206,7 +208,7 @@
 def _refuses_connections(address: str) -> bool:
     host, port = address.rsplit(":", 1)
     try:
-        socket.create_connection((host, int(port)), CONNECT_TIMEOUT).close()
+        socket.create_connection((host, int(port)), CONNECT_TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/src/jujubeslip/homes/_pool.py
+++ b/src/jujubeslip/homes/_pool.py
@@ -11,7 +11,7 @@
 from jujubeslip.homes._forecast import Forecast
 from jujubeslip.homes._progress import apply_progress
 from jujubeslip.homes._records import (
-    ANNOUNCEMENT_LIFETIME,
+    ANNOUNCEMENT_LIFETIME_SECONDS,
     EndpointRecord,
     GrantRecord,
     Waiter,
@@ -34,7 +34,7 @@
 POLL_SECONDS = 0.25
 # A waiting request whose entry host stopped polling is dropped after this time, in
 # seconds.
-POLLING_LIFETIME = 2.0
+POLLING_LIFETIME_SECONDS = 2.0
 # A grant that reports no progress and is not held by its endpoints is dropped after
 # this time, in seconds.
 GRANT_SILENCE_SECONDS = 3.0
@@ -75,7 +75,7 @@
             if known.announcement.leaving:
                 announcement.leaving = True
             known.announcement = announcement
-            known.announced_until = Deadline.after(ANNOUNCEMENT_LIFETIME)
+            known.announced_until = Deadline.after(ANNOUNCEMENT_LIFETIME_SECONDS)
             if announcement.leaving:
                 self.scheduler.endpoints_changed()
             return known
@@ -166,7 +166,7 @@
                 waiter = Waiter(request)
                 self._waiter_by_key[key] = waiter
                 self._admit(waiter)
-            waiter.polled_until = Deadline.after(POLLING_LIFETIME)
+            waiter.polled_until = Deadline.after(POLLING_LIFETIME_SECONDS)
             return waiter
 
     def _admit(self, waiter: Waiter) -> None:
--- a/src/jujubeslip/homes/_records.py
+++ b/src/jujubeslip/homes/_records.py
@@ -20,8 +20,8 @@
 URGENT = 0
 # How long a status is valid, in seconds. A leaving endpoint must get no new requests
 # after 3 s even if its home is not notified, so the lifetime is shorter than that.
-STATUS_LIFETIME = 2.0
-ANNOUNCEMENT_LIFETIME = 5.0
+STATUS_LIFETIME_SECONDS = 2.0
+ANNOUNCEMENT_LIFETIME_SECONDS = 5.0
 # How long a failed endpoint is skipped, in seconds; doubled on each further failure.
 EJECTION_SECONDS = 0.5
 MAXIMUM_EJECTION_SECONDS = 10.0
@@ -35,7 +35,7 @@
 
     def __init__(self, announcement: Announcement) -> None:
         self.announcement = announcement
-        self.announced_until = Deadline.after(ANNOUNCEMENT_LIFETIME)
+        self.announced_until = Deadline.after(ANNOUNCEMENT_LIFETIME_SECONDS)
         self.usable_until = Deadline.after(0)
         self.status: EndpointStatus | None = None
         self.status_requested_at = 0.0
@@ -129,7 +129,7 @@
         if status.leaving or status.incarnation != self.announcement.incarnation:
             self.usable_until = Deadline(requested_at)
             return
-        self.usable_until = Deadline(requested_at + STATUS_LIFETIME)
+        self.usable_until = Deadline(requested_at + STATUS_LIFETIME_SECONDS)
 
     def record_failure(self) -> None:
         """Skip the endpoint for some time; longer after each consecutive failure."""
--- a/src/jujubeslip/homes/_scheduler.py
+++ b/src/jujubeslip/homes/_scheduler.py
@@ -26,7 +26,7 @@
 # grows with the pool.
 SAMPLE_SIZE = 16
 # How long a list of usable endpoints is cached, in seconds, unless one of them changes.
-CANDIDATES_LIFETIME = 0.05
+CANDIDATES_LIFETIME_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
@@ -98,7 +98,7 @@
         ]
         # Shuffled, so that any slice of the list is a random sample.
         random.shuffle(records)
-        self._usable_by_role[role] = (now + CANDIDATES_LIFETIME, records)
+        self._usable_by_role[role] = (now + CANDIDATES_LIFETIME_SECONDS, records)
         return records
 
     def endpoints_changed(self) -> None:
--- a/src/jujubeslip/http_server/_server.py
+++ b/src/jujubeslip/http_server/_server.py
@@ -17,10 +17,10 @@
 
 logger = logging.getLogger(__name__)
 
-SCAN_INTERVAL = 1.0
+SCAN_INTERVAL_SECONDS = 1.0
 MAXIMUM_HEADER_BYTES = 32_768
 FLUSH_SECONDS = 10.0
-FLUSH_POLL_INTERVAL = 0.02
+FLUSH_POLL_INTERVAL_SECONDS = 0.02
 # No request is being served and no byte is unsent.
 FLUSHED = (0, 0)
 MAXIMUM_BACKLOG = 1024
@@ -102,7 +102,7 @@
     def start(self, process: Process) -> None:
         """Serve in one task, and close slow connections in another."""
         process.start_task(self._server.run)
-        process.repeat(SCAN_INTERVAL, self._close_slow_senders)
+        process.repeat(SCAN_INTERVAL_SECONDS, self._close_slow_senders)
 
     def announce_close(self) -> None:
         """Close each connection after its next answer, which announces it."""
@@ -139,7 +139,7 @@
         limit = end.earlier_of(Deadline.after(FLUSH_SECONDS))
         unfinished = self._unfinished()
         while unfinished != FLUSHED and not limit.expired:
-            time.sleep(FLUSH_POLL_INTERVAL)
+            time.sleep(FLUSH_POLL_INTERVAL_SECONDS)
             latest = self._unfinished()
             if latest < unfinished:
                 limit = end.earlier_of(Deadline.after(FLUSH_SECONDS))
--- a/src/jujubeslip/kernel/_lifecycle.py
+++ b/src/jujubeslip/kernel/_lifecycle.py
@@ -20,7 +20,7 @@
 # Exit status of a process that needs a restart: EX_TEMPFAIL of sysexits.h.
 RESTART_STATUS = 75
 # Interval at which the main thread checks for signals, in seconds.
-SIGNAL_CHECK_INTERVAL = 0.1
+SIGNAL_CHECK_INTERVAL_SECONDS = 0.1
 # Delay of such a check from which the process is logged as held up, in seconds.
 HELD_UP_DELAY_SECONDS = 0.25
 
@@ -157,7 +157,7 @@
     def _log_delay(self, before: _SignalCheck) -> _SignalCheck:
         """Log a late check for signals, since its cause also delays answers."""
         check = _SignalCheck.now()
-        late = check.at - before.at - SIGNAL_CHECK_INTERVAL
+        late = check.at - before.at - SIGNAL_CHECK_INTERVAL_SECONDS
         if late > HELD_UP_DELAY_SECONDS:
             extra = {
                 "process_name": self.name,
@@ -174,7 +174,9 @@
         """
         self.catch_signals()
         check = _SignalCheck.now()
-        while not (self._signalled or self.stopping.wait(SIGNAL_CHECK_INTERVAL)):
+        while not (
+            self._signalled or self.stopping.wait(SIGNAL_CHECK_INTERVAL_SECONDS)
+        ):
             check = self._log_delay(check)
             if self._reload_wanted:
                 self._reload()
--- a/src/jujubeslip/membership/_gossip.py
+++ b/src/jujubeslip/membership/_gossip.py
@@ -17,7 +17,7 @@
 
 TICK_SECONDS = 0.25
 # Seconds between probes of each ring's successor, varied by JITTER.
-PROBE_INTERVAL = 1.25
+PROBE_INTERVAL_SECONDS = 1.25
 JITTER = 0.2
 # Minimum seconds between attempts to contact a lost host. With few lost hosts the time
 # is longer: all hosts together try each one about RECONTACT_RATE times a second.
@@ -103,12 +103,12 @@
     def _probe_ring(self, ring: str) -> None:
         stopped = self._process.stopped
         # A random first wait spreads the probes of the rings over the interval.
-        wait = PROBE_INTERVAL * self._random.random()
+        wait = PROBE_INTERVAL_SECONDS * self._random.random()
         while not stopped.wait(wait):
             neighbour = self._directory.neighbours().get(ring)
             if neighbour is not None:
                 self._probe(neighbour.host_id)
-            wait = PROBE_INTERVAL * self._random.uniform(1 - JITTER, 1 + JITTER)
+            wait = PROBE_INTERVAL_SECONDS * self._random.uniform(1 - JITTER, 1 + JITTER)
 
     def _probe(self, host_id: str) -> None:
         reply = self._prober.probe(host_id, self._process)
--- a/src/jujubeslip/membership/_host_record.py
+++ b/src/jujubeslip/membership/_host_record.py
@@ -9,13 +9,13 @@
 from jujubeslip.peers import HostState, HostStatus
 
 # Seconds in which a suspected host must refute the suspicion, or it counts as dead.
-REFUTE_WITHIN = 1.5
+REFUTE_WITHIN_SECONDS = 1.5
 # Seconds for which a host is skipped after this host could not reach it.
 UNREACHABLE_SECONDS = 2.0
 # Seconds after an answer in which another host's suspicion is verified by a probe and
 # not adopted. A true suspicion comes later than this after the last answer, since the
 # failed probe and the helpers' probes before it take longer.
-TRUSTED_AFTER_ANSWER = 0.7
+TRUSTED_AFTER_ANSWER_SECONDS = 0.7
 # Seconds for which a dead host's record is kept, so that old gossip can't revive it.
 RETENTION_SECONDS = 600.0
 
@@ -63,7 +63,7 @@
 
     def suspect(self) -> None:
         """Suspect the host, and give it the full time to refute that."""
-        self.dead_at = Deadline.after(REFUTE_WITHIN)
+        self.dead_at = Deadline.after(REFUTE_WITHIN_SECONDS)
 
     def mark_dead(self) -> None:
         """Mark the host as dead until a newer state replaces this record."""
--- a/src/jujubeslip/membership/_host_table.py
+++ b/src/jujubeslip/membership/_host_table.py
@@ -8,7 +8,7 @@
 from jujubeslip.kernel import Deadline
 from jujubeslip.membership._host_record import (
     RETENTION_SECONDS,
-    TRUSTED_AFTER_ANSWER,
+    TRUSTED_AFTER_ANSWER_SECONDS,
     UNREACHABLE_SECONDS,
     HostRecord,
     digest_of,
@@ -133,7 +133,7 @@
             None if reached else Deadline.after(UNREACHABLE_SECONDS)
         )
         if reached:
-            record.trusted_until = Deadline.after(TRUSTED_AFTER_ANSWER)
+            record.trusted_until = Deadline.after(TRUSTED_AFTER_ANSWER_SECONDS)
         elif not record.dead:
             self.hosts_to_verify.add(host_id)
 
--- a/src/jujubeslip/membership/_lease.py
+++ b/src/jujubeslip/membership/_lease.py
@@ -9,13 +9,13 @@
 LEASE_SECONDS = 2.0
 # Seconds without any answer, on a host that is not frozen, until all others count as
 # dead.
-ISOLATED_AFTER = 3.0
+ISOLATED_AFTER_SECONDS = 3.0
 # Seconds between two ticks after which the host counts as having been frozen.
-FROZEN_AFTER = 1.5
+FROZEN_AFTER_SECONDS = 1.5
 # Seconds after which the list of a peer whose own view is invalid is accepted. If all
 # peers have missed updates, as after a stall of all of them, this host's previous view
 # is restored then, and probes correct it.
-ACCEPT_INCOMPLETE_AFTER = 1.0
+ACCEPT_INCOMPLETE_AFTER_SECONDS = 1.0
 
 
 class ViewLease:
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         self.view_expired = True
         self._valid_until = Deadline.after(0)
-        self._frozen_at = Deadline.after(FROZEN_AFTER)
-        self._isolated_at = Deadline.after(ISOLATED_AFTER)
+        self._frozen_at = Deadline.after(FROZEN_AFTER_SECONDS)
+        self._isolated_at = Deadline.after(ISOLATED_AFTER_SECONDS)
         self._accept_incomplete_at = Deadline.after(0)
 
     @property
@@ -53,19 +53,19 @@
     def tick(self) -> None:
         """Detect a freeze or a silence; called several times a second."""
         if self._frozen_at.expired:
-            self._isolated_at = Deadline.after(ISOLATED_AFTER)
+            self._isolated_at = Deadline.after(ISOLATED_AFTER_SECONDS)
             self._expire_view()
         elif self._valid_until.expired and not self.view_expired:
             self._expire_view()
-        self._frozen_at = Deadline.after(FROZEN_AFTER)
+        self._frozen_at = Deadline.after(FROZEN_AFTER_SECONDS)
 
     def _expire_view(self) -> None:
         self.view_expired = True
-        self._accept_incomplete_at = Deadline.after(ACCEPT_INCOMPLETE_AFTER)
+        self._accept_incomplete_at = Deadline.after(ACCEPT_INCOMPLETE_AFTER_SECONDS)
 
     def renew(self, asked_at: float) -> None:
         """Renew the lease by an answer to a call that was sent at this time."""
-        self._isolated_at = Deadline(asked_at + ISOLATED_AFTER)
+        self._isolated_at = Deadline(asked_at + ISOLATED_AFTER_SECONDS)
         if self.valid:
             self._extend(asked_at)
 
@@ -77,7 +77,7 @@
         if not complete and not self._accept_incomplete_at.expired:
             return False
         self.view_expired = False
-        self._isolated_at = Deadline(asked_at + ISOLATED_AFTER)
+        self._isolated_at = Deadline(asked_at + ISOLATED_AFTER_SECONDS)
         self._extend(asked_at)
         return True
 
--- a/src/jujubeslip/membership/_prober.py
+++ b/src/jujubeslip/membership/_prober.py
@@ -15,10 +15,10 @@
 logger = logging.getLogger(__name__)
 
 # Seconds for one attempt; a silent pooled connection and a fresh one take two.
-PROBE_TIMEOUT = 0.4
-PAGE_TIMEOUT = 1.0
+PROBE_TIMEOUT_SECONDS = 0.4
+PAGE_TIMEOUT_SECONDS = 1.0
 HELPER_COUNT = 3
-HELPER_TIMEOUT = 1.0
+HELPER_TIMEOUT_SECONDS = 1.0
 # Bounds the pages that are read of a full list, whatever a peer sends.
 MAXIMUM_PAGES = 1000
 
@@ -55,7 +55,7 @@
         message = self.message_for(host_id)
         try:
             reply: GossipMessage = self._clients.get(address).call(
-                lambda peer: peer.gossip(message), PROBE_TIMEOUT
+                lambda peer: peer.gossip(message), PROBE_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal) as error:
             logger.debug("probe failed", extra={"peer": address, "error": str(error)})
@@ -90,7 +90,7 @@
             process.start_task(self._ask_helper, helper, host_id, reached)
             for helper in self._directory.helpers_for(host_id, HELPER_COUNT)
         }
-        deadline = Deadline.after(HELPER_TIMEOUT)
+        deadline = Deadline.after(HELPER_TIMEOUT_SECONDS)
         while pending and not reached.is_set() and not deadline.expired:
             _, pending = wait(pending, deadline.remaining(), FIRST_COMPLETED)
         return reached.is_set()
@@ -100,7 +100,7 @@
     ) -> None:
         try:
             answered = self._clients.get(helper.address).call(
-                lambda peer: peer.reaches(host_id), HELPER_TIMEOUT
+                lambda peer: peer.reaches(host_id), HELPER_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal):
             return
@@ -129,7 +129,7 @@
     def _read_page(self, address: str, after: str) -> GossipMessage | None:
         try:
             page: GossipMessage = self._clients.get(address).call(
-                lambda peer: peer.hosts_after(after), PAGE_TIMEOUT
+                lambda peer: peer.hosts_after(after), PAGE_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal):
             return None
--- a/src/jujubeslip/notices/_registry.py
+++ b/src/jujubeslip/notices/_registry.py
@@ -33,7 +33,7 @@
 
     # Notices in answers
 
-    def note_answer(
+    def record_answer(
         self, endpoint: Endpoint, head: EndpointHead, sent_at: float
     ) -> None:
         """Record the notice in the headers of an answer to a request.
--- a/src/jujubeslip/peers/_client.py
+++ b/src/jujubeslip/peers/_client.py
@@ -25,9 +25,9 @@
 # Seconds for one connection attempt before another one starts. The SYN packet is lost
 # if the peer's machine is still starting or its accept queue is full, and the operating
 # system resends it only after a second.
-CONNECT_TIMEOUT = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 # Minimum timeout in seconds for connecting and for a call once connected.
-MINIMUM_TIMEOUT = 0.05
+MINIMUM_TIMEOUT_SECONDS = 0.05
 
 
 class _Connection:
@@ -44,7 +44,7 @@
         self.client: Any = client_type(protocol)
         try:
             self._open(deadline)
-            self.set_timeout(max(MINIMUM_TIMEOUT, deadline.remaining()))
+            self.set_timeout(max(MINIMUM_TIMEOUT_SECONDS, deadline.remaining()))
             self.client.hello(identity)
         except BaseException:
             self.close()
@@ -53,8 +53,8 @@
     def _open(self, deadline: Deadline) -> None:
         """Connect, with a new attempt whenever one times out before the deadline."""
         while True:
-            remaining = max(MINIMUM_TIMEOUT, deadline.remaining())
-            self.set_timeout(min(remaining, CONNECT_TIMEOUT))
+            remaining = max(MINIMUM_TIMEOUT_SECONDS, deadline.remaining())
+            self.set_timeout(min(remaining, CONNECT_TIMEOUT_SECONDS))
             try:
                 self._transport.open()
             except TTransport.TTransportException as error:
@@ -138,7 +138,7 @@
                 self._client_type, self.address, self._identity, timeout
             )
             return self._call_on(
-                fresh, operation, max(MINIMUM_TIMEOUT, deadline.remaining())
+                fresh, operation, max(MINIMUM_TIMEOUT_SECONDS, deadline.remaining())
             )
         except (TException, OSError, EOFError) as error:
             if isinstance(error, PeerRefusal | NotLeader):
--- a/src/jujubeslip/requests/_cancellation.py
+++ b/src/jujubeslip/requests/_cancellation.py
@@ -12,9 +12,9 @@
 
 logger = logging.getLogger(__name__)
 
-CANCEL_TIMEOUT = 1.0
-FIRST_PAUSE = 0.1
-MAXIMUM_PAUSE = 2.0
+CANCEL_TIMEOUT_SECONDS = 1.0
+INITIAL_PAUSE_SECONDS = 0.1
+MAXIMUM_PAUSE_SECONDS = 2.0
 # How long a cancel is retried, in seconds. After that, the memory sweep of the
 # endpoint's home frees what the engine still holds.
 GIVE_UP_AFTER = 20.0
@@ -58,16 +58,16 @@
         self._process.start_task(self._run, cancellation.address)
 
     def _run(self, address: str) -> None:
-        pause = FIRST_PAUSE
+        pause = INITIAL_PAUSE_SECONDS
         while not self._process.stopped.is_set():
             first = self._first_pending(address)
             if first is None:
                 return
             if self._send(first):
-                pause = FIRST_PAUSE
+                pause = INITIAL_PAUSE_SECONDS
                 continue
             self._process.stopped.wait(pause)
-            pause = min(MAXIMUM_PAUSE, pause * 2)
+            pause = min(MAXIMUM_PAUSE_SECONDS, pause * 2)
 
     def _first_pending(self, address: str) -> Cancellation | None:
         """Return the next cancel to send, or None if the engine's task is to end.
@@ -90,7 +90,7 @@
             adapter.cancel(
                 cancellation.request_id,
                 cancellation.attempt,
-                Deadline.after(CANCEL_TIMEOUT),
+                Deadline.after(CANCEL_TIMEOUT_SECONDS),
             )
         except EndpointError as error:
             extra = {"request_id": cancellation.request_id, "error": str(error)}
--- a/src/jujubeslip/requests/_key_replicator.py
+++ b/src/jujubeslip/requests/_key_replicator.py
@@ -14,8 +14,8 @@
 # How many hosts own a key. A claim needs a majority of them, so that one host may be
 # lost and two claims of the same key have at least one owner in common.
 KEY_OWNERS = 3
-SCAN_INTERVAL = 0.25
-COPY_TIMEOUT = 0.8
+SCAN_INTERVAL_SECONDS = 0.25
+COPY_TIMEOUT_SECONDS = 0.8
 
 
 class KeyReplicator:
@@ -36,7 +36,7 @@
 
     def start(self, process: Process) -> None:
         """Check periodically for changed entry hosts until the process stops."""
-        process.repeat(SCAN_INTERVAL, self.step)
+        process.repeat(SCAN_INTERVAL_SECONDS, self.step)
 
     def step(self) -> None:
         """Copy every key if the entry hosts have changed since the last full copy."""
@@ -67,9 +67,11 @@
         claim, outcome = record.claim, record.outcome
         try:
             if outcome is None:
-                client.call(lambda peer: peer.claim_key(claim), COPY_TIMEOUT)
+                client.call(lambda peer: peer.claim_key(claim), COPY_TIMEOUT_SECONDS)
             else:
-                client.call(lambda peer: peer.finish_key(claim, outcome), COPY_TIMEOUT)
+                client.call(
+                    lambda peer: peer.finish_key(claim, outcome), COPY_TIMEOUT_SECONDS
+                )
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"peer": key_owner.host_id, "error": str(error)}
             logger.info("idempotency key not copied to its owner", extra=extra)
--- a/src/jujubeslip/requests/_key_table.py
+++ b/src/jujubeslip/requests/_key_table.py
@@ -14,7 +14,7 @@
 from jujubeslip.peers import HostStatus, KeyClaim, KeyReply, KeyStatus
 
 # How long a record is kept for resends, in seconds.
-OUTCOME_LIFETIME = 600.0
+OUTCOME_LIFETIME_SECONDS = 600.0
 MAXIMUM_ENTRIES = 20_000
 
 
@@ -88,7 +88,7 @@
 
 
 def _new_expiry() -> Deadline:
-    return Deadline.after(OUTCOME_LIFETIME)
+    return Deadline.after(OUTCOME_LIFETIME_SECONDS)
 
 
 def _same_run(one: KeyClaim, other: KeyClaim) -> bool:
--- a/src/jujubeslip/requests/_keys.py
+++ b/src/jujubeslip/requests/_keys.py
@@ -21,11 +21,11 @@
 
 logger = logging.getLogger(__name__)
 
-KEY_OWNER_TIMEOUT = 0.8
-DURABLE_TIMEOUT = 3.0
+KEY_OWNER_TIMEOUT_SECONDS = 0.8
+DURABLE_TIMEOUT_SECONDS = 3.0
 # How long a record that control didn't acknowledge is resent, in seconds.
 RECORD_RETRY_SECONDS = 120.0
-RECORD_RETRY_PAUSE = 0.5
+RECORD_RETRY_PAUSE_SECONDS = 0.5
 RETRY_SECONDS = 1.0
 
 
@@ -157,7 +157,7 @@
         if self._is_own(key_owner):
             return self._key_table.claim(claim)
         reply: KeyReply = self._clients.get(key_owner.address).call(
-            lambda peer: peer.claim_key(claim), KEY_OWNER_TIMEOUT
+            lambda peer: peer.claim_key(claim), KEY_OWNER_TIMEOUT_SECONDS
         )
         return reply
 
@@ -166,7 +166,7 @@
             self._key_table.finish(claim, outcome)
             return
         self._clients.get(key_owner.address).call(
-            lambda peer: peer.finish_key(claim, outcome), KEY_OWNER_TIMEOUT
+            lambda peer: peer.finish_key(claim, outcome), KEY_OWNER_TIMEOUT_SECONDS
         )
 
     def _abandon_at(self, key_owner: HostState, claim: KeyClaim) -> None:
@@ -175,7 +175,7 @@
             return
         try:
             self._clients.get(key_owner.address).call(
-                lambda peer: peer.abandon_key(claim), KEY_OWNER_TIMEOUT
+                lambda peer: peer.abandon_key(claim), KEY_OWNER_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal):
             return
@@ -195,7 +195,9 @@
     def claim(self, claim: KeyClaim) -> KeyReply:
         """Claim the key durably, or refuse with `ran` NO."""
         try:
-            return self._control.claim_key(claim, Deadline.after(DURABLE_TIMEOUT))
+            return self._control.claim_key(
+                claim, Deadline.after(DURABLE_TIMEOUT_SECONDS)
+            )
         except (PeerUnavailableError, PeerRefusal) as error:
             # The claim may have been recorded nevertheless, and would block the key.
             self.abandon(claim)
@@ -213,7 +215,7 @@
         """
 
         def record() -> None:
-            deadline = Deadline.after(DURABLE_TIMEOUT)
+            deadline = Deadline.after(DURABLE_TIMEOUT_SECONDS)
             self._control.finish_key(claim, outcome, deadline)
 
         if not _try(record):
@@ -227,14 +229,14 @@
         """
 
         def free() -> None:
-            self._control.abandon_key(claim, Deadline.after(DURABLE_TIMEOUT))
+            self._control.abandon_key(claim, Deadline.after(DURABLE_TIMEOUT_SECONDS))
 
         self._process.start_task(self._retry, free)
 
     def _retry(self, operation: Callable[[], None]) -> None:
         until = Deadline.after(RECORD_RETRY_SECONDS)
         while not _try(operation) and not until.expired:
-            if self._process.stopped.wait(RECORD_RETRY_PAUSE):
+            if self._process.stopped.wait(RECORD_RETRY_PAUSE_SECONDS):
                 return
 
 
--- a/src/jujubeslip/requests/_model_attempt.py
+++ b/src/jujubeslip/requests/_model_attempt.py
@@ -22,7 +22,7 @@
 from jujubeslip.telemetry import Meters, current_traceparent, tracer
 
 # A stream that is silent for this long, in seconds, is resumed at another endpoint.
-MINIMUM_SILENCE = 2.0
+MINIMUM_SILENCE_SECONDS = 2.0
 SILENCE_IN_TOKEN_GAPS = 4
 KV_GONE = "kv_gone"
 TRANSFER_FAILED = "transfer_failed"
@@ -222,7 +222,7 @@
             self._progress.tokens,
             self._context.request.max_tokens,
             self._context.end_by,
-            max(MINIMUM_SILENCE, SILENCE_IN_TOKEN_GAPS * gap),
+            max(MINIMUM_SILENCE_SECONDS, SILENCE_IN_TOKEN_GAPS * gap),
             current_traceparent(),
         )
         try:
--- a/src/jujubeslip/requests/_retries.py
+++ b/src/jujubeslip/requests/_retries.py
@@ -16,8 +16,8 @@
 
 # The minimum time before the deadline at which another attempt is started, in seconds.
 MINIMUM_RETRY_SECONDS = 0.1
-FIRST_BACKOFF = 0.05
-MAXIMUM_BACKOFF = 0.4
+INITIAL_BACKOFF_SECONDS = 0.05
+MAXIMUM_BACKOFF_SECONDS = 0.4
 
 
 class RetryPolicy:
@@ -70,7 +70,9 @@
         Without jitter, requests that failed together, for example when an engine dies,
         would all be retried at the same moment.
         """
-        longest = min(MAXIMUM_BACKOFF, FIRST_BACKOFF * 2 ** (attempt - 1))
+        longest = min(
+            MAXIMUM_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2 ** (attempt - 1)
+        )
         seconds = self._random.uniform(longest / 2, longest)
         time.sleep(min(seconds, context.end_by.remaining()))
 
--- a/src/jujubeslip/requests/_service.py
+++ b/src/jujubeslip/requests/_service.py
@@ -33,7 +33,7 @@
 
 logger = logging.getLogger(__name__)
 
-JOIN_POLL_INTERVAL = 0.1
+JOIN_POLL_INTERVAL_SECONDS = 0.1
 MAXIMUM_OUTCOME_BYTES = 1_000_000
 
 AnswerPart = str | PlainServiceAnswer
@@ -169,7 +169,7 @@
                 raise _outcome_unknown("The entry host that ran it died.")
             if context.wait_until.expired:
                 raise _still_running(context.request)
-            time.sleep(JOIN_POLL_INTERVAL)
+            time.sleep(JOIN_POLL_INTERVAL_SECONDS)
 
     def _is_dead(self, owner: str) -> bool:
         host_id, _, incarnation = owner.rpartition("/")
--- a/src/jujubeslip/routing/_client_limits.py
+++ b/src/jujubeslip/routing/_client_limits.py
@@ -19,7 +19,7 @@
 SPIKE_FACTOR = 1.5
 SPIKE_SHARE = 0.1
 # How long a share is valid without a new reply of the limit's manager, in seconds.
-SHARE_LIFETIME = 3.0
+SHARE_LIFETIME_SECONDS = 3.0
 # Accounts that were not used for this long are not reported, in seconds.
 IDLE_SECONDS = 5.0
 
@@ -135,7 +135,7 @@
 
     def apply_shares(self, shares: Iterable[LimitShare]) -> None:
         """Store the shares that a manager returned for a report."""
-        until = self._clock() + SHARE_LIFETIME
+        until = self._clock() + SHARE_LIFETIME_SECONDS
         with self._lock:
             for share in shares:
                 meter = self._meter_by_key.get((share.client, share.kind))
--- a/src/jujubeslip/routing/_home_router.py
+++ b/src/jujubeslip/routing/_home_router.py
@@ -37,14 +37,14 @@
 
 # A home replies within its poll time; after this timeout, in seconds, the home is
 # considered unavailable.
-RESERVE_TIMEOUT = 0.8
-REPORT_TIMEOUT = 1.0
+RESERVE_TIMEOUT_SECONDS = 0.8
+REPORT_TIMEOUT_SECONDS = 1.0
 REPORT_TRIES = 3
-ANNOUNCE_TIMEOUT = 0.8
-FORECAST_LIFETIME = 2.0
+ANNOUNCE_TIMEOUT_SECONDS = 0.8
+FORECAST_LIFETIME_SECONDS = 2.0
 RETRY_SECONDS = 1.0
 # The pause before homes that did not reply are called again, in seconds.
-UNAVAILABLE_PAUSE = 0.05
+UNAVAILABLE_PAUSE_SECONDS = 0.05
 
 
 class HomeRouter:
@@ -139,7 +139,7 @@
             except (PeerUnavailableError, PeerRefusal) as error:
                 extra = {"home": home.host_id, "error": str(error)}
                 logger.info("reserve request to home failed", extra=extra)
-        time.sleep(UNAVAILABLE_PAUSE)
+        time.sleep(UNAVAILABLE_PAUSE_SECONDS)
         return ReserveReply(ReserveStatus.PENDING, None, "", 0, 0, 0.0), homes[0]
 
     def _withdraw(
@@ -151,7 +151,7 @@
             return
         try:
             client = self._clients.get(home.address)
-            client.call(lambda peer: peer.withdraw(message), REPORT_TIMEOUT)
+            client.call(lambda peer: peer.withdraw(message), REPORT_TIMEOUT_SECONDS)
         except (PeerUnavailableError, PeerRefusal) as error:
             # The home drops the request itself once it is no longer polled.
             logger.info(
@@ -163,7 +163,7 @@
             return self._homes.reserve(message)
         client = self._clients.get(home.address)
         reply: ReserveReply = client.call(
-            lambda peer: peer.reserve(message), RESERVE_TIMEOUT
+            lambda peer: peer.reserve(message), RESERVE_TIMEOUT_SECONDS
         )
         return reply
 
@@ -171,7 +171,7 @@
         if reply.queue_wait_ms is None:
             return
         forecast = Forecast(reply.queue_wait_ms, reply.load or 0.0)
-        until = Deadline.after(FORECAST_LIFETIME)
+        until = Deadline.after(FORECAST_LIFETIME_SECONDS)
         self._forecast_by_service[service_name] = (until, forecast)
 
     def forecast(self, service_name: str) -> Forecast:
@@ -192,7 +192,9 @@
         client = self._clients.get(reservation.home_address)
         for _ in range(REPORT_TRIES):
             try:
-                client.call(lambda peer: peer.progress(progress), REPORT_TIMEOUT)
+                client.call(
+                    lambda peer: peer.progress(progress), REPORT_TIMEOUT_SECONDS
+                )
                 return
             except (PeerUnavailableError, PeerRefusal) as error:
                 logger.info(
@@ -222,7 +224,7 @@
             self._homes.announce(announcement)
             return
         client = self._clients.get(home.address)
-        client.call(lambda peer: peer.announce(announcement), ANNOUNCE_TIMEOUT)
+        client.call(lambda peer: peer.announce(announcement), ANNOUNCE_TIMEOUT_SECONDS)
 
     def _announce_to_standby(
         self, standby: HostState, announcement: Announcement
--- a/src/jujubeslip/routing/_limit_reports.py
+++ b/src/jujubeslip/routing/_limit_reports.py
@@ -13,7 +13,7 @@
 
 logger = logging.getLogger(__name__)
 
-REPORT_TIMEOUT = 0.5
+REPORT_TIMEOUT_SECONDS = 0.5
 # The minimum interval between two reports at any demand, in seconds.
 PAUSE_SECONDS = 0.05
 
@@ -68,7 +68,7 @@
             return self.answer(own_id, usages)
         try:
             shares: list[LimitShare] = self._clients.get(manager.address).call(
-                lambda peer: peer.report_usage(own_id, usages), REPORT_TIMEOUT
+                lambda peer: peer.report_usage(own_id, usages), REPORT_TIMEOUT_SECONDS
             )
         except (PeerUnavailableError, PeerRefusal) as error:
             extra = {"keeper": manager.host_id, "error": str(error)}
--- a/src/jujubeslip/routing/_local_router.py
+++ b/src/jujubeslip/routing/_local_router.py
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger(__name__)
 
-ANNOUNCE_TIMEOUT = 0.8
+ANNOUNCE_TIMEOUT_SECONDS = 0.8
 
 
 class LocalRouter:
@@ -89,7 +89,9 @@
     def _forward(self, host: HostState, announcement: Announcement) -> None:
         client = self._clients.get(host.address)
         try:
-            client.call(lambda peer: peer.announce(announcement), ANNOUNCE_TIMEOUT)
+            client.call(
+                lambda peer: peer.announce(announcement), ANNOUNCE_TIMEOUT_SECONDS
+            )
         except (PeerUnavailableError, PeerRefusal) as error:
             logger.info(
                 "forwarding announcement to host failed", extra={"error": str(error)}
--- a/src/jujubeslip/routing/_quota_manager.py
+++ b/src/jujubeslip/routing/_quota_manager.py
@@ -14,7 +14,7 @@
 # to refuse all their requests until its next report.
 EVEN_SHARE = 0.1
 # How long a host's report is valid, in seconds.
-REPORT_LIFETIME = 3.0
+REPORT_LIFETIME_SECONDS = 3.0
 
 
 class QuotaManager:
@@ -40,7 +40,7 @@
             for host, (until, demand) in self._reports.get(key, {}).items()
             if until > now
         }
-        report_by_host[host_id] = (now + REPORT_LIFETIME, usage.demand)
+        report_by_host[host_id] = (now + REPORT_LIFETIME_SECONDS, usage.demand)
         self._reports[key] = report_by_host
         total = sum(demand for _, demand in report_by_host.values())
         if total < SHARING_THRESHOLD * usage.limit:
--- a/tests/admission/test_engine_pool.py
+++ b/tests/admission/test_engine_pool.py
@@ -456,7 +456,7 @@
         pool = pool_of("ended", "other")
         pool.take_report("other", engine_report(RunningAnswer(9_000, 60, "old")))
         assert self.granted_engine(pool, "r-1") == "ended"
-        pool.note_lost("ended")
+        pool.note_unreachable("ended")
         assert self.granted_engine(pool, "r-2") == "other"
         self.announce(pool, "ended", "other", prefill_engines=("reader",))
         assert self.granted_engine(pool, "r-3") == "other"
@@ -472,14 +472,14 @@
         """
         pool = pool_of("ended", "other")
         pool.take_report("other", engine_report(RunningAnswer(9_000, 60, "old")))
-        pool.note_lost("ended")
+        pool.note_unreachable("ended")
         for number in range(3):
             pool.take_report("ended", engine_report())
             assert self.granted_engine(pool, f"r-{number}") == "other"
 
     def test_prefills_no_prompt_until_it_is_back(self) -> None:
         pool = pool_of("engine", prefill_engines=("ended", "other"))
-        pool.note_lost("ended")
+        pool.note_unreachable("ended")
         pool.take_report("ended", PREFILL_REPORT)
         for number in range(4):
             decision = ask_now(pool, f"r-{number}")
@@ -491,7 +491,7 @@
 
     def test_leaves_the_pool_unusable_if_it_is_the_only_one(self) -> None:
         pool = pool_of("ended")
-        pool.note_lost("ended")
+        pool.note_unreachable("ended")
         assert not pool.usable
 
 
@@ -525,8 +525,8 @@
         assert pool.reported_within("engine", 1.0)
         assert pool.reported_within("reader", 1.0)
         assert not pool.reported_within("unknown", 1.0)
-        pool.note_lost("engine")
-        pool.note_lost("reader")
+        pool.note_unreachable("engine")
+        pool.note_unreachable("reader")
         assert not pool.reported_within("engine", 1.0)
         assert not pool.reported_within("reader", 1.0)
 
--- a/tests/admission/test_home.py
+++ b/tests/admission/test_home.py
@@ -66,13 +66,13 @@
 
     def test_is_not_lost(self, monkeypatch: pytest.MonkeyPatch) -> None:
         monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
-        book = EndpointRegistry()
-        book.merge([engine("engine"), engine("reader", EndpointRole.PREFILL)])
+        registry = EndpointRegistry()
+        registry.merge([engine("engine"), engine("reader", EndpointRole.PREFILL)])
         process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, safety_deviations=1.5)
         home = AdmissionHome(
-            process, book, interface, options, lambda: True, lambda: {"model"}
+            process, registry, interface, options, lambda: True, lambda: {"model"}
         )
         request = AdmissionRequest(
             "r-1", "model", 100, 130, 65, 0, 64, 900, 600, 0, [], attempt=1
@@ -99,14 +99,14 @@
                 polled.append(self._engine.endpoint_id)
 
         monkeypatch.setattr(_home, "EngineReportPoller", Poller)
-        book = EndpointRegistry()
-        book.merge([engine("foreign")])
-        book.merge([replace(engine("known"), service_name="named")])
+        registry = EndpointRegistry()
+        registry.merge([engine("foreign")])
+        registry.merge([replace(engine("known"), service_name="named")])
         process: Any = ImmediateProcess()
         interface: Any = None
         options = MemoryOptions(margin=0.05, safety_deviations=1.5)
         home = AdmissionHome(
-            process, book, interface, options, lambda: True, lambda: {"named"}
+            process, registry, interface, options, lambda: True, lambda: {"named"}
         )
         request = AdmissionRequest(
             "r-1", "model", 100, 130, 65, 0, 64, 900, 600, 0, [], attempt=1
@@ -123,16 +123,16 @@
 ) -> AdmissionHome:
     """Return a home of one decode engine and two prefill engines."""
     monkeypatch.setattr(_home, "EngineReportPoller", ImmediatePoller)
-    book = EndpointRegistry()
+    registry = EndpointRegistry()
     prefill_engines = [
         engine(name, EndpointRole.PREFILL) for name in ("first", "other")
     ]
-    book.merge([engine("engine"), *prefill_engines])
+    registry.merge([engine("engine"), *prefill_engines])
     process: Any = ImmediateProcess()
     interface: Any = None
     return AdmissionHome(
         process,
-        book,
+        registry,
         interface,
         MemoryOptions(margin=0.05, safety_deviations=1.5),
         lambda: True,
@@ -201,5 +201,5 @@
         notices.record_internal_answer(
             leaving, read_head(200, [("Server-Leaving", "1")])
         )
-        home.look()
+        home.run_once()
         assert granted_prefill_engines(home) == {"other"}
--- a/tests/control/test_cold_start_election.py
+++ b/tests/control/test_cold_start_election.py
@@ -9,7 +9,7 @@
 import pytest
 
 from jujubeslip.control._election import Elections
-from jujubeslip.control._leadership import LeaderContact
+from jujubeslip.control._leadership import KnownLeader
 from jujubeslip.control._receiver import Receiver
 from jujubeslip.control._replica import Replica
 from jujubeslip.kernel import Deadline, PeerUnavailableError
@@ -72,7 +72,7 @@
 
     def test_does_not_vote_once_it_has_heard_a_leader(self, replica: Replica) -> None:
         with replica.disk_lock, replica.lock:
-            replica.follow(1, LeaderContact(CANDIDATE, "127.0.0.1:2"))
+            replica.follow(1, KnownLeader(CANDIDATE, "127.0.0.1:2"))
         asked = request(replica, 2)
         asked.fresh_start = replica.start_number
         receiver = Receiver(replica)
@@ -154,7 +154,7 @@
         clients: Any = other
         elections = Elections(replica, clients)
         with replica.disk_lock, replica.lock:
-            replica.follow(1, LeaderContact(CANDIDATE, "127.0.0.1:2"))
+            replica.follow(1, KnownLeader(CANDIDATE, "127.0.0.1:2"))
         elections.campaign_after_cold_start({CANDIDATE: START})
         assert other.votes == []
         assert (replica.term, replica.leadership) == (1, None)
--- a/tests/forwarding/test_choice.py
+++ b/tests/forwarding/test_choice.py
@@ -105,7 +105,7 @@
             class SlowPool(ConnectionPool):
                 def take(self, *where: str) -> EndpointConnection:
                     refusal = read_head(503, [("Retry-After", "3")])
-                    notices.note_answer(endpoint, refusal, 0.0)
+                    notices.record_answer(endpoint, refusal, 0.0)
                     return super().take(*where)
 
             request: Any = None
--- a/tests/forwarding/test_crashing_requests.py
+++ b/tests/forwarding/test_crashing_requests.py
@@ -36,7 +36,7 @@
 # still reach an endpoint after the time in which the hosts notify each other, in
 # seconds.
 CRASHES = 3
-MAX_RUNS_AFTER_CONTACT = 3
+MAXIMUM_RUNS_AFTER_CONTACT = 3
 CONTACT_SECONDS = 2.0
 # Number of events of a stream that lasts for more than a second.
 LONG_STREAM_EVENTS = 130
@@ -196,7 +196,7 @@
             fatal.send()
             time.sleep(0.1)
         late = [sent_at for sent_at in fatal.runs() if sent_at > known_from]
-        assert len(late) <= MAX_RUNS_AFTER_CONTACT
+        assert len(late) <= MAXIMUM_RUNS_AFTER_CONTACT
 
     def test_is_refused_with_the_time_of_its_next_trial(
         self, system: PlatformSystem
@@ -352,7 +352,7 @@
         wait_until(lambda: system.ready(2), "the host is ready")
         runs = len(fatal.runs())
         wait_until(lambda: is_refused(fatal, 2), "it is refused")
-        assert len(fatal.runs()) <= runs + MAX_RUNS_AFTER_CONTACT
+        assert len(fatal.runs()) <= runs + MAXIMUM_RUNS_AFTER_CONTACT
 
     def test_it_is_established_without_a_leader(self, system: PlatformSystem) -> None:
         for host in system.controls[1:]:
@@ -463,4 +463,4 @@
         wait_until(lambda: "quarantine" in cause(), "the cause")
         crashes = re.search(r"have ended (\d+) endpoints", cause())
         assert crashes is not None
-        assert CRASHES <= int(crashes[1]) <= CRASHES + MAX_RUNS_AFTER_CONTACT
+        assert CRASHES <= int(crashes[1]) <= CRASHES + MAXIMUM_RUNS_AFTER_CONTACT
--- a/tests/forwarding/test_endpoint_limits.py
+++ b/tests/forwarding/test_endpoint_limits.py
@@ -31,7 +31,7 @@
 WINDOW_SECONDS = 4.0
 CONTACT_SECONDS = 3.0
 # Maximum number of requests to an endpoint in a window, and requests sent per second.
-MAX_REQUESTS_IN_WINDOW = 1.5 * LIMIT * WINDOW_SECONDS + 5
+MAXIMUM_REQUESTS_IN_WINDOW = 1.5 * LIMIT * WINDOW_SECONDS + 5
 REQUESTS_PER_SECOND = 30
 PAUSE_SECONDS = ENTRIES / REQUESTS_PER_SECOND
 NUMBERS = itertools.count()
@@ -157,8 +157,11 @@
             named_at = time.monotonic()
             replies = offer(system, "/unsafe/x", CONTACT_SECONDS + 6.0)
             known_from = named_at + CONTACT_SECONDS
-            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
-            assert arrivals(free).max_in_window(known_from) > MAX_REQUESTS_IN_WINDOW
+            assert (
+                arrivals(limited).max_in_window(known_from)
+                <= MAXIMUM_REQUESTS_IN_WINDOW
+            )
+            assert arrivals(free).max_in_window(known_from) > MAXIMUM_REQUESTS_IN_WINDOW
             served = sum(reply.status == 200 for reply in replies)
             assert served > 0.95 * len(replies)
 
@@ -172,7 +175,8 @@
             replies = offer(system, "/unsafe/x", 6.0)
             for worker in limited:
                 assert (
-                    arrivals(worker).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+                    arrivals(worker).max_in_window(known_from)
+                    <= MAXIMUM_REQUESTS_IN_WINDOW
                 )
                 reached = sum(at > known_from for at in arrivals(worker).at)
                 assert reached > 0.6 * LIMIT * 6.0
@@ -198,7 +202,10 @@
                     host.start()
             wait_until(lambda: system.put(system.read()[1]) == 200, "a leader is there")
             offer(system, "/unsafe/x", 5.0)
-            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            assert (
+                arrivals(limited).max_in_window(known_from)
+                <= MAXIMUM_REQUESTS_IN_WINDOW
+            )
             reached = sum(at > known_from for at in arrivals(limited).at)
             assert reached > 5
 
@@ -214,7 +221,10 @@
                 system.entries[3].start()
                 wait_until(lambda: system.ready(3), "the host is ready")
                 offered.result()
-            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            assert (
+                arrivals(limited).max_in_window(known_from)
+                <= MAXIMUM_REQUESTS_IN_WINDOW
+            )
 
     def test_is_lifted_at_all_hosts(self, system: PlatformSystem) -> None:
         with workers(system, 1) as (limited,):
@@ -238,11 +248,14 @@
             offer(system, "/stream/x", CONTACT_SECONDS)
             known_from = time.monotonic()
             replies = offer(system, "/stream/x", 6.0)
-            assert arrivals(limited).max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
+            assert (
+                arrivals(limited).max_in_window(known_from)
+                <= MAXIMUM_REQUESTS_IN_WINDOW
+            )
             prefills = prefill_engines[0].prefilled_requests
             assert isinstance(prefills, Arrivals)
-            assert prefills.max_in_window(known_from) <= MAX_REQUESTS_IN_WINDOW
-            assert arrivals(free).max_in_window(known_from) > MAX_REQUESTS_IN_WINDOW
+            assert prefills.max_in_window(known_from) <= MAXIMUM_REQUESTS_IN_WINDOW
+            assert arrivals(free).max_in_window(known_from) > MAXIMUM_REQUESTS_IN_WINDOW
             served = sum(reply.status == 200 for reply in replies)
             assert served > 0.9 * len(replies)
 
--- a/tests/forwarding/test_reservations.py
+++ b/tests/forwarding/test_reservations.py
@@ -145,7 +145,7 @@
         reservations = Reservations(sender, OPTIONS, OWN_ZONE)
         near.reservations["r1"] = 100
         refusal = read_head(503, [("Retry-After", backoff)])
-        sender.limits.notices.note_answer(own, refusal, 0.0)
+        sender.limits.notices.record_answer(own, refusal, 0.0)
         request: Any = SimpleNamespace(request_id="r-1")
         context: Any = SimpleNamespace(request=request)
         reservations.release(context, Reservation(own, "r1"))
--- a/tests/kernel/test_lifecycle.py
+++ b/tests/kernel/test_lifecycle.py
@@ -80,6 +80,6 @@
     ) -> None:
         caplog.set_level(logging.INFO)
         before = _lifecycle._SignalCheck.now()
-        due = before.at - _lifecycle.SIGNAL_CHECK_INTERVAL
+        due = before.at - _lifecycle.SIGNAL_CHECK_INTERVAL_SECONDS
         Process("test")._log_delay(replace(before, at=due - late))
         assert ("process held up" in messages(caplog)) is is_logged
--- a/tests/membership/test_homes.py
+++ b/tests/membership/test_homes.py
@@ -9,7 +9,10 @@
 
 import pytest
 
-from jujubeslip.homes._records import ANNOUNCEMENT_LIFETIME, STATUS_LIFETIME
+from jujubeslip.homes._records import (
+    ANNOUNCEMENT_LIFETIME_SECONDS,
+    STATUS_LIFETIME_SECONDS,
+)
 from jujubeslip.kernel import Deadline, PeerUnavailableError
 from jujubeslip.membership import rendezvous_order
 from jujubeslip.peers import (
@@ -194,7 +197,7 @@
         for answer in self.streams.finish():
             assert answer.complete, answer
         # Meanwhile the announcements that the others got before the partition expire.
-        until = Deadline.after(ANNOUNCEMENT_LIFETIME + STATUS_LIFETIME)
+        until = Deadline.after(ANNOUNCEMENT_LIFETIME_SECONDS + STATUS_LIFETIME_SECONDS)
         while not until.expired:
             for host_id in sorted(others):
                 ask_until_complete(cluster, host_id)
--- a/tests/notices/test_registry.py
+++ b/tests/notices/test_registry.py
@@ -41,7 +41,7 @@
     endpoint_registry = EndpointRegistry()
     endpoint_registry.merge([known])
     notices = EndpointNotices(endpoint_registry)
-    notices.note_answer(ENDPOINT, head(Retry_After=backoff), 999.0)
+    notices.record_answer(ENDPOINT, head(Retry_After=backoff), 999.0)
     return notices
 
 
@@ -81,15 +81,15 @@
 
     def test_is_not_shortened_by_a_later_answer(self, now: list[float]) -> None:
         notices = after_refusal("3")
-        notices.note_answer(ENDPOINT, head(Retry_After="0.1"), 1000.0)
-        notices.note_answer(ENDPOINT, head(200), 1000.0)
+        notices.record_answer(ENDPOINT, head(Retry_After="0.1"), 1000.0)
+        notices.record_answer(ENDPOINT, head(200), 1000.0)
         now[0] += 2.9
         assert notices.hold_of(ENDPOINT.start_id) is not None
 
     def test_is_only_read_from_refusals(self, now: list[float]) -> None:
         notices = EndpointNotices()
         for status in (200, 429, 500):
-            notices.note_answer(ENDPOINT, head(status, Retry_After="3"), 999.0)
+            notices.record_answer(ENDPOINT, head(status, Retry_After="3"), 999.0)
         assert notices.hold_of(ENDPOINT.start_id) is None
 
     def test_is_read_from_answers_to_other_calls(self, now: list[float]) -> None:
@@ -106,8 +106,8 @@
 
     def test_is_final_for_the_start(self, now: list[float]) -> None:
         notices = EndpointNotices()
-        notices.note_answer(ENDPOINT, head(200, Server_Leaving="1"), 999.0)
-        notices.note_answer(ENDPOINT, head(200), 1000.0)
+        notices.record_answer(ENDPOINT, head(200, Server_Leaving="1"), 999.0)
+        notices.record_answer(ENDPOINT, head(200), 1000.0)
         now[0] += 10_000
         notices.forget_old()
         hold = notices.hold_of(ENDPOINT.start_id)
@@ -142,7 +142,7 @@
         for number in range(MAXIMUM_UNKNOWN_STARTS + 20):
             now[0] += 0.01
             unknown = engine(f"unknown-{number}")
-            notices.note_answer(unknown, head(200, Server_Leaving="1"), 999.0)
+            notices.record_answer(unknown, head(200, Server_Leaving="1"), 999.0)
         notices.forget_old()
         kept = notices._notice_by_start
         assert len(kept) == MAXIMUM_UNKNOWN_STARTS + 1
@@ -151,6 +151,6 @@
 
     def test_excludes_answers_without_notice(self) -> None:
         notices = EndpointNotices()
-        notices.note_answer(ENDPOINT, head(200), 999.0)
+        notices.record_answer(ENDPOINT, head(200), 999.0)
         notices.record_internal_answer(ENDPOINT, head(503))
         assert not notices._notice_by_start
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -92,10 +92,10 @@
     """A control host: its responses to endpoints, and its registry."""
 
     def __init__(self) -> None:
-        self.book = EndpointRegistry()
+        self.registry = EndpointRegistry()
         watches: Any = SimpleNamespace(wait_until_confirmed=lambda *_: True)
         client: Any = None
-        self._app = ControlApp(LeaderGateway(client, self.book, watches))
+        self._app = ControlApp(LeaderGateway(client, self.registry, watches))
         self.status = 0
 
     def put(self, endpoint_id: str, body: bytes, method: str = "PUT") -> str:
@@ -119,9 +119,9 @@
 
     def reported(self) -> dict[str, Endpoint]:
         """Return the endpoints that the host reports, encoded and decoded again."""
-        for endpoint in self.book.changes_since(0)[1]:
+        for endpoint in self.registry.changes_since(0)[1]:
             assert received(to_record(endpoint)).endpoint_id == endpoint.endpoint_id
-        return {item.endpoint_id: item for item in self.book.endpoints()}
+        return {item.endpoint_id: item for item in self.registry.endpoints()}
 
 
 @pytest.fixture(scope="module")
@@ -254,7 +254,7 @@
     ) -> None:
         host = Host()
         host.announce("e", service=service, slots=slots, seq=seq, coldLeftMs=cold_ms)
-        [kept] = host.book.endpoints()
+        [kept] = host.registry.endpoints()
         [usable] = usable_endpoints("host", [received(to_record(kept))])
         assert (usable.service_name, usable.slots, usable.sequence) == (
             service,
--- a/tests/routing/test_client_limits.py
+++ b/tests/routing/test_client_limits.py
@@ -6,7 +6,7 @@
 
 from jujubeslip.declaration import Client
 from jujubeslip.kernel import Ran, RequestRefusedError
-from jujubeslip.routing._client_limits import SHARE_LIFETIME, ClientLimits
+from jujubeslip.routing._client_limits import SHARE_LIFETIME_SECONDS, ClientLimits
 from jujubeslip.routing._quota_manager import QuotaManager
 
 HOSTS = 4
@@ -106,7 +106,7 @@
         """
         for _ in range(5):
             hosts.run_second([20, 0, 0, 0])
-        for _ in range(int(SHARE_LIFETIME) + 2):
+        for _ in range(int(SHARE_LIFETIME_SECONDS) + 2):
             hosts.run_second([60, 0, 0, 0], report=False)
         admitted = hosts.run_second([60, 0, 0, 0], report=False)
         assert admitted[0] <= LIMIT / HOSTS + 1
