--- a/src/jujubeslip/platform/_headers.py
+++ b/src/jujubeslip/platform/_headers.py
@@ -23,7 +23,7 @@
 AUTHORIZATION = "Authorization"
 # The client account that the key belongs to, sent to endpoints.
 ACCOUNT = "Tenant"
-# Requests per second that an overloaded endpoint accepts from all hosts together.
+# Requests per second that an endpoint accepts from all hosts together.
 ENDPOINT_LIMIT = "Server-Limit"
 # Seconds for which an endpoint that refuses a request wants no more from this host.
 RETRY_AFTER = "Retry-After"
